--- a/include/dandelionslip/Route/AssignmentStrategy.h
+++ b/include/dandelionslip/Route/AssignmentStrategy.h
@@ -1,4 +1,4 @@
-// Ways to assign buckets to weighted members.
+// Strategies that assign buckets to weighted members.
 #pragma once
 
 #include "dandelionslip/Model/View.h"
@@ -11,10 +11,10 @@
 
 namespace dandelionslip {
 
-/// Index of a member in the list that a table was built from.
+/// Index of a member in the member list of a table or strategy.
 using MemberIndex = std::uint16_t;
 
-/// Stands for no member.
+/// The index that means no member.
 inline constexpr MemberIndex kNoMember = 0xffff;
 
 /// Assigns each bucket to one member. Implementations are pure functions of their arguments.
@@ -26,19 +26,21 @@
   /// Name in benchmark reports.
   virtual std::string_view Name() const = 0;
 
-  /// The owner of each bucket, or kNoMember throughout when no member has a weight. Members have
-  /// distinct names; aBuckets is a power of two.
+  /// Returns the owner of each bucket; all are kNoMember when no member has a positive weight.
+  /// Members have distinct names; aBuckets is a power of two.
   virtual std::vector<MemberIndex> Owners(std::span<const WeightedMember> aMembers,
                                           std::uint32_t aBuckets) const = 0;
 };
 
-/// Weighted rendezvous order with a quota for each member; the strategy in use.
+/// Weighted rendezvous hashing with a quota for each member. Used in production.
 std::unique_ptr<AssignmentStrategy> MakeRendezvousStrategy();
 
-/// Permutation table in which members take turns in proportion to their weights (Maglev). Baseline.
+/// Maglev hashing: members take turns in proportion to their weights, each in the order of its own
+/// permutation of the buckets. Only a baseline for benchmarks.
 std::unique_ptr<AssignmentStrategy> MakePermutationStrategy();
 
-/// Consistent hashing on a ring of points, with equal weights. Baseline.
+/// Consistent hashing on a ring, in which all members with a positive weight have equal shares.
+/// Only a baseline for benchmarks.
 std::unique_ptr<AssignmentStrategy> MakeRingStrategy();
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Route/AssignmentTable.h
+++ b/include/dandelionslip/Route/AssignmentTable.h
@@ -5,19 +5,19 @@
 
 namespace dandelionslip {
 
-/// Number of buckets that each member owns: its share by weight, rounded by largest remainder so
-/// that the quotas add up to aBuckets. All zero when no member has a weight.
+/// Number of buckets that each member owns: its share by weight, rounded with the largest remainder
+/// method so that the quotas add up to aBuckets. All are 0 when no member has a positive weight.
 std::vector<std::uint32_t> BucketQuotas(std::span<const WeightedMember> aMembers,
                                         std::uint32_t aBuckets);
 
-/// Weighted rendezvous assignment with quotas; equal on every node for equal input.
+/// Weighted rendezvous assignment with quotas. Equal input gives the same table on every node.
 class AssignmentTable
 {
 public:
   AssignmentTable() = default;
 
-  /// Builds the table. aAlternateEligible says for each member whether it may be offered new
-  /// flows as alternate; empty means all may.
+  /// aAlternateEligible says for each member whether it may be an alternate; empty means that all
+  /// members may.
   AssignmentTable(std::span<const WeightedMember> aMembers, std::uint32_t aBuckets,
                   const std::vector<bool>& aAlternateEligible = {});
 
@@ -26,8 +26,8 @@
   /// The member that owns the bucket, or kNoMember.
   MemberIndex Owner(std::uint32_t aBucket) const { return mOwners[aBucket]; }
 
-  /// The member that takes new flows which the owner cannot admit; never the owner, and kNoMember
-  /// when no other member is eligible.
+  /// The member that takes new flows which the owner cannot admit. Never the owner; kNoMember when
+  /// no other member is eligible.
   MemberIndex Alternate(std::uint32_t aBucket) const { return mAlternates[aBucket]; }
 
 private:
--- a/include/dandelionslip/Route/RouteDecision.h
+++ b/include/dandelionslip/Route/RouteDecision.h
@@ -10,7 +10,7 @@
 
 namespace dandelionslip {
 
-/// Send the datagram to an agent behind this header.
+/// Send the datagram to an agent, prefixed with this header.
 struct ForwardDatagram
 {
   Endpoint mTo;
@@ -23,27 +23,27 @@
   RefusalReason mReason = RefusalReason::Malformed;
 };
 
-/// Refusal is answered to the caller as a datagram of kind refused.
+/// A Refusal is sent to the caller as a datagram of kind refused.
 using RouteDecision = std::variant<ForwardDatagram, Refusal, DropDatagram>;
 
-/// An agent that a request is sent to.
 struct RequestTarget
 {
   std::string mMember;
   std::string mRequestEndpoint;
 };
 
-/// Where a request goes.
+/// Route of a request that carries a request id.
 struct RequestRoute
 {
   ServiceId mServiceId = 0;
   std::uint32_t mGeneration = 0;
-  RequestTarget mHome;                     ///< Owner of the request id's bucket.
-  std::optional<RequestTarget> mAlternate; ///< For the home agent's information; may be absent.
+  RequestTarget mHome; ///< The acting member of the request id's bucket.
+  /// The member to which the owner may relay the request; may be absent.
+  std::optional<RequestTarget> mAlternate;
 };
 
-/// The two members of which the one with fewer requests in flight is chosen; they may be equal
-/// when the service has one member.
+/// Two randomly drawn members, of which the balancer chooses the one with fewer requests in flight.
+/// They are equal when both draws gave the same member or only one of the members is reachable.
 struct RequestCandidates
 {
   ServiceId mServiceId = 0;
--- a/include/dandelionslip/Route/RoutingCore.h
+++ b/include/dandelionslip/Route/RoutingCore.h
@@ -1,4 +1,4 @@
-// The balancer's decision core for control state.
+// The balancer's routing state: view, configuration, lease and state probes.
 #pragma once
 
 #include "dandelionslip/Model/Announcement.h"
@@ -10,14 +10,14 @@
 
 namespace dandelionslip {
 
-/// Send a probe header without payload to an agent.
+/// Send a state probe, which is a header without payload, to an agent.
 struct SendProbe
 {
   Endpoint mTo;
   DatagramHeader mHeader;
 };
 
-/// Fetch view and configuration from the agent with this request endpoint.
+/// Fetch the view and configuration from the agent with this request endpoint.
 struct FetchStateFromPeer
 {
   std::string mMember;
@@ -29,67 +29,70 @@
 /// Settings of a routing core.
 struct RoutingSettings
 {
-  Endpoint mEndpoint; ///< Where this balancer receives replies and probe answers.
+  Endpoint mEndpoint; ///< Endpoint at which this balancer receives replies and probe answers.
   Milliseconds mProbeInterval{500};
-  Milliseconds mProbeValidity{2'000}; ///< How long a probe answer keeps a data centre open.
+  /// Lease of a data centre that an answered probe grants, counted from when the probe was sent.
+  Milliseconds mProbeValidity{2'000};
 };
 
-/// Keeps view, configuration and control contact of a balancer, and publishes snapshots for the
-/// worker threads. All calls but Snapshot() come from one thread at a time.
+/// Holds the view, the configuration and the leases of a balancer, and publishes snapshots for the
+/// worker threads. Does no I/O: it returns the actions that the daemon performs. Only Snapshot()
+/// may be called concurrently with other calls.
 class RoutingCore
 {
 public:
   explicit RoutingCore(RoutingSettings aSettings);
 
   /// Applies a configuration. Returns false and changes nothing when its revision is lower than
-  /// the one in force.
+  /// that of the current one.
   bool ApplyConfiguration(const Configuration& aConfiguration);
 
-  /// Applies a view. Returns false and changes nothing when its revision is lower than the one in
-  /// force.
+  /// Applies a view. Returns false and changes nothing when its revision is lower than that of the
+  /// current one.
   bool ApplyView(const View& aView);
 
-  /// Takes an answer to the announcement that was sent at aSentAt. The lease counts from the time
-  /// of sending, so that a delayed answer never extends it.
+  /// Handles the answer to the announcement that was sent at aSentAt. The lease runs from that
+  /// time, so a delayed answer does not make it longer than control granted.
   void OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, TimePoint aSentAt);
 
-  /// Takes a probe answer that came from aSender. It keeps the agent's data centre open from the
-  /// time at which the probe was sent, unless the agent has newer state, which is then fetched.
+  /// Handles a probe answer from aSender. It extends the lease of the agent's data centre, counted
+  /// from the time at which the probe was sent. When the agent has newer state, the lease is not
+  /// extended and the returned action fetches that state.
   std::vector<RoutingAction> OnProbeAnswer(const DatagramHeader& aHeader, const Endpoint& aSender);
 
-  /// To be called at least every 100 ms. Probes while the lease is about to end or has ended.
+  /// Must be called at least every 100 ms. Returns the probes to send when the balancer's lease is
+  /// about to expire or has expired.
   std::vector<RoutingAction> Tick(TimePoint aNow);
 
-  /// Whether the lease is valid.
   bool IsConfirmed(TimePoint aNow) const { return aNow <= mLeaseEnd; }
 
   std::uint64_t ViewRevision() const { return mView.mRevision; }
   std::uint64_t ConfigurationRevision() const { return mConfiguration.mRevision; }
 
-  /// The tables in force; never null. Thread-safe.
+  /// The current snapshot; never null. Thread-safe.
   std::shared_ptr<const RoutingSnapshot> Snapshot() const;
 
 private:
-  /// The last probe sent to an agent.
-  struct Probe
+  /// The last probe that was sent to an agent.
+  struct SentProbe
   {
     std::string mMember;
     TimePoint mSentAt;
   };
 
-  void Publish();
-  void AddGates();
+  void PublishSnapshot();
+  void AddDataCentreLeases();
   void ProbeDataCentre(const std::string& aDataCentre, TimePoint aNow,
                        std::vector<RoutingAction>& aActions);
 
   RoutingSettings mSettings;
   Configuration mConfiguration;
   View mView;
-  TimePoint mLeaseEnd{RuntimeClock::duration(-1)}; ///< Before every reading of the clock.
+  TimePoint mLeaseEnd{RuntimeClock::duration(-1)}; ///< Initially earlier than any clock reading.
   TimePoint mNextProbe{RuntimeClock::duration(0)};
   std::uint64_t mProbeRound = 0;
-  std::map<Endpoint, Probe> mProbed;
-  DataCentreGates mGates;
+  std::map<Endpoint, SentProbe> mSentProbes;
+  DataCentreLeases mDataCentreLeases;
   mutable std::mutex mSnapshotMutex;
   std::shared_ptr<const RoutingSnapshot> mSnapshot;
 };
--- a/include/dandelionslip/Route/RoutingSnapshot.h
+++ b/include/dandelionslip/Route/RoutingSnapshot.h
@@ -1,7 +1,7 @@
 // Immutable routing tables used by the worker threads of a balancer.
 #pragma once
 
-#include "dandelionslip/Route/ControlContact.h"
+#include "dandelionslip/Route/DataCentreLease.h"
 #include "dandelionslip/Route/RouteDecision.h"
 #include "dandelionslip/Route/ServiceTable.h"
 
@@ -12,53 +12,56 @@
 
 namespace dandelionslip {
 
-/// Retry-after time of refusals by a balancer.
+/// Time after which a caller may retry work that a balancer refused.
 inline constexpr Milliseconds kBalancerRetryAfterMs{500};
 
-/// All tables of one view and configuration. Safe for concurrent use.
+/// All service tables of one view and configuration. Safe for concurrent use.
 class RoutingSnapshot
 {
 public:
   RoutingSnapshot() = default;
   RoutingSnapshot(const View& aView, const Configuration& aConfiguration,
-                  const DataCentreGates& aGates);
+                  const DataCentreLeases& aDataCentreLeases);
 
   std::uint64_t ViewRevision() const { return mViewRevision; }
   std::uint64_t ConfigurationRevision() const { return mConfigurationRevision; }
 
-  /// Decides on one caller datagram. aService is the address it was sent to; aBalancer is the
-  /// endpoint at which this balancer receives replies.
+  /// Decides where one datagram of a caller goes. aService is the address to which it was sent,
+  /// aOpening says that it opens a flow, and aBalancer is the endpoint at which this balancer
+  /// receives replies.
   RouteDecision Route(const Endpoint& aCaller, const Endpoint& aService, bool aOpening,
                       const Endpoint& aBalancer, TimePoint aNow) const;
 
-  /// The home agent of a request with an id.
+  /// The agent to which a request with this request id hash goes.
   std::variant<RequestRoute, Refusal> RouteRequest(std::string_view aServiceName,
                                                    std::uint64_t aRequestIdHash,
                                                    TimePoint aNow) const;
 
-  /// Two candidates for an idempotent request without id, drawn in proportion to the weights from
-  /// the caller's two random values.
+  /// Two candidates for an idempotent request without a request id. Each of the two random values
+  /// selects a bucket, so members are drawn in proportion to their weights.
   std::variant<RequestCandidates, Refusal> CandidatesFor(std::string_view aServiceName,
                                                          std::array<std::uint64_t, 2> aRandom,
                                                          TimePoint aNow) const;
 
-  /// The table of a service by name, or null.
+  /// The table of the service, or null.
   const ServiceTable* FindTable(std::string_view aServiceName) const;
 
 private:
-  /// A bucket's receiver, resolved when the snapshot is built so that a packet needs one look-up.
+  /// Where the datagrams of a bucket go. Resolved when the snapshot is built, so that a datagram
+  /// needs only one look-up.
   struct Target
   {
     Endpoint mTo;
-    const DataCentreGate* mGate = nullptr; ///< Null when the bucket has no receiver.
+    const DataCentreLease* mLease = nullptr; ///< Null when no member acts for the bucket.
   };
 
   struct Service
   {
     ServiceTable mTable;
-    std::vector<Target> mOpening; ///< By bucket.
-    std::vector<Target> mEstablished;
-    RefusalReason mWithoutOwner = RefusalReason::NoUpstream;
+    std::vector<Target> mOpeningTargets;     ///< For opening packets, by bucket.
+    std::vector<Target> mEstablishedTargets; ///< For all other packets, by bucket.
+    /// Why flows and requests are refused while no member owns buckets.
+    RefusalReason mReasonWithoutOwner = RefusalReason::NoUpstream;
   };
 
   struct AddressSlot
@@ -77,9 +80,10 @@
 
   std::uint64_t mViewRevision = 0;
   std::uint64_t mConfigurationRevision = 0;
-  DataCentreGates mGates;
+  DataCentreLeases mDataCentreLeases;
   std::map<std::string, std::unique_ptr<Service>, std::less<>> mServices;
-  std::vector<AddressSlot> mAddresses; ///< Open addressing; the size is a power of two.
+  /// Hash table with open addressing; its size is a power of two.
+  std::vector<AddressSlot> mAddresses;
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Route/ServiceTable.h
+++ b/include/dandelionslip/Route/ServiceTable.h
@@ -1,4 +1,4 @@
-// Members and assignment of one service, computed from a view and a configuration.
+// Members and bucket assignment of one service, computed from a view and a configuration.
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
@@ -10,23 +10,25 @@
 
 namespace dandelionslip {
 
-/// What routing needs to know about a member of a service.
+/// A member of a service as routing sees it.
 struct TableMember
 {
   std::string mName;
   std::string mDataCentre;
-  std::string mCustodian; ///< Peer that acts for the member while it restarts; may be empty.
+  std::string mCustodian; ///< The member's backup while the member restarts, else empty.
   std::string mRequestEndpoint;
   Endpoint mDatagramEndpoint;
   MemberState mState = MemberState::Cold;
   bool mDataCentreOut = false;
-  bool mOut = false; ///< Its data centre is out, or it has left or is lost.
+  /// Owns no buckets: its data centre is out of service, it has left or is lost, or its datagram
+  /// endpoint is invalid.
+  bool mOut = false;
 
   bool operator==(const TableMember&) const = default;
 };
 
-/// Assignment of one service in force at a node: a pure function of view and configuration.
-/// Members that are out own no buckets, so that a data centre leaves without a new generation.
+/// Bucket assignment of one service; a pure function of view and configuration. Excluded members
+/// own no buckets, so a data centre can be taken out of service without a new generation.
 class ServiceTable
 {
 public:
@@ -40,35 +42,37 @@
   const std::vector<TableMember>& Members() const { return mMembers; }
   const AssignmentTable& Assignment() const { return mTable; }
 
-  /// Whether every member that could own buckets is excluded because its data centre is out.
+  /// Whether there are members with a positive weight but the data centres of all of them are out
+  /// of service.
   bool AllDataCentresOut() const { return mAllDataCentresOut; }
 
-  /// Index of a member, or kNoMember.
+  /// The index of the member with this name, or kNoMember.
   MemberIndex Find(std::string_view aName) const;
 
-  /// The member that acts for aMember: its custodian while it restarts, else itself. Follows the
-  /// custodians when a custodian restarts too.
+  /// The acting member for aMember: its backup while it restarts, else aMember itself. When the
+  /// backup restarts too, its backup, and so on.
   MemberIndex ActingFor(MemberIndex aMember) const;
 
 private:
   void AddMembers(const std::string& aServiceName, const View& aView,
                   const Configuration& aConfiguration);
-  void ResolveActing();
+  void ResolveActingMembers();
 
   ServiceId mId = 0;
   std::uint32_t mGeneration = 0;
   bool mAllDataCentresOut = false;
-  std::vector<TableMember> mMembers; ///< All agents of the service in the view, by name.
-  std::vector<MemberIndex> mActing;
+  std::vector<TableMember> mMembers; ///< All agents of the service in the view, ordered by name.
+  std::vector<MemberIndex> mActingMembers; ///< By member index.
   AssignmentTable mTable;
 };
 
-/// The service's entry in the view if it belongs to the declared service, or null.
+/// The view of the service; null when the configuration does not declare the service, or when the
+/// view has no generation of it or belongs to an earlier service of the same name.
 const ServiceView* FindServiceView(const View& aView, const Configuration& aConfiguration,
                                    const std::string& aServiceName);
 
-/// Owner names by bucket of a generation under the exclusions of aTable; empty names where no
-/// member is left.
+/// The owner's name of each bucket in aGeneration without the excluded members of aTable. A name is
+/// empty when no member is left.
 std::vector<std::string> OwnersIn(const Generation& aGeneration, const ServiceTable& aTable);
 
 } // namespace dandelionslip
--- a/lib/Route/AssignmentTable.cpp
+++ b/lib/Route/AssignmentTable.cpp
@@ -1,4 +1,4 @@
-// Quotas, owners by stable matching, and alternates.
+// Computes quotas, the owners of buckets by stable matching, and alternates.
 #include "dandelionslip/Route/AssignmentTable.h"
 
 #include "RendezvousOrder.h"
@@ -18,29 +18,30 @@
     [](std::uint64_t aSum, const WeightedMember& aMember) { return aSum + aMember.mWeight; });
 }
 
-// A bucket held by a member, ordered by its cost for the member.
-struct HeldBucket
+// A bucket assigned to a member, ordered by its cost for that member.
+struct AssignedBucket
 {
   RendezvousCost mCost;
   std::uint32_t mBucket = 0;
 
-  bool operator==(const HeldBucket&) const = default;
-  auto operator<=>(const HeldBucket& aOther) const
+  bool operator==(const AssignedBucket&) const = default;
+  auto operator<=>(const AssignedBucket& aOther) const
   {
     return std::tie(mCost, mBucket) <=> std::tie(aOther.mCost, aOther.mBucket);
   }
 };
 
-// Matches buckets to members. Each bucket proposes to members in its rendezvous order, and a member
-// over its quota rejects the bucket with the highest cost. The result does not depend on the order
-// of proposals, and a small change of quotas displaces few buckets.
+// Assigns buckets to members with deferred acceptance (Gale-Shapley stable matching). Each bucket
+// proposes to members in its rendezvous order, and a member over its quota rejects the bucket with
+// the highest cost. The result does not depend on the order of proposals, and a small change of the
+// quotas moves few buckets.
 class BucketMatching
 {
 public:
   BucketMatching(std::span<const WeightedMember> aMembers, std::uint32_t aBuckets)
     : mOrder(aMembers)
     , mQuotas(BucketQuotas(aMembers, aBuckets))
-    , mHeld(aMembers.size())
+    , mAssigned(aMembers.size())
     , mOwners(aBuckets, kNoMember)
   {
   }
@@ -48,38 +49,39 @@
   std::vector<MemberIndex> Run()
   {
     for (std::uint32_t bucket = 0; bucket < mOwners.size(); ++bucket) {
-      Place(bucket);
+      Assign(bucket);
     }
     return std::move(mOwners);
   }
 
 private:
-  void Place(std::uint32_t aBucket)
+  // Assigns the bucket, then the bucket that this displaces, until none is displaced.
+  void Assign(std::uint32_t aBucket)
   {
     std::uint32_t bucket = aBucket;
-    RendezvousCost previous = RendezvousOrder::Start();
+    RendezvousCost previous = RendezvousOrder::BeforeFirst();
     for (;;) {
       const RendezvousCost next = mOrder.NextAfter(
         bucket, previous, [&](MemberIndex aMember) { return mQuotas[aMember] > 0; });
       if (next.mMember == kNoMember) {
         return;
       }
-      auto& held = mHeld[next.mMember];
-      held.push({next, bucket});
+      auto& assigned = mAssigned[next.mMember];
+      assigned.push({next, bucket});
       mOwners[bucket] = next.mMember;
-      if (held.size() <= mQuotas[next.mMember]) {
+      if (assigned.size() <= mQuotas[next.mMember]) {
         return;
       }
-      previous = held.top().mCost;
-      bucket = held.top().mBucket;
+      previous = assigned.top().mCost;
+      bucket = assigned.top().mBucket;
       mOwners[bucket] = kNoMember;
-      held.pop();
+      assigned.pop();
     }
   }
 
   RendezvousOrder mOrder;
   std::vector<std::uint32_t> mQuotas;
-  std::vector<std::priority_queue<HeldBucket>> mHeld;
+  std::vector<std::priority_queue<AssignedBucket>> mAssigned; // By member, highest cost on top.
   std::vector<MemberIndex> mOwners;
 };
 
@@ -98,8 +100,9 @@
   }
 };
 
-// Chooses for each bucket the next member of its order that is eligible and has alternate buckets
-// left within its quota; without such a member, the next eligible one.
+// Chooses as a bucket's alternate the first eligible member in its rendezvous order, other than the
+// owner, that is alternate of fewer buckets than its quota; without such a member, the first
+// eligible one other than the owner.
 std::vector<MemberIndex> Alternates(std::span<const WeightedMember> aMembers,
                                     const std::vector<MemberIndex>& aOwners,
                                     const std::vector<bool>& aEligible)
@@ -109,23 +112,23 @@
     eligible[i].mWeight = aEligible[i] ? eligible[i].mWeight : 0;
   }
   const RendezvousOrder order(eligible);
-  std::vector<std::uint32_t> spare =
+  std::vector<std::uint32_t> remaining =
     BucketQuotas(eligible, static_cast<std::uint32_t>(aOwners.size()));
   std::vector<MemberIndex> alternates(aOwners.size(), kNoMember);
   for (std::uint32_t bucket = 0; bucket < aOwners.size(); ++bucket) {
     const MemberIndex owner = aOwners[bucket];
-    const auto next = [&](bool aWithinQuota) {
+    const auto firstEligible = [&](bool aWithinQuota) {
       return order
-        .NextAfter(bucket, RendezvousOrder::Start(),
+        .NextAfter(bucket, RendezvousOrder::BeforeFirst(),
                    [&](MemberIndex aMember) {
-                     return aMember != owner && (!aWithinQuota || spare[aMember] > 0);
+                     return aMember != owner && (!aWithinQuota || remaining[aMember] > 0);
                    })
         .mMember;
     };
-    const MemberIndex spared = next(true);
-    alternates[bucket] = spared == kNoMember ? next(false) : spared;
-    if (spared != kNoMember) {
-      --spare[spared];
+    const MemberIndex withinQuota = firstEligible(true);
+    alternates[bucket] = withinQuota == kNoMember ? firstEligible(false) : withinQuota;
+    if (withinQuota != kNoMember) {
+      --remaining[withinQuota];
     }
   }
   return alternates;
@@ -143,17 +146,17 @@
   }
   std::vector<std::size_t> byRemainder(aMembers.size());
   std::iota(byRemainder.begin(), byRemainder.end(), std::size_t{0});
-  std::uint32_t left = aBuckets;
+  std::uint32_t unassigned = aBuckets;
   for (std::size_t i = 0; i < aMembers.size(); ++i) {
     quotas[i] = static_cast<std::uint32_t>(aMembers[i].mWeight * std::uint64_t{aBuckets} / sum);
-    left -= quotas[i];
+    unassigned -= quotas[i];
   }
   std::stable_sort(byRemainder.begin(), byRemainder.end(),
                    [&](std::size_t aLeft, std::size_t aRight) {
                      return aMembers[aLeft].mWeight * std::uint64_t{aBuckets} % sum >
                             aMembers[aRight].mWeight * std::uint64_t{aBuckets} % sum;
                    });
-  for (std::uint32_t i = 0; i < left; ++i) {
+  for (std::uint32_t i = 0; i < unassigned; ++i) {
     ++quotas[byRemainder[i]];
   }
   return quotas;
--- a/lib/Route/BaselineStrategies.cpp
+++ b/lib/Route/BaselineStrategies.cpp
@@ -1,4 +1,4 @@
-// Permutation table and consistent hashing, kept as baselines of the benchmark.
+// Maglev hashing and ring-based consistent hashing, baselines of the routing benchmark.
 #include "dandelionslip/Route/AssignmentStrategy.h"
 
 #include "dandelionslip/Support/Hash.h"
@@ -10,7 +10,8 @@
 
 namespace {
 
-// A member's walk over all buckets: an odd step visits each bucket of a power-of-two table once.
+// Order in which a member visits all buckets. An odd step visits each bucket of a power-of-two
+// table once.
 struct Permutation
 {
   std::uint32_t mNext = 0;
@@ -27,46 +28,48 @@
   {
     std::vector<MemberIndex> owners(aBuckets, kNoMember);
     std::uint64_t largest = 0;
-    std::vector<Permutation> walks;
+    std::vector<Permutation> permutations;
     for (const WeightedMember& member : aMembers) {
       largest = std::max<std::uint64_t>(largest, member.mWeight);
       const std::uint64_t hash = Hash64(member.mMember);
-      walks.push_back({static_cast<std::uint32_t>(hash) & (aBuckets - 1),
-                       (static_cast<std::uint32_t>(hash >> 32U) | 1U) & (aBuckets - 1)});
+      permutations.push_back({static_cast<std::uint32_t>(hash) & (aBuckets - 1),
+                              (static_cast<std::uint32_t>(hash >> 32U) | 1U) & (aBuckets - 1)});
     }
     if (largest > 0) {
-      Fill(aMembers, walks, largest, owners);
+      Fill(aMembers, permutations, largest, owners);
     }
     return owners;
   }
 
 private:
-  // In each round a member saves up its weight and takes a bucket for each full turn.
-  static void Fill(std::span<const WeightedMember> aMembers, std::vector<Permutation>& aWalks,
-                   std::uint64_t aLargest, std::vector<MemberIndex>& aOwners)
+  // In each round a member's credit grows by its weight. A member whose credit has reached the
+  // largest weight spends that much for a bucket.
+  static void Fill(std::span<const WeightedMember> aMembers,
+                   std::vector<Permutation>& aPermutations, std::uint64_t aLargest,
+                   std::vector<MemberIndex>& aOwners)
   {
-    std::vector<std::uint64_t> saved(aMembers.size(), 0);
+    std::vector<std::uint64_t> credit(aMembers.size(), 0);
     for (std::size_t filled = 0; filled < aOwners.size();) {
       for (std::size_t i = 0; i < aMembers.size() && filled < aOwners.size(); ++i) {
-        saved[i] += aMembers[i].mWeight;
-        if (saved[i] < aLargest) {
+        credit[i] += aMembers[i].mWeight;
+        if (credit[i] < aLargest) {
           continue;
         }
-        saved[i] -= aLargest;
-        TakeNextFree(aWalks[i], aOwners, static_cast<MemberIndex>(i));
+        credit[i] -= aLargest;
+        TakeNextFree(aPermutations[i], aOwners, static_cast<MemberIndex>(i));
         ++filled;
       }
     }
   }
 
-  static void TakeNextFree(Permutation& aWalk, std::vector<MemberIndex>& aOwners,
+  static void TakeNextFree(Permutation& aPermutation, std::vector<MemberIndex>& aOwners,
                            MemberIndex aMember)
   {
     const auto mask = static_cast<std::uint32_t>(aOwners.size() - 1);
-    while (aOwners[aWalk.mNext] != kNoMember) {
-      aWalk.mNext = (aWalk.mNext + aWalk.mStep) & mask;
+    while (aOwners[aPermutation.mNext] != kNoMember) {
+      aPermutation.mNext = (aPermutation.mNext + aPermutation.mStep) & mask;
     }
-    aOwners[aWalk.mNext] = aMember;
+    aOwners[aPermutation.mNext] = aMember;
   }
 };
 
--- a/lib/Route/FlowHash.cpp
+++ b/lib/Route/FlowHash.cpp
@@ -1,4 +1,4 @@
-// XXH3 of the two endpoints of a flow.
+// Hashes the caller's and the service's endpoint with XXH3.
 #include "dandelionslip/Route/FlowHash.h"
 
 #include "dandelionslip/Support/Hash.h"
--- a/lib/Route/RendezvousOrder.cpp
+++ b/lib/Route/RendezvousOrder.cpp
@@ -1,4 +1,4 @@
-// Fixed-point logarithm and costs of the rendezvous order.
+// Computes rendezvous costs with a fixed-point logarithm.
 #include "RendezvousOrder.h"
 
 #include "dandelionslip/Support/Hash.h"
@@ -15,8 +15,8 @@
 constexpr unsigned kIndexBits = 10;
 constexpr std::size_t kSteps = std::size_t{1} << kIndexBits;
 
-// log2 of a value in [1, 2) given with 31 fraction bits, by repeated squaring: each squaring yields
-// one bit of the result.
+// log2 of a value in [1, 2), which is given with 31 fraction bits. Computed by repeated squaring:
+// each squaring yields one bit of the result.
 constexpr std::uint64_t FractionOfLog2(std::uint64_t aValue)
 {
   std::uint64_t result = 0;
@@ -41,8 +41,8 @@
   return table;
 }
 
-// 64 - log2(aHash) with 32 fraction bits, interpolated linearly between table entries; aHash > 0.
-// The error of less than 2^-21 does not matter: the quotas set the shares.
+// 64 - log2(aHash) with 32 fraction bits; aHash > 0. Interpolates linearly between table entries.
+// The error of less than 2^-21 does not change the members' shares, because quotas determine them.
 std::uint64_t NegativeLog2(std::uint64_t aHash)
 {
   static const LogTable kTable = MakeLogTable();
@@ -69,8 +69,8 @@
 {
   const std::uint64_t hash =
     std::max<std::uint64_t>(1, CombineHash(mHashes[aMember], std::uint64_t{aBucket}));
-  // The logarithm has at most 39 bits, and weights at most 20, so that this keeps 4 digits of the
-  // quotient and does not overflow.
+  // The logarithm has at most 39 bits, so the shift does not overflow. Weights have at most 20
+  // bits, so the quotient keeps at least 4 bits more than the logarithm has.
   constexpr unsigned kScaleBits = 24;
   return {(NegativeLog2(hash) << kScaleBits) / mWeights[aMember], aMember};
 }
--- a/lib/Route/RendezvousOrder.h
+++ b/lib/Route/RendezvousOrder.h
@@ -1,4 +1,5 @@
-// Weighted rendezvous order of members for a bucket, in integer arithmetic.
+// Weighted rendezvous hashing: orders the members for a bucket, in integer arithmetic so that all
+// nodes get the same order.
 #pragma once
 
 #include "dandelionslip/Route/AssignmentStrategy.h"
@@ -10,8 +11,8 @@
 
 namespace dandelionslip {
 
-/// Position of a bucket's candidate; lower comes first. Members break ties, so that the order is
-/// total.
+/// Position of a member in a bucket's order; lower costs come first. Equal costs are ordered by
+/// member index, so the order is total.
 struct RendezvousCost
 {
   std::uint64_t mCost = 0;
@@ -24,18 +25,18 @@
   }
 };
 
-/// Computes the order of members for each bucket.
 class RendezvousOrder
 {
 public:
   explicit RendezvousOrder(std::span<const WeightedMember> aMembers);
 
-  /// -log2(hash / 2^64) / weight in fixed point. With such costs the first member of a bucket is
-  /// drawn in proportion to the weights.
+  /// The cost -log2(hash / 2^64) / weight in fixed point, where the hash is that of bucket and
+  /// member name. With these costs a member comes first for a share of the buckets that is
+  /// proportional to its weight. The member's weight must be positive.
   RendezvousCost Cost(std::uint32_t aBucket, MemberIndex aMember) const;
 
-  /// The first member of the bucket's order after aPrevious for which aAllowed holds, or a cost
-  /// with kNoMember.
+  /// The first member after aPrevious in the bucket's order for which aAllowed returns true. The
+  /// result's member is kNoMember when there is none. Members of weight 0 are not in the order.
   template <typename F>
   RendezvousCost NextAfter(std::uint32_t aBucket, RendezvousCost aPrevious, F&& aAllowed) const
   {
@@ -53,8 +54,8 @@
     return best;
   }
 
-  /// A cost before every member's.
-  static RendezvousCost Start() { return {0, 0}; }
+  /// A cost before that of every member.
+  static RendezvousCost BeforeFirst() { return {0, 0}; }
 
 private:
   std::vector<std::uint64_t> mHashes;
--- a/lib/Route/RoutingCore.cpp
+++ b/lib/Route/RoutingCore.cpp
@@ -1,4 +1,4 @@
-// Application of control state, leases and probes.
+// Applies views and configurations, and extends leases by announcements and state probes.
 #include "dandelionslip/Route/RoutingCore.h"
 
 #include <algorithm>
@@ -17,20 +17,20 @@
   return mSnapshot;
 }
 
-void RoutingCore::Publish()
+void RoutingCore::PublishSnapshot()
 {
-  AddGates();
-  auto snapshot = std::make_shared<const RoutingSnapshot>(mView, mConfiguration, mGates);
+  AddDataCentreLeases();
+  auto snapshot = std::make_shared<const RoutingSnapshot>(mView, mConfiguration, mDataCentreLeases);
   const std::lock_guard lock(mSnapshotMutex);
   mSnapshot = std::move(snapshot);
 }
 
-void RoutingCore::AddGates()
+void RoutingCore::AddDataCentreLeases()
 {
   for (const auto& [name, member] : mView.mMembers) {
-    if (auto& gate = mGates[member.mDataCentre]; !gate) {
-      gate = std::make_shared<DataCentreGate>();
-      gate->ExtendTo(mLeaseEnd);
+    if (auto& lease = mDataCentreLeases[member.mDataCentre]; !lease) {
+      lease = std::make_shared<DataCentreLease>();
+      lease->ExtendTo(mLeaseEnd);
     }
   }
 }
@@ -42,7 +42,7 @@
   }
   if (aConfiguration != mConfiguration) {
     mConfiguration = aConfiguration;
-    Publish();
+    PublishSnapshot();
   }
   return true;
 }
@@ -54,7 +54,7 @@
   }
   if (aView != mView) {
     mView = aView;
-    Publish();
+    PublishSnapshot();
   }
   return true;
 }
@@ -71,47 +71,49 @@
   if (aAnswer.mView) {
     ApplyView(*aAnswer.mView);
   }
-  for (const auto& [name, gate] : mGates) {
-    gate->ExtendTo(mLeaseEnd);
+  for (const auto& [name, lease] : mDataCentreLeases) {
+    lease->ExtendTo(mLeaseEnd);
   }
 }
 
 std::vector<RoutingAction> RoutingCore::OnProbeAnswer(const DatagramHeader& aHeader,
                                                       const Endpoint& aSender)
 {
-  const auto probe = mProbed.find(aSender);
-  if (aHeader.mKind != DatagramKind::ProbeAnswer || probe == mProbed.end()) {
+  const auto probe = mSentProbes.find(aSender);
+  if (aHeader.mKind != DatagramKind::ProbeAnswer || probe == mSentProbes.end()) {
     return {};
   }
   const Member* member = mView.FindMember(probe->second.mMember);
   if (member == nullptr) {
     return {};
   }
-  // A peer with newer state may know that its data centre is out, so its answer does not count
-  // until the state has been fetched.
+  // An agent with newer state may know that its data centre is out of service, so its answer does
+  // not extend the lease until that state has been fetched. A probe answer carries the
+  // configuration revision in mFlowHash.
   if (aHeader.mViewRevision > mView.mRevision || aHeader.mFlowHash > mConfiguration.mRevision) {
     return {FetchStateFromPeer{member->mName, member->mRequestEndpoint}};
   }
-  if (const auto gate = mGates.find(member->mDataCentre); gate != mGates.end()) {
-    gate->second->ExtendTo(probe->second.mSentAt + mSettings.mProbeValidity);
+  if (const auto lease = mDataCentreLeases.find(member->mDataCentre);
+      lease != mDataCentreLeases.end()) {
+    lease->second->ExtendTo(probe->second.mSentAt + mSettings.mProbeValidity);
   }
   return {};
 }
 
 std::vector<RoutingAction> RoutingCore::Tick(TimePoint aNow)
 {
-  std::erase_if(mProbed, [&](const auto& aProbe) {
+  std::erase_if(mSentProbes, [&](const auto& aProbe) {
     return aNow - aProbe.second.mSentAt > mSettings.mProbeValidity;
   });
-  // Two rounds of probes fit before the lease ends, so that data centres with answering agents stay
-  // open without a gap.
+  // Probing starts two intervals before the lease expires, so that the leases of data centres whose
+  // agents answer do not expire in between.
   if (aNow + 2 * mSettings.mProbeInterval < mLeaseEnd || aNow < mNextProbe) {
     return {};
   }
   mNextProbe = aNow + mSettings.mProbeInterval;
   ++mProbeRound;
   std::vector<RoutingAction> actions;
-  for (const auto& [name, gate] : mGates) {
+  for (const auto& [name, lease] : mDataCentreLeases) {
     if (!mConfiguration.IsOut(name)) {
       ProbeDataCentre(name, aNow, actions);
     }
@@ -132,13 +134,14 @@
   if (agents.empty()) {
     return;
   }
-  // Another agent in each round, so that one failed agent does not close its data centre.
+  // Probes another agent in each round, so that one failed agent does not let the lease of its data
+  // centre expire.
   const Member& chosen = *agents[mProbeRound % agents.size()];
   const auto endpoint = Endpoint::Parse(chosen.mDatagramEndpoint);
   if (!endpoint) {
     return;
   }
-  mProbed[endpoint.value()] = {chosen.mName, aNow};
+  mSentProbes[endpoint.value()] = {chosen.mName, aNow};
   DatagramHeader header;
   header.mKind = DatagramKind::Probe;
   header.mViewRevision = mView.mRevision;
--- a/lib/Route/RoutingSnapshot.cpp
+++ b/lib/Route/RoutingSnapshot.cpp
@@ -1,4 +1,4 @@
-// Resolution of buckets to endpoints and the per-packet decision.
+// Resolves buckets to endpoints and decides where datagrams and requests go.
 #include "dandelionslip/Route/RoutingSnapshot.h"
 
 #include "dandelionslip/Route/FlowHash.h"
@@ -16,7 +16,7 @@
   return {aReason, kBalancerRetryAfterMs};
 }
 
-// A node has few addresses and operators choose them, so a cheap hash is enough.
+// A cheap hash is enough: there are few service addresses, and only operators choose them.
 std::size_t AddressHash(const Endpoint& aAddress)
 {
   std::array<std::uint64_t, 2> halves{};
@@ -28,10 +28,10 @@
 } // namespace
 
 RoutingSnapshot::RoutingSnapshot(const View& aView, const Configuration& aConfiguration,
-                                 const DataCentreGates& aGates)
+                                 const DataCentreLeases& aDataCentreLeases)
   : mViewRevision(aView.mRevision)
   , mConfigurationRevision(aConfiguration.mRevision)
-  , mGates(aGates)
+  , mDataCentreLeases(aDataCentreLeases)
 {
   std::vector<AddressSlot> addresses;
   for (const auto& [name, entry] : aConfiguration.mServices) {
@@ -55,25 +55,26 @@
     return {};
   }
   const TableMember& member = aTable.Members()[aMember];
-  const auto gate = mGates.find(member.mDataCentre);
-  return gate == mGates.end() ? Target{} : Target{member.mDatagramEndpoint, gate->second.get()};
+  const auto lease = mDataCentreLeases.find(member.mDataCentre);
+  return lease == mDataCentreLeases.end() ? Target{}
+                                          : Target{member.mDatagramEndpoint, lease->second.get()};
 }
 
 void RoutingSnapshot::ResolveTargets(Service& aService) const
 {
   const ServiceTable& table = aService.mTable;
-  aService.mWithoutOwner =
+  aService.mReasonWithoutOwner =
     table.AllDataCentresOut() ? RefusalReason::DataCentreOut : RefusalReason::NoUpstream;
   for (std::uint32_t bucket = 0; bucket < table.Buckets(); ++bucket) {
     const MemberIndex owner = table.Assignment().Owner(bucket);
     const MemberIndex acting = table.ActingFor(owner);
-    // The owner is away and nobody acts for it: the alternate admits new flows on its behalf.
-    const bool away = owner != kNoMember && acting == owner &&
-                      table.Members()[owner].mState == MemberState::Restarting;
+    // While the owner restarts without a backup, the alternate admits its new flows.
+    const bool ownerRestarting = owner != kNoMember && acting == owner &&
+                                 table.Members()[owner].mState == MemberState::Restarting;
     const MemberIndex alternate = table.Assignment().Alternate(bucket);
-    aService.mEstablished.push_back(TargetFor(table, acting));
-    aService.mOpening.push_back(
-      TargetFor(table, away && alternate != kNoMember ? alternate : acting));
+    aService.mEstablishedTargets.push_back(TargetFor(table, acting));
+    aService.mOpeningTargets.push_back(
+      TargetFor(table, ownerRestarting && alternate != kNoMember ? alternate : acting));
   }
 }
 
@@ -127,15 +128,15 @@
     return RefusalFor(RefusalReason::NoService);
   }
   const std::uint64_t hash = FlowHashOf(aCaller, aService);
-  const auto& targets = aOpening ? service->mOpening : service->mEstablished;
+  const auto& targets = aOpening ? service->mOpeningTargets : service->mEstablishedTargets;
   const Target& target = targets[BucketOf(hash, static_cast<std::uint32_t>(targets.size()))];
-  if (target.mGate == nullptr) {
-    return RefusalFor(service->mWithoutOwner);
+  if (target.mLease == nullptr) {
+    return RefusalFor(service->mReasonWithoutOwner);
   }
-  if (!target.mGate->IsOpen(aNow)) {
+  if (!target.mLease->IsValid(aNow)) {
     return RefusalFor(RefusalReason::NoControl);
   }
-  // Filled in place: copying the header costs as much as the look-ups.
+  // Constructed in place, because copying the header costs as much as the look-ups.
   RouteDecision decision(std::in_place_type<ForwardDatagram>);
   auto& forward = *std::get_if<ForwardDatagram>(&decision);
   forward.mTo = target.mTo;
@@ -158,8 +159,8 @@
     return std::nullopt;
   }
   const TableMember& member = aService.mTable.Members()[aMember];
-  const auto gate = mGates.find(member.mDataCentre);
-  if (gate == mGates.end() || !gate->second->IsOpen(aNow)) {
+  const auto lease = mDataCentreLeases.find(member.mDataCentre);
+  if (lease == mDataCentreLeases.end() || !lease->second->IsValid(aNow)) {
     return std::nullopt;
   }
   return RequestTarget{member.mName, member.mRequestEndpoint};
@@ -175,15 +176,15 @@
   }
   const ServiceTable& table = service->mTable;
   const std::uint32_t bucket = BucketOf(aRequestIdHash, table.Buckets());
-  const MemberIndex owner = table.ActingFor(table.Assignment().Owner(bucket));
-  if (owner == kNoMember) {
-    return RefusalFor(service->mWithoutOwner);
+  const MemberIndex acting = table.ActingFor(table.Assignment().Owner(bucket));
+  if (acting == kNoMember) {
+    return RefusalFor(service->mReasonWithoutOwner);
   }
-  auto home = RequestTargetFor(*service, owner, aNow);
-  if (!home) {
+  auto target = RequestTargetFor(*service, acting, aNow);
+  if (!target) {
     return RefusalFor(RefusalReason::NoControl);
   }
-  return RequestRoute{table.Id(), table.Generation(), std::move(*home),
+  return RequestRoute{table.Id(), table.Generation(), std::move(*target),
                       RequestTargetFor(*service, table.Assignment().Alternate(bucket), aNow)};
 }
 
@@ -199,15 +200,17 @@
   for (std::size_t i = 0; i < targets.size(); ++i) {
     const std::uint32_t bucket = BucketOf(aRandom[i], table.Buckets());
     MemberIndex member = table.Assignment().Owner(bucket);
-    // A member that takes no new work keeps its buckets for a while; its share goes to alternates.
+    // A member that takes no new work still owns its buckets until the next generation; the
+    // alternates take its new requests.
     if (member != kNoMember && !TakesNewWork(table.Members()[member].mState)) {
       member = table.Assignment().Alternate(bucket);
     }
     targets[i] = RequestTargetFor(*service, member, aNow);
   }
   if (!targets[0] && !targets[1]) {
+    // Either all buckets have an owner or none has.
     const bool owned = table.Buckets() > 0 && table.Assignment().Owner(0) != kNoMember;
-    return RefusalFor(owned ? RefusalReason::NoControl : service->mWithoutOwner);
+    return RefusalFor(owned ? RefusalReason::NoControl : service->mReasonWithoutOwner);
   }
   return RequestCandidates{
     table.Id(), {targets[0] ? *targets[0] : *targets[1], targets[1] ? *targets[1] : *targets[0]}};
--- a/lib/Route/ServiceTable.cpp
+++ b/lib/Route/ServiceTable.cpp
@@ -1,4 +1,4 @@
-// Construction of a service's table from view and configuration.
+// Builds a service's table from a view and a configuration.
 #include "dandelionslip/Route/ServiceTable.h"
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Longest chain of custodians that is followed; guards against members that name each other.
-constexpr std::size_t kMaxCustodians = 8;
+// Longest chain of backups that is followed; bounds the loop when members name each other.
+constexpr std::size_t kMaxBackupChain = 8;
 
-std::uint32_t WeightIn(const Generation& aGeneration, const std::string& aMember)
+std::uint32_t WeightOf(const Generation& aGeneration, const std::string& aMember)
 {
   for (const WeightedMember& member : aGeneration.mMembers) {
     if (member.mMember == aMember) {
@@ -27,7 +27,7 @@
   std::vector<WeightedMember> weights;
   weights.reserve(aMembers.size());
   for (const TableMember& member : aMembers) {
-    weights.push_back({member.mName, member.mOut ? 0 : WeightIn(aGeneration, member.mName)});
+    weights.push_back({member.mName, member.mOut ? 0 : WeightOf(aGeneration, member.mName)});
   }
   return weights;
 }
@@ -67,22 +67,22 @@
   }
   mId = entry->mId;
   AddMembers(aServiceName, aView, aConfiguration);
-  ResolveActing();
+  ResolveActingMembers();
   dandelionslip::Generation newest;
   if (const ServiceView* service = FindServiceView(aView, aConfiguration, aServiceName)) {
     newest = service->mGenerations.front();
   }
   mGeneration = newest.mNumber;
   std::vector<bool> eligible;
-  bool anyIn = false;
-  bool anyOut = false;
+  bool anyInService = false;
+  bool anyOutOfService = false;
   for (const TableMember& member : mMembers) {
     eligible.push_back(TakesNewWork(member.mState));
-    const bool weighted = WeightIn(newest, member.mName) > 0;
-    anyIn = anyIn || (weighted && !member.mDataCentreOut);
-    anyOut = anyOut || (weighted && member.mDataCentreOut);
+    const bool weighted = WeightOf(newest, member.mName) > 0;
+    anyInService = anyInService || (weighted && !member.mDataCentreOut);
+    anyOutOfService = anyOutOfService || (weighted && member.mDataCentreOut);
   }
-  mAllDataCentresOut = anyOut && !anyIn;
+  mAllDataCentresOut = anyOutOfService && !anyInService;
   mTable = AssignmentTable(EffectiveWeights(newest, mMembers),
                            std::bit_floor(std::max(1U, entry->mSpec.mBuckets)), eligible);
 }
@@ -108,19 +108,19 @@
   }
 }
 
-void ServiceTable::ResolveActing()
+void ServiceTable::ResolveActingMembers()
 {
   for (std::size_t i = 0; i < mMembers.size(); ++i) {
     auto acting = static_cast<MemberIndex>(i);
-    for (std::size_t step = 0; step < kMaxCustodians; ++step) {
-      const MemberIndex custodian =
+    for (std::size_t step = 0; step < kMaxBackupChain; ++step) {
+      const MemberIndex backup =
         mMembers[acting].mCustodian.empty() ? kNoMember : Find(mMembers[acting].mCustodian);
-      if (custodian == kNoMember || mMembers[custodian].mOut) {
+      if (backup == kNoMember || mMembers[backup].mOut) {
         break;
       }
-      acting = custodian;
+      acting = backup;
     }
-    mActing.push_back(acting);
+    mActingMembers.push_back(acting);
   }
 }
 
@@ -137,7 +137,7 @@
 
 MemberIndex ServiceTable::ActingFor(MemberIndex aMember) const
 {
-  return aMember == kNoMember ? kNoMember : mActing[aMember];
+  return aMember == kNoMember ? kNoMember : mActingMembers[aMember];
 }
 
 } // namespace dandelionslip
--- a/unittests/Route/AssignmentTableTest.cpp
+++ b/unittests/Route/AssignmentTableTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the assignment table.
+// Tests of AssignmentTable.
 #include "dandelionslip/Route/AssignmentTable.h"
 
 #include "dandelionslip/Support/Random.h"
@@ -18,7 +18,7 @@
 {
   CPPUNIT_TEST_SUITE(AssignmentTableTest);
   CPPUNIT_TEST(OwnersMatchQuotas);
-  CPPUNIT_TEST(SameTableOnEveryNode);
+  CPPUNIT_TEST(OwnersDoNotDependOnMemberOrder);
   CPPUNIT_TEST(FewBucketsMove);
   CPPUNIT_TEST(AlternateIsAnotherEligibleMember);
   CPPUNIT_TEST_SUITE_END();
@@ -33,7 +33,7 @@
     return members;
   }
 
-  // By name, because indices differ between member lists.
+  // Owners by name, because the same member has different indices in different member lists.
   static std::vector<std::string> Owners(const std::vector<WeightedMember>& aMembers)
   {
     std::vector<std::string> names;
@@ -54,7 +54,7 @@
     return moved;
   }
 
-  // Guards against upstreams that get more or less than their share.
+  // Guards against members that own more or fewer buckets than their quota.
   void OwnersMatchQuotas()
   {
     Random random(1);
@@ -71,8 +71,9 @@
     CPPUNIT_ASSERT_EQUAL(kNoMember, AssignmentTable(std::vector<WeightedMember>{}, 16).Owner(0));
   }
 
-  // Guards against owners that depend on the order in which a node lists the members.
-  void SameTableOnEveryNode()
+  // Guards against nodes that compute different owners because they list the members in different
+  // orders.
+  void OwnersDoNotDependOnMemberOrder()
   {
     Random random(2);
     auto members = Members(7, random);
@@ -81,7 +82,8 @@
     CPPUNIT_ASSERT(owners == Owners(members));
   }
 
-  // Guards against changes that hand off many more buckets than the change of shares requires.
+  // Guards against changes of members or weights that move many more buckets than the change of
+  // quotas requires.
   void FewBucketsMove()
   {
     Random random(3);
--- a/unittests/Route/RoutingCoreTest.cpp
+++ b/unittests/Route/RoutingCoreTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the balancer's decision core.
+// Tests of RoutingCore and its snapshots.
 #include "dandelionslip/Route/RoutingCore.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,12 +12,12 @@
 class RoutingCoreTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RoutingCoreTest);
-  CPPUNIT_TEST(StopsWithinTwoSecondsOfTheLastProbeAnswer);
-  CPPUNIT_TEST(LeaseCountsFromSending);
-  CPPUNIT_TEST(LearnsOfNewerStateFromProbeAnswer);
-  CPPUNIT_TEST(NeverAppliesLowerRevisions);
-  CPPUNIT_TEST(DataCentreOutGetsNothing);
-  CPPUNIT_TEST(RequestsHaveOneHome);
+  CPPUNIT_TEST(StopsTwoSecondsAfterLastAnsweredProbe);
+  CPPUNIT_TEST(LeaseRunsFromSendingOfAnnouncement);
+  CPPUNIT_TEST(FetchesNewerStateOfProbedAgent);
+  CPPUNIT_TEST(LowerRevisionsAreIgnored);
+  CPPUNIT_TEST(DataCentreOutOfServiceGetsNoPackets);
+  CPPUNIT_TEST(ResendsGoToSameOwner);
   CPPUNIT_TEST_SUITE_END();
 
   RoutingCore mCore{RoutingSettings{Endpoint::Parse("127.0.0.9:9").value()}};
@@ -50,11 +50,11 @@
       generation.mMembers.push_back({name, kFullWeight});
     }
     mView.mServices["planner"] = {3, {generation}};
-    Renew(mStart);
+    RenewLease(mStart);
   }
 
 private:
-  void Renew(TimePoint aSentAt)
+  void RenewLease(TimePoint aSentAt)
   {
     AnnouncementAnswer answer;
     answer.mConfirmed = true;
@@ -64,8 +64,8 @@
     mCore.OnAnnouncementAnswer(answer, aSentAt);
   }
 
-  // Data centres that 200 flows are forwarded to.
-  std::set<std::string> Reached(TimePoint aNow)
+  // The data centres to which 200 flows are forwarded.
+  std::set<std::string> ReachedDataCentres(TimePoint aNow)
   {
     std::set<std::string> reached;
     for (int i = 0; i < 200; ++i) {
@@ -78,7 +78,7 @@
     return reached;
   }
 
-  // Answers the probes to dc-0 only.
+  // Answers only the probes to agents of dc-0. Returns the actions that follow.
   std::vector<RoutingAction> AnswerProbes(TimePoint aNow, std::uint64_t aViewRevision,
                                           std::uint64_t aConfigurationRevision)
   {
@@ -98,45 +98,46 @@
     return further;
   }
 
-  // Guards against a balancer without a lease that goes on sending to a data centre that may be
-  // out, and against one that stops towards data centres whose agents answer.
-  void StopsWithinTwoSecondsOfTheLastProbeAnswer()
+  // Guards against a balancer without a valid lease that keeps sending to a data centre that may be
+  // out of service, and against one that stops sending to a data centre whose agents answer probes.
+  void StopsTwoSecondsAfterLastAnsweredProbe()
   {
     const std::set<std::string> both{"dc-0", "dc-1"};
     for (int ms = 0; ms <= 2'000; ms += 100) {
       AnswerProbes(mStart + Milliseconds(ms), 7, 5);
-      CPPUNIT_ASSERT(Reached(mStart + Milliseconds(ms)) == both);
+      CPPUNIT_ASSERT(ReachedDataCentres(mStart + Milliseconds(ms)) == both);
     }
     for (int ms = 2'100; ms <= 5'000; ms += 100) {
       AnswerProbes(mStart + Milliseconds(ms), 7, 5);
-      CPPUNIT_ASSERT(Reached(mStart + Milliseconds(ms)) == std::set<std::string>{"dc-0"});
+      CPPUNIT_ASSERT(ReachedDataCentres(mStart + Milliseconds(ms)) ==
+                     std::set<std::string>{"dc-0"});
     }
-    CPPUNIT_ASSERT(Reached(mStart + Milliseconds(7'001)).empty());
-    Renew(mStart + Milliseconds(7'000));
-    CPPUNIT_ASSERT(Reached(mStart + Milliseconds(7'500)) == both);
+    CPPUNIT_ASSERT(ReachedDataCentres(mStart + Milliseconds(7'001)).empty());
+    RenewLease(mStart + Milliseconds(7'000));
+    CPPUNIT_ASSERT(ReachedDataCentres(mStart + Milliseconds(7'500)) == both);
   }
 
-  // Guards against leases that a delayed answer extends.
-  void LeaseCountsFromSending()
+  // Guards against a delayed announcement answer that makes the lease longer than granted.
+  void LeaseRunsFromSendingOfAnnouncement()
   {
     CPPUNIT_ASSERT(mCore.IsConfirmed(mStart + Milliseconds(2'000)));
     CPPUNIT_ASSERT(!mCore.IsConfirmed(mStart + Milliseconds(2'001)));
-    Renew(mStart - Milliseconds(500));
+    RenewLease(mStart - Milliseconds(500));
     CPPUNIT_ASSERT(!mCore.IsConfirmed(mStart + Milliseconds(2'001)));
   }
 
-  // Guards against a partitioned balancer that ignores a peer with newer state (a data centre
-  // taken out raises the configuration revision only).
-  void LearnsOfNewerStateFromProbeAnswer()
+  // Guards against a partitioned balancer that ignores an agent with newer state. Taking a data
+  // centre out of service raises only the configuration revision.
+  void FetchesNewerStateOfProbedAgent()
   {
     const auto actions = AnswerProbes(mStart + Milliseconds(3'000), 7, 6);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
     CPPUNIT_ASSERT(std::holds_alternative<FetchStateFromPeer>(actions.front()));
-    CPPUNIT_ASSERT(Reached(mStart + Milliseconds(3'000)).empty());
+    CPPUNIT_ASSERT(ReachedDataCentres(mStart + Milliseconds(3'000)).empty());
   }
 
-  // Guards against an older control replica that turns a node back.
-  void NeverAppliesLowerRevisions()
+  // Guards against a control replica with older state that makes a node return to that state.
+  void LowerRevisionsAreIgnored()
   {
     --mView.mRevision;
     CPPUNIT_ASSERT(!mCore.ApplyView(mView));
@@ -146,23 +147,23 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, mCore.Snapshot()->ConfigurationRevision());
   }
 
-  // Guards against packets to a data centre after its removal was applied (I4).
-  void DataCentreOutGetsNothing()
+  // Guards against packets to a data centre after the balancer knows that it is out of service.
+  void DataCentreOutOfServiceGetsNoPackets()
   {
     ++mConfiguration.mRevision;
     mConfiguration.mDataCentres["dc-0"] = {true, 1};
     CPPUNIT_ASSERT(mCore.ApplyConfiguration(mConfiguration));
-    CPPUNIT_ASSERT(Reached(mStart) == std::set<std::string>{"dc-1"});
+    CPPUNIT_ASSERT(ReachedDataCentres(mStart) == std::set<std::string>{"dc-1"});
     ++mConfiguration.mRevision;
     mConfiguration.mDataCentres["dc-1"] = {true, 1};
     CPPUNIT_ASSERT(mCore.ApplyConfiguration(mConfiguration));
-    CPPUNIT_ASSERT(Reached(mStart).empty());
+    CPPUNIT_ASSERT(ReachedDataCentres(mStart).empty());
     const auto decision = mCore.Snapshot()->Route(mService, mService, true, mService, mStart);
     CPPUNIT_ASSERT(std::get<Refusal>(decision).mReason == RefusalReason::DataCentreOut);
   }
 
-  // Guards against a resent request that goes to another home agent.
-  void RequestsHaveOneHome()
+  // Guards against a resend of a request that goes to another agent than the first attempt.
+  void ResendsGoToSameOwner()
   {
     const auto snapshot = mCore.Snapshot();
     const auto first = std::get<RequestRoute>(snapshot->RouteRequest("planner", 77, mStart));
