--- a/include/dandelionslip/Model/Announcement.h
+++ b/include/dandelionslip/Model/Announcement.h
@@ -1,4 +1,4 @@
-// The periodic exchange between a node and a control replica.
+// Announcement of a node to a control replica, and the replica's answer.
 #pragma once
 
 #include "dandelionslip/Model/ConfigurationDifference.h"
@@ -9,12 +9,13 @@
 
 namespace dandelionslip {
 
-/// Heartbeat of a balancer or agent.
+/// Sent periodically by a balancer or agent to renew its lease and to learn of newer state.
 struct Announcement
 {
   Member mMember;
-  std::uint32_t mWeight = 0;          ///< Capacity estimate; kFullWeight is the declared capacity.
-  std::uint32_t mAckedGeneration = 0; ///< Newest generation whose hand-offs are complete.
+  /// Capacity estimate of the upstream; kFullWeight is its declared capacity.
+  std::uint32_t mWeight = 0;
+  std::uint32_t mAckedGeneration = 0; ///< Newest generation whose bucket transfers are complete.
   std::uint64_t mConfigurationRevision = 0;
   std::uint64_t mViewRevision = 0;
 
@@ -31,21 +32,22 @@
   aVisitor.Field("view_revision", aValue.mViewRevision);
 }
 
-/// A control replica's answer. An unconfirmed answer carries neither a lease nor state.
+/// A control replica's answer. When mConfirmed is false it carries neither a lease nor state.
 struct AnnouncementAnswer
 {
-  bool mConfirmed = false; ///< The replica has confirmed a quorum recently.
+  bool mConfirmed = false; ///< The replica has had contact with a quorum recently.
   bool mFenced = false; ///< A higher incarnation of the same member exists; the process must stop.
-  /// Validity from the moment the announcement was sent. Zero grants nothing; it does not shorten
-  /// a lease that an earlier answer granted.
+  /// Duration of the lease from the time at which the announcement was sent. Zero grants no lease
+  /// and does not shorten one that an earlier answer granted.
   Milliseconds mLease{0};
   std::uint64_t mConfigurationRevision = 0;
   std::uint64_t mViewRevision = 0;
   std::optional<Configuration> mConfiguration; ///< Present when the node is far behind.
-  std::optional<ConfigurationDifference> mConfigurationDifference; ///< From the announced revision.
+  /// Changes since the announced revision.
+  std::optional<ConfigurationDifference> mConfigurationDifference;
   std::optional<View> mView;                     ///< Present when the node is far behind.
-  std::optional<ViewDifference> mViewDifference; ///< From the announced revision.
-  /// All control replicas, "address:port"; empty when the replica knows of no membership.
+  std::optional<ViewDifference> mViewDifference; ///< Changes since the announced revision.
+  /// All control replicas, "address:port"; empty when this replica does not know them.
   std::vector<std::string> mControlEndpoints;
 
   bool operator==(const AnnouncementAnswer&) const = default;
--- a/include/dandelionslip/Model/Command.h
+++ b/include/dandelionslip/Model/Command.h
@@ -1,4 +1,4 @@
-// Operators' commands and the answers that the replicated state keeps for them.
+// Commands of operators, and the answers that control replicas store for them.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
@@ -9,11 +9,12 @@
 
 namespace dandelionslip {
 
-/// One service in a publication: declared anew, replaced, or deleted when mSpec is empty.
+/// Creates, replaces or, when mSpec is empty, deletes one service.
 struct ServiceChange
 {
   std::string mName;
-  std::uint64_t mExpectedVersion = 0; ///< Version in force; 0 when the service does not exist.
+  std::uint64_t mExpectedVersion =
+    0; ///< Expected current version; 0 when the service must not exist.
   std::optional<ServiceSpec> mSpec;
 
   bool operator==(const ServiceChange&) const = default;
@@ -27,7 +28,7 @@
   aVisitor.Field("spec", aValue.mSpec);
 }
 
-/// Takes a data centre out of service or back in.
+/// Takes a data centre out of service or puts it back into service.
 struct DataCentreChange
 {
   std::string mName;
@@ -61,8 +62,9 @@
   aVisitor.Field("drained", aValue.mDrained);
 }
 
-/// Replaces the route table. A version that is not higher than the one in force changes nothing and
-/// is reported as applied, so that a late copy of an older publication does no harm.
+/// Replaces the route table. A version that is not higher than the current one changes nothing and
+/// is reported as applied, so that a delayed copy of an older publication does not replace a newer
+/// one.
 struct RouteTableChange
 {
   RouteTable mTable;
@@ -78,11 +80,11 @@
   aVisitor.Field("document", aValue.mDocument);
 }
 
-/// An operator's command; applied whole or not at all.
+/// An operator's command; applied atomically.
 struct Command
 {
-  std::string mPublicationId; ///< UUID; a resend with the same id gets the first answer.
-  std::string mOperator;      ///< Shown to the loser of a conflict.
+  std::string mPublicationId; ///< UUID; a resend with the same id gets the stored answer.
+  std::string mOperator;      ///< Reported to operators whose command conflicts with this.
   std::int64_t mIssuedMs = 0; ///< Wall-clock time of issue, milliseconds since 1970.
   std::vector<ServiceChange> mServices;
   std::optional<DataCentreChange> mDataCentre;
@@ -107,11 +109,11 @@
 enum class CommandOutcome
 {
   Applied,
-  Refused,        ///< The command breaks a rule; it was not applied.
-  Conflict,       ///< Another command won; mDetail names it.
-  NotApplied,     ///< Certainly not applied, for example without a quorum before the append.
-  OutcomeUnknown, ///< May still be applied; resend with the same publication id.
-  Expired,        ///< The publication id is older than the retention of answers.
+  Refused,    ///< The command breaks a rule; it was not applied.
+  Conflict,   ///< An expected version is not current; mDetail names the command that changed it.
+  NotApplied, ///< Definitely not applied, for example because there was no quorum to append it.
+  OutcomeUnknown, ///< May have been or may still be applied; resend with the same publication id.
+  Expired,        ///< The publication id is older than the time for which answers are stored.
 };
 
 std::span<const EnumName<CommandOutcome>> EnumNames(CommandOutcome);
@@ -120,7 +122,7 @@
 struct CommandAnswer
 {
   CommandOutcome mOutcome = CommandOutcome::NotApplied;
-  std::uint64_t mRevision = 0; ///< Log index of the command when applied.
+  std::uint64_t mRevision = 0; ///< Log index of the command if it was applied.
   std::string mDetail;
 
   bool operator==(const CommandAnswer&) const = default;
--- a/include/dandelionslip/Model/Configuration.h
+++ b/include/dandelionslip/Model/Configuration.h
@@ -1,4 +1,4 @@
-// The accepted configuration: the replicated state that every node applies.
+// The configuration: state that the control replicas replicate and every node applies.
 #pragma once
 
 #include "dandelionslip/Model/RouteTable.h"
@@ -9,13 +9,13 @@
 
 namespace dandelionslip {
 
-/// Identifies a service for its whole life; never reused. Zero means none.
+/// Identifies a service from its creation to its deletion; never reused. Zero means no service.
 using ServiceId = std::uint64_t;
 
-/// A service in force.
+/// A service and its current declaration.
 struct ServiceEntry
 {
-  ServiceId mId = 0; ///< Log index of the entry that first declared the service.
+  ServiceId mId = 0; ///< Log index of the entry that created the service.
   ServiceSpec mSpec;
 
   bool operator==(const ServiceEntry&) const = default;
@@ -28,7 +28,7 @@
   aVisitor.Field("spec", aValue.mSpec);
 }
 
-/// Whether operators have taken a data centre out of service.
+/// Whether a data centre is out of service.
 struct DataCentreState
 {
   bool mOut = false;
@@ -44,13 +44,13 @@
   aVisitor.Field("version", aValue.mVersion);
 }
 
-/// Everything that operators control.
+/// All state that operators change by commands.
 struct Configuration
 {
   std::uint64_t mRevision = 0; ///< Log index of the last applied entry.
   std::map<std::string, ServiceEntry> mServices;
   std::map<std::string, DataCentreState> mDataCentres;
-  std::map<std::string, bool> mDrained; ///< Upstream names that operators drain.
+  std::map<std::string, bool> mDrained; ///< By upstream name: whether operators drain it.
   RouteTable mRoutes;
 
   /// The service with this name, or null.
--- a/include/dandelionslip/Model/ConfigurationDifference.h
+++ b/include/dandelionslip/Model/ConfigurationDifference.h
@@ -10,7 +10,7 @@
 
 namespace dandelionslip {
 
-/// What changed between two configurations; applies only to the one with revision mFrom.
+/// Changes between two configurations; applies only to the configuration with revision mFrom.
 struct ConfigurationDifference
 {
   std::uint64_t mFrom = 0;
@@ -21,7 +21,7 @@
   std::vector<std::string> mRemovedDataCentres;
   std::map<std::string, bool> mDrained;
   std::vector<std::string> mRemovedDrained;
-  std::optional<RouteTable> mRoutes; ///< Present when the version changed.
+  std::optional<RouteTable> mRoutes; ///< Present when the version of the route table changed.
 
   bool operator==(const ConfigurationDifference&) const = default;
 };
@@ -40,14 +40,14 @@
   aVisitor.Optional("routes", aValue.mRoutes);
 }
 
-/// The difference that leads from aFrom to aTo.
+/// The difference that changes aFrom into aTo.
 ConfigurationDifference DifferenceBetween(const Configuration& aFrom, const Configuration& aTo);
 
-/// Extends aFirst by aSecond, which starts where aFirst ends.
+/// Adds the changes of aSecond to aFirst; aSecond must start at the revision at which aFirst ends.
 void AppendDifference(ConfigurationDifference& aFirst, const ConfigurationDifference& aSecond);
 
-/// Applies the difference whole or not at all. Conflict: aConfiguration has another revision than
-/// mFrom; InvalidInput: the difference does not lead to a higher revision.
+/// Applies the difference. Errors, which leave aConfiguration unchanged: Conflict when its revision
+/// is not mFrom, InvalidInput when mTo is not higher than mFrom.
 Result<void> ApplyDifference(Configuration& aConfiguration,
                              const ConfigurationDifference& aDifference);
 
--- a/include/dandelionslip/Model/Endpoint.h
+++ b/include/dandelionslip/Model/Endpoint.h
@@ -11,22 +11,22 @@
 
 namespace dandelionslip {
 
-/// An IPv4 or IPv6 address with a port; IPv4 is held in its IPv6-mapped form.
+/// An IPv4 or IPv6 address with a port; IPv4 is stored as an IPv4-mapped IPv6 address.
 struct Endpoint
 {
   std::array<std::uint8_t, 16> mAddress{};
   std::uint16_t mPort = 0;
 
-  /// Parses "192.0.2.1:80" or "[2001:db8::1]:80". Host names are refused.
+  /// Parses "192.0.2.1:80" or "[2001:db8::1]:80". Host names are rejected.
   static Result<Endpoint> Parse(std::string_view aText);
 
-  /// An IPv4 address in host byte order with a port.
+  /// The endpoint of an IPv4 address in host byte order.
   static Endpoint FromV4(std::uint32_t aAddress, std::uint16_t aPort);
 
   std::string ToString() const;
   bool IsV4() const;
 
-  /// The IPv4 address in host byte order; only for endpoints with IsV4.
+  /// The IPv4 address in host byte order; requires IsV4().
   std::uint32_t V4Address() const;
 
   /// The address without the port.
--- a/include/dandelionslip/Model/Member.h
+++ b/include/dandelionslip/Model/Member.h
@@ -1,4 +1,4 @@
-// A balancer or agent as known to the control replicas.
+// A balancer or agent as an entry of the view.
 #pragma once
 
 #include "dandelionslip/Support/Fields.h"
@@ -18,28 +18,29 @@
 
 enum class MemberState
 {
-  Cold,       ///< Ramping up after a start or a return to cold.
+  Cold,       ///< Its load limit still grows after a start or a reset to cold.
   Serving,    ///< Takes new work up to its weight.
-  Draining,   ///< Keeps established flows, takes no new work.
-  Restarting, ///< Planned stop; a peer holds its state.
-  Left,       ///< Stopped for good.
-  Lost,       ///< Its lease ended without a planned stop.
+  Draining,   ///< Keeps established flows but takes no new work.
+  Restarting, ///< Stopped as planned; its backup keeps its state.
+  Left,       ///< Stopped permanently.
+  Lost,       ///< Its lease expired without a planned stop.
 };
 
 std::span<const EnumName<MemberState>> EnumNames(MemberState);
 
-/// One node of the system.
+/// A balancer or agent.
 struct Member
 {
   std::string mName; ///< Unique; for an agent the name of its upstream.
   MemberKind mKind = MemberKind::Agent;
   std::string mService; ///< Empty for balancers.
   std::string mDataCentre;
-  std::string mDatagramEndpoint; ///< UDP "address:port" for the forward header.
+  std::string mDatagramEndpoint; ///< UDP "address:port" for datagrams with a DatagramHeader.
   std::string mRequestEndpoint;  ///< TCP "address:port" for HTTP/2.
   std::uint64_t mIncarnation = 0;
   MemberState mState = MemberState::Cold;
-  std::string mCustodian; ///< Peer that holds the state of a restarting agent.
+  std::string mCustodian; ///< Backup: the agent that keeps the state of this agent while it
+                          ///< restarts, and acts for it.
 
   bool operator==(const Member&) const = default;
 };
@@ -58,10 +59,10 @@
   aVisitor.Optional("custodian", aValue.mCustodian);
 }
 
-/// Whether the member may be offered new flows and requests.
+/// Whether the member takes new flows and requests.
 bool TakesNewWork(MemberState aState);
 
-/// Whether the member still holds flows that must be reachable.
+/// Whether the member may still hold flows, so that packets of these flows must reach it.
 bool HoldsFlows(MemberState aState);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Model/NodeState.h
+++ b/include/dandelionslip/Model/NodeState.h
@@ -1,17 +1,18 @@
-// The configuration and view that a node holds, taken from answers to its announcements.
+// The configuration and view that a node has received in answers to its announcements.
 #pragma once
 
 #include "dandelionslip/Model/Announcement.h"
 
 namespace dandelionslip {
 
-/// Holds the newest accepted configuration and view. Not thread-safe.
+/// The newest configuration and view of a node. Not thread-safe.
 class NodeState
 {
 public:
-  /// Takes over what the answer carries: whole states or differences, each only when it leads to a
-  /// higher revision. A lower or equal revision is ignored. InvalidInput: an unconfirmed answer
-  /// carries state; Conflict: a difference starts at another revision. Nothing changes on an error.
+  /// Applies the configuration and view that the answer carries, whole or as differences, each only
+  /// when its revision is higher than the current one. Errors, on which nothing changes:
+  /// InvalidInput when the answer carries state although mConfirmed is false, Conflict when a
+  /// difference starts at another revision than the current one.
   Result<void> Take(const AnnouncementAnswer& aAnswer);
 
   const Configuration& CurrentConfiguration() const { return mConfiguration; }
--- a/include/dandelionslip/Model/RefusalReason.h
+++ b/include/dandelionslip/Model/RefusalReason.h
@@ -1,4 +1,4 @@
-// Reasons for which a flow or request is refused, or a packet dropped; one counter exists for each.
+// Reasons for which a flow or request is refused or a packet dropped. Each reason has a counter.
 #pragma once
 
 #include "dandelionslip/Support/Fields.h"
@@ -12,21 +12,21 @@
   NoService,       ///< No service has the address.
   WrongService,    ///< The packet carries another service's id.
   NoUpstream,      ///< The service has no upstream that takes new work.
-  DataCentreOut,   ///< The flow's data centre was taken out.
-  NoControl,       ///< Control has not confirmed the node or the data centre.
-  ConnectionsFull, ///< The upstream holds its declared number of flows.
-  SlotsFull,       ///< All slots and the queue are taken.
-  Cold,            ///< The upstream is in cold start at its current limit.
-  Paced,           ///< New flows arrive faster than they are accepted.
+  DataCentreOut,   ///< The flow's data centre was taken out of service.
+  NoControl,       ///< The node or the data centre has no valid lease.
+  ConnectionsFull, ///< The upstream holds as many flows as it may.
+  SlotsFull,       ///< All slots are in use and the queue is full.
+  Cold,            ///< The upstream is cold and at its current load limit.
+  Paced,           ///< New flows arrive faster than the upstream accepts them.
   Draining,        ///< The upstream or the process is draining.
-  UnknownFlow,     ///< No agent holds the flow; the caller has to reopen it.
+  UnknownFlow,     ///< No agent holds the flow; the caller must open it again.
   HopLimit,        ///< The packet was forwarded too often.
-  HandoffPending,  ///< The bucket's directory is not complete yet.
+  HandoffPending,  ///< The bucket's directory or records are not complete yet.
   TableFull,       ///< The flow table has no room.
   Deadline,        ///< The request cannot be answered before its deadline.
   RecordsFull,     ///< The record table has no room.
-  BadRequestId,    ///< The id is not a UUID of version 7 or lies in the future.
-  UpstreamShed,    ///< The upstream refused the work.
+  BadRequestId,    ///< The id is not a UUID of version 7, or its time is in the future.
+  UpstreamShed,    ///< The upstream refused the work because of its load.
   RetryBudget,     ///< The retry budget is used up.
   Malformed,       ///< The datagram or request cannot be decoded.
 };
--- a/include/dandelionslip/Model/RevisionHistory.h
+++ b/include/dandelionslip/Model/RevisionHistory.h
@@ -1,4 +1,4 @@
-// The newest state and the recent differences that lead to it.
+// The newest state, and recent differences with which nodes are updated to it.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -12,18 +12,18 @@
 
 namespace dandelionslip {
 
-/// Differences kept by a RevisionHistory. At one view a second this covers a node that was away
-/// for about a minute; one that was away longer receives the whole state.
+/// Differences that a RevisionHistory keeps. At one new view a second they suffice for a node that
+/// was disconnected for about a minute; after a longer time a node receives the whole state.
 inline constexpr std::size_t kKeptDifferences = 64;
 
-/// Keeps the newest State with the chain of Differences before it. Not thread-safe.
+/// Keeps the newest State and the latest Differences that led to it. Not thread-safe.
 template <typename State, typename Difference>
 class RevisionHistory
 {
 public:
   const State& Newest() const { return mNewest; }
 
-  /// Takes a state with a higher revision; others are ignored. Returns whether it was taken.
+  /// Replaces the newest state if aNext has a higher revision, and returns whether it did.
   bool Advance(State aNext)
   {
     if (aNext.mRevision <= mNewest.mRevision) {
@@ -34,7 +34,7 @@
     return true;
   }
 
-  /// Applies a difference that starts at the newest state. Errors are those of ApplyDifference.
+  /// Applies a difference to the newest state. Errors are those of ApplyDifference.
   Result<void> Apply(const Difference& aDifference)
   {
     if (auto applied = ApplyDifference(mNewest, aDifference); !applied) {
@@ -44,8 +44,8 @@
     return Ok();
   }
 
-  /// The difference from the given revision to the newest state, or to the newest one that is not
-  /// beyond aLimit; empty when it is not kept.
+  /// The difference from revision aRevision to the newest state with a revision of at most aLimit;
+  /// empty when the history does not hold it.
   std::optional<Difference> DifferenceFrom(
     std::uint64_t aRevision, std::uint64_t aLimit = std::numeric_limits<std::uint64_t>::max()) const
   {
--- a/include/dandelionslip/Model/RouteTable.h
+++ b/include/dandelionslip/Model/RouteTable.h
@@ -1,4 +1,4 @@
-// Where new flows to the service addresses go, published as one versioned whole.
+// Routes that assign new flows to services, published together under one version.
 #pragma once
 
 #include "dandelionslip/Support/Fields.h"
@@ -27,14 +27,14 @@
   aVisitor.Field("weight", aValue.mWeight);
 }
 
-/// One address that callers open flows to.
+/// The targets of new flows to one address.
 struct Route
 {
   std::string mName;
-  std::string mAddress; ///< Numeric "address:port" that callers send to.
+  std::string mAddress; ///< Numeric "address:port" to which callers send.
   std::vector<RouteTarget> mTargets;
   Milliseconds mTimeout{0}; ///< Longest time a request on the route may take.
-  /// Importance of the route's requests; 0 is the highest.
+  /// Priority of the route's requests; 0 is the highest.
   std::uint32_t mPriority = 0;
 
   bool operator==(const Route&) const = default;
@@ -50,13 +50,14 @@
   aVisitor.Optional("priority", aValue.mPriority);
 }
 
-/// Limits of a service that routes refer to.
+/// Limits of a service that is a target of routes.
 struct RoutedService
 {
   std::string mName;
-  std::uint32_t mMaxFlows = 0; ///< Flows that one upstream holds at once.
+  std::uint32_t mMaxFlows = 0; ///< Most flows that one upstream holds at once.
   Milliseconds mWarmUp{0};     ///< How long an upstream is cold after its start.
-  /// Flows a second that a cold upstream may be opened, before the slack of the settings.
+  /// New flows a second that a cold upstream takes, before the cold excess factor and the cold
+  /// slack of the agent's settings are applied.
   double mColdOpensPerSecond = 0;
 
   bool operator==(const RoutedService&) const = default;
@@ -71,7 +72,7 @@
   aVisitor.Field("cold_opens_per_second", aValue.mColdOpensPerSecond);
 }
 
-/// All routes under one version. Version 0 means that none was published.
+/// All routes. Version 0 means that no route table was published.
 struct RouteTable
 {
   std::uint64_t mVersion = 0;
@@ -94,8 +95,9 @@
   aVisitor.Field("flow_idle_timeout_ms", aValue.mFlowIdleTimeout);
 }
 
-/// Checks the rules between the parts: distinct names and addresses, known services, positive
-/// weights and timeouts. InvalidInput names the route or service.
+/// Checks that service names and route addresses are distinct, that targets are declared services,
+/// and that every route has a positive timeout and a target with a positive weight. Errors
+/// (InvalidInput) name the route, the service or the address.
 Result<void> CheckRouteTable(const RouteTable& aTable);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Model/ServiceSpec.h
+++ b/include/dandelionslip/Model/ServiceSpec.h
@@ -1,4 +1,4 @@
-// The declaration of one service as written by its operators.
+// The declaration of one service, as operators write it in a service file.
 #pragma once
 
 #include "dandelionslip/Support/Fields.h"
@@ -10,7 +10,7 @@
 
 namespace dandelionslip {
 
-/// Scheduling class of a service's requests; earlier classes are served first.
+/// Scheduling class of a service's requests. Earlier classes are served first.
 enum class TrafficClass
 {
   Feed,
@@ -20,7 +20,7 @@
 
 std::span<const EnumName<TrafficClass>> EnumNames(TrafficClass);
 
-/// Largest load offered to an upstream in cold start.
+/// Load limit of a cold upstream at the start of its ramp.
 struct ColdLimit
 {
   std::uint32_t mSlots = 1;
@@ -36,16 +36,16 @@
   aVisitor.Optional("connections", aValue.mConnections, {1, 10000000});
 }
 
-/// One service file.
+/// The content of one service file.
 struct ServiceSpec
 {
   std::string mName;
-  std::uint64_t mVersion = 1;          ///< Must be one more than the version in force.
-  std::vector<std::string> mAddresses; ///< Numeric "address:port" that callers use.
-  std::uint32_t mSlots = 4;            ///< Requests an upstream runs at once.
-  std::uint32_t mConnections = 2000;   ///< Flows an upstream holds at once.
+  std::uint64_t mVersion = 1;          ///< Must be one more than the current version.
+  std::vector<std::string> mAddresses; ///< Numeric "address:port" to which callers send.
+  std::uint32_t mSlots = 4;            ///< Most requests that an upstream runs at once.
+  std::uint32_t mConnections = 2000;   ///< Most flows that an upstream holds at once.
   ColdLimit mColdLimit;
-  std::uint32_t mBuckets = 1024; ///< Power of two; fixed once the service exists.
+  std::uint32_t mBuckets = 1024; ///< Power of two; cannot be changed later.
   bool mIdempotent = false;      ///< Whether requests may run more than once.
   TrafficClass mTrafficClass = TrafficClass::Quote;
   Milliseconds mFlowIdleTimeout{600'000};
@@ -72,7 +72,8 @@
   aVisitor.Optional("opens_per_second", aValue.mOpensPerSecond, {1, 1'000'000});
 }
 
-/// Checks the rules that concern more than one key. Errors name aSource and the key.
+/// Checks rules that the field description cannot express. Errors (InvalidInput) name aSource and
+/// the key.
 Result<void> CheckServiceSpec(const ServiceSpec& aSpec, std::string_view aSource);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Model/View.h
+++ b/include/dandelionslip/Model/View.h
@@ -1,4 +1,4 @@
-// The membership view: who serves each service and with which weight.
+// The membership view: all balancers and agents, and the generations of each service.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
@@ -10,13 +10,13 @@
 
 namespace dandelionslip {
 
-/// Most generations of a service that a view holds.
+/// Largest number of generations of a service in a view.
 inline constexpr std::size_t kMaxGenerations = 3;
 
-/// Weight of a member whose upstream runs at its full declared capacity.
+/// Weight of a member whose upstream has its full declared capacity.
 inline constexpr std::uint32_t kFullWeight = 1000;
 
-/// A member's share of the buckets in one generation.
+/// A member and its weight, which determines its share of the buckets in one generation.
 struct WeightedMember
 {
   std::string mMember;
@@ -32,7 +32,7 @@
   aVisitor.Field("weight", aValue.mWeight);
 }
 
-/// One assignment of a service's buckets.
+/// One numbered assignment of a service's buckets to members.
 struct Generation
 {
   std::uint32_t mNumber = 0;
@@ -48,7 +48,7 @@
   aVisitor.Field("members", aValue.mMembers);
 }
 
-/// Assignment history of one service, newest generation first.
+/// The latest generations of one service, newest first.
 struct ServiceView
 {
   ServiceId mServiceId = 0;
@@ -64,10 +64,10 @@
   aVisitor.Field("generations", aValue.mGenerations);
 }
 
-/// Membership as ordered by the control leader. Revisions never decrease on a node.
+/// Membership as the control leader publishes it. The revision never decreases on a node.
 struct View
 {
-  std::uint64_t mRevision = 0; ///< term << 32 | sequence.
+  std::uint64_t mRevision = 0; ///< Raft term << 32 | sequence number.
   std::map<std::string, Member> mMembers;
   std::map<std::string, ServiceView> mServices; ///< By service name.
 
--- a/include/dandelionslip/Model/ViewDifference.h
+++ b/include/dandelionslip/Model/ViewDifference.h
@@ -10,7 +10,7 @@
 
 namespace dandelionslip {
 
-/// What changed between two views; applies only to the view with revision mFrom.
+/// Changes between two views; applies only to the view with revision mFrom.
 struct ViewDifference
 {
   std::uint64_t mFrom = 0;
@@ -34,14 +34,14 @@
   aVisitor.Optional("removed_services", aValue.mRemovedServices);
 }
 
-/// The difference that leads from aFrom to aTo.
+/// The difference that changes aFrom into aTo.
 ViewDifference DifferenceBetween(const View& aFrom, const View& aTo);
 
-/// Extends aFirst by aSecond, which starts where aFirst ends.
+/// Adds the changes of aSecond to aFirst; aSecond must start at the revision at which aFirst ends.
 void AppendDifference(ViewDifference& aFirst, const ViewDifference& aSecond);
 
-/// Applies the difference whole or not at all. Conflict: aView has another revision than mFrom;
-/// InvalidInput: the difference does not lead to a higher revision.
+/// Applies the difference. Errors, which leave aView unchanged: Conflict when its revision is not
+/// mFrom, InvalidInput when mTo is not higher than mFrom.
 Result<void> ApplyDifference(View& aView, const ViewDifference& aDifference);
 
 } // namespace dandelionslip
--- a/lib/Model/ConfigurationDifference.cpp
+++ b/lib/Model/ConfigurationDifference.cpp
@@ -1,7 +1,7 @@
 // Computes, merges and applies configuration differences.
 #include "dandelionslip/Model/ConfigurationDifference.h"
 
-#include "DifferenceParts.h"
+#include "MapDifference.h"
 
 namespace dandelionslip {
 
--- a/lib/Model/Endpoint.cpp
+++ b/lib/Model/Endpoint.cpp
@@ -1,4 +1,4 @@
-// Text form and hash of endpoints.
+// Conversion of endpoints to and from text, and their hash.
 #include "dandelionslip/Model/Endpoint.h"
 
 #include "dandelionslip/Support/Hash.h"
--- a/lib/Model/DifferenceParts.h
+++ b/lib/Model/MapDifference.h
@@ -1,4 +1,4 @@
-// Differences between maps, shared by the differences of views and configurations.
+// Differences between maps, from which view and configuration differences are built.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -11,7 +11,8 @@
 
 namespace dandelionslip {
 
-/// Entries of aTo that are new or different go to aChanged, names that only aFrom has to aRemoved.
+/// Adds the entries of aTo that are new or differ from those of aFrom to aChanged, and the names
+/// that only aFrom has to aRemoved.
 template <typename T>
 void CollectChanges(const std::map<std::string, T>& aFrom, const std::map<std::string, T>& aTo,
                     std::map<std::string, T>& aChanged, std::vector<std::string>& aRemoved)
@@ -29,7 +30,7 @@
   }
 }
 
-/// Extends one step's changes by those of the next step.
+/// Adds the changes of the next difference to aChanged and aRemoved.
 template <typename T>
 void MergeChanges(std::map<std::string, T>& aChanged, std::vector<std::string>& aRemoved,
                   const std::map<std::string, T>& aNextChanged,
@@ -47,8 +48,8 @@
   }
 }
 
-/// Applies changes to a map. A removed name may be absent: it was added and removed again between
-/// the two ends of a merged difference.
+/// Applies changes to a map. A removed name may be absent from the map, because a merged difference
+/// also lists names that were added and removed again in between.
 template <typename T>
 void ApplyChanges(std::map<std::string, T>& aTarget, const std::map<std::string, T>& aChanged,
                   const std::vector<std::string>& aRemoved)
@@ -61,7 +62,7 @@
   }
 }
 
-/// Checks that a difference starts at aRevision and leads to a higher one.
+/// Checks that a difference starts at aRevision and ends at a higher revision.
 inline Result<void> CheckDifference(std::uint64_t aRevision, std::uint64_t aFrom, std::uint64_t aTo,
                                     const char* aStep)
 {
--- a/lib/Model/Model.cpp
+++ b/lib/Model/Model.cpp
@@ -1,4 +1,4 @@
-// Lookups and enum names of the model types.
+// Look-ups and enum names of the model types.
 #include "dandelionslip/Model/Announcement.h"
 #include "dandelionslip/Model/Command.h"
 
--- a/lib/Model/NodeState.cpp
+++ b/lib/Model/NodeState.cpp
@@ -1,31 +1,32 @@
-// Takes over state from answers without ever going back.
+// Applies state from answers and never goes back to a lower revision.
 #include "dandelionslip/Model/NodeState.h"
 
-#include "DifferenceParts.h"
+#include "MapDifference.h"
 
 namespace dandelionslip {
 
 namespace {
 
 template <typename State, typename Difference>
-Result<void> CheckStart(const State& aHeld, const std::optional<Difference>& aDifference)
+Result<void> CheckDifferenceStart(const State& aCurrent,
+                                  const std::optional<Difference>& aDifference)
 {
-  if (!aDifference || aDifference->mTo <= aHeld.mRevision) {
+  if (!aDifference || aDifference->mTo <= aCurrent.mRevision) {
     return Ok();
   }
-  return CheckDifference(aHeld.mRevision, aDifference->mFrom, aDifference->mTo, "node.take");
+  return CheckDifference(aCurrent.mRevision, aDifference->mFrom, aDifference->mTo, "node.take");
 }
 
 template <typename State, typename Difference>
-Result<void> TakeNewer(State& aHeld, const std::optional<State>& aWhole,
-                       const std::optional<Difference>& aDifference)
+Result<void> ApplyIfNewer(State& aCurrent, const std::optional<State>& aWhole,
+                          const std::optional<Difference>& aDifference)
 {
-  if (aWhole && aWhole->mRevision > aHeld.mRevision) {
-    aHeld = *aWhole;
+  if (aWhole && aWhole->mRevision > aCurrent.mRevision) {
+    aCurrent = *aWhole;
     return Ok();
   }
-  if (aDifference && aDifference->mTo > aHeld.mRevision) {
-    return ApplyDifference(aHeld, *aDifference);
+  if (aDifference && aDifference->mTo > aCurrent.mRevision) {
+    return ApplyDifference(aCurrent, *aDifference);
   }
   return Ok();
 }
@@ -44,18 +45,18 @@
     return Fail(ErrorCode::InvalidInput, "node.take", "",
                 "found state in an unconfirmed answer, expected none");
   }
-  if (auto check = CheckStart(mConfiguration, aAnswer.mConfigurationDifference); !check) {
+  if (auto check = CheckDifferenceStart(mConfiguration, aAnswer.mConfigurationDifference); !check) {
     return check;
   }
-  if (auto check = CheckStart(mView, aAnswer.mViewDifference); !check) {
+  if (auto check = CheckDifferenceStart(mView, aAnswer.mViewDifference); !check) {
     return check;
   }
-  if (auto taken =
-        TakeNewer(mConfiguration, aAnswer.mConfiguration, aAnswer.mConfigurationDifference);
-      !taken) {
-    return taken;
+  if (auto applied =
+        ApplyIfNewer(mConfiguration, aAnswer.mConfiguration, aAnswer.mConfigurationDifference);
+      !applied) {
+    return applied;
   }
-  return TakeNewer(mView, aAnswer.mView, aAnswer.mViewDifference);
+  return ApplyIfNewer(mView, aAnswer.mView, aAnswer.mViewDifference);
 }
 
 } // namespace dandelionslip
--- a/lib/Model/RouteTable.cpp
+++ b/lib/Model/RouteTable.cpp
@@ -1,4 +1,4 @@
-// Rules of a route table.
+// Checks the rules of a route table.
 #include "dandelionslip/Model/RouteTable.h"
 
 #include "dandelionslip/Model/Endpoint.h"
@@ -12,9 +12,9 @@
 
 constexpr std::string_view kStep = "route_table.check";
 
-Result<void> Refuse(const std::string& aWhere, std::string aDetail)
+Result<void> Reject(const std::string& aSubject, std::string aDetail)
 {
-  return Fail(ErrorCode::InvalidInput, std::string(kStep), aWhere, std::move(aDetail));
+  return Fail(ErrorCode::InvalidInput, std::string(kStep), aSubject, std::move(aDetail));
 }
 
 Result<void> CheckTargets(const Route& aRoute, const std::set<std::string>& aServices)
@@ -22,12 +22,12 @@
   std::uint64_t total = 0;
   for (const RouteTarget& target : aRoute.mTargets) {
     if (!aServices.contains(target.mService)) {
-      return Refuse(aRoute.mName, "service \"" + target.mService + "\" is not declared");
+      return Reject(aRoute.mName, "service \"" + target.mService + "\" is not declared");
     }
     total += target.mWeight;
   }
   if (total == 0) {
-    return Refuse(aRoute.mName, "found no target with a positive weight");
+    return Reject(aRoute.mName, "found no target with a positive weight");
   }
   return Ok();
 }
@@ -46,7 +46,7 @@
   std::set<std::string> services;
   for (const RoutedService& service : aTable.mServices) {
     if (!services.insert(service.mName).second) {
-      return Refuse(service.mName, "the service is declared twice");
+      return Reject(service.mName, "the service is declared twice");
     }
   }
   std::set<Endpoint> addresses;
@@ -56,10 +56,10 @@
       return address.as_failure();
     }
     if (!addresses.insert(address.value()).second) {
-      return Refuse(route.mName, "address " + route.mAddress + " belongs to two routes");
+      return Reject(route.mName, "address " + route.mAddress + " belongs to two routes");
     }
     if (route.mTimeout <= Milliseconds{0}) {
-      return Refuse(route.mName, "timeout_ms: expected more than 0");
+      return Reject(route.mName, "timeout_ms: expected more than 0");
     }
     if (auto checked = CheckTargets(route, services); !checked) {
       return checked;
--- a/lib/Model/ServiceSpec.cpp
+++ b/lib/Model/ServiceSpec.cpp
@@ -1,4 +1,4 @@
-// Rules of a service declaration that concern more than one key.
+// Checks the rules of a service declaration that its field description cannot express.
 #include "dandelionslip/Model/ServiceSpec.h"
 
 #include "dandelionslip/Model/Endpoint.h"
--- a/lib/Model/ViewDifference.cpp
+++ b/lib/Model/ViewDifference.cpp
@@ -1,7 +1,7 @@
 // Computes, merges and applies view differences.
 #include "dandelionslip/Model/ViewDifference.h"
 
-#include "DifferenceParts.h"
+#include "MapDifference.h"
 
 namespace dandelionslip {
 
