--- a/include/dandelionslip/Support/Durations.h
+++ b/include/dandelionslip/Support/Durations.h
@@ -1,11 +1,11 @@
-// Durations as numbers.
+// Conversion of durations to numbers.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
 
 namespace dandelionslip {
 
-/// A duration in seconds, as rates and metrics state it.
+/// The duration in seconds, for rates and metrics.
 inline double Seconds(RuntimeClock::duration aDuration)
 {
   return std::chrono::duration<double>(aDuration).count();
--- a/include/dandelionslip/Support/Error.h
+++ b/include/dandelionslip/Support/Error.h
@@ -1,4 +1,4 @@
-// Typed errors that carry the step and the peer at which they arose.
+// Errors with a code, the operation that failed and the address, file or replica involved.
 #pragma once
 
 #include <boost/outcome/result.hpp>
@@ -8,43 +8,43 @@
 
 namespace dandelionslip {
 
-/// Kinds of failure that callers of the library tell apart.
+/// Kinds of failure that code using the library distinguishes.
 enum class ErrorCode
 {
-  InvalidInput,  ///< Settings, service file or message that breaks a rule.
+  InvalidInput,  ///< Settings, a service file or a message break a rule.
   NotFound,      ///< The named item does not exist.
-  Conflict,      ///< A compare-and-set lost against another writer.
+  Conflict,      ///< A compare-and-set failed because another writer was first.
   Unavailable,   ///< The peer or a quorum cannot be reached; nothing was done.
   Unknown,       ///< The operation may or may not have happened.
   Timeout,       ///< The deadline passed.
-  Cancelled,     ///< The caller withdrew the operation.
+  Cancelled,     ///< The operation was cancelled by the code that started it.
   Io,            ///< A file or socket operation failed.
   Corrupt,       ///< Stored data fails its checksum or structure.
-  LimitExceeded, ///< A stated bound was reached.
+  LimitExceeded, ///< A size or number exceeds its limit.
 };
 
 /// The name of an error code as printed in logs.
 std::string_view ToString(ErrorCode aCode);
 
-/// One failure with the place where it arose.
+/// One failure, and where it occurred.
 struct Error
 {
   ErrorCode mCode = ErrorCode::InvalidInput;
-  std::string mStep;   ///< Operation under way, for example "log.append".
+  std::string mStep;   ///< Operation that failed, for example "log.append".
   std::string mPeer;   ///< Address, file or replica involved; may be empty.
   std::string mDetail; ///< What was found and what was expected.
 
-  /// Renders the error as "step (peer): detail [code]".
+  /// Formats the error as "step (peer): detail [code]".
   std::string Message() const;
 
   bool operator==(const Error&) const = default;
 };
 
-/// A value or an Error. Reading the wrong side terminates the process.
+/// A value or an Error. Accessing the one that is not present terminates the process.
 template <typename T>
 using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
-/// Builds a failure to return from a function with a Result.
+/// A failure, to be returned from a function whose return type is a Result.
 inline auto Fail(ErrorCode aCode, std::string aStep, std::string aPeer, std::string aDetail)
 {
   return boost::outcome_v2::failure(
--- a/include/dandelionslip/Support/Fields.h
+++ b/include/dandelionslip/Support/Fields.h
@@ -1,9 +1,10 @@
-// One field description per struct serves both encoding and checked decoding.
+// Encodes and decodes structs from one description of their fields. Decoding checks types, ranges
+// and keys.
 //
-// A struct takes part by providing
+// A struct is supported if there is a function
 //   template <typename V> void DescribeFields(V& aVisitor, TheStruct& aValue);
-// that calls aVisitor.Field("key", aValue.mMember) for each member. An enum takes part by
-// providing `std::span<const EnumName<E>> EnumNames(E)`.
+// that calls aVisitor.Field("key", aValue.mMember) for each member. An enum is supported if there
+// is a function `std::span<const EnumName<E>> EnumNames(E)`.
 #pragma once
 
 #include "dandelionslip/Support/Json.h"
@@ -22,7 +23,7 @@
 
 namespace dandelionslip {
 
-/// One enum value and its text form.
+/// An enumerator and its text form.
 template <typename E>
 struct EnumName
 {
@@ -147,7 +148,7 @@
     }
   }
 
-  /// A field that must be present.
+  /// Reads a field that must be present.
   template <typename T>
   void Field(const char* aKey, T& aValue, Range aRange = {})
   {
@@ -159,7 +160,7 @@
     }
   }
 
-  /// A field that keeps its default when absent.
+  /// Reads a field that keeps its default when it is absent.
   template <typename T>
   void Optional(const char* aKey, T& aValue, Range aRange = {})
   {
@@ -168,7 +169,7 @@
     }
   }
 
-  /// Checks that no key was left unread and returns the first error, if any.
+  /// Returns the first error, if any. A key that no field has read is an error.
   std::optional<Error> Finish()
   {
     if (mError || !mObject.is_object()) {
@@ -183,7 +184,7 @@
     return mError;
   }
 
-  /// Records a violation found by a struct's own checks; aKey is relative to this object.
+  /// Reports a violation that a struct's own checks found; aKey is relative to this object.
   void Reject(std::string_view aKey, std::string_view aFound, std::string_view aExpected)
   {
     if (!mError) {
@@ -356,14 +357,14 @@
   std::optional<Error> mError;
 };
 
-/// Encodes a described struct.
+/// Encodes a struct that has a field description.
 template <typename T>
 Json ToJson(const T& aValue)
 {
   return FieldWriter::Encode(aValue);
 }
 
-/// Decodes a described struct; errors name aSource and the key path.
+/// Decodes a struct that has a field description; errors name aSource and the key path.
 template <typename T>
 Result<T> FromJson(const Json& aIn, std::string_view aSource)
 {
@@ -376,14 +377,14 @@
   return value;
 }
 
-/// Encodes a described struct as CBOR.
+/// Encodes a struct that has a field description as CBOR.
 template <typename T>
 Bytes ToCbor(const T& aValue)
 {
   return EncodeCbor(ToJson(aValue));
 }
 
-/// Decodes a described struct from CBOR.
+/// Decodes a struct that has a field description from CBOR.
 template <typename T>
 Result<T> FromCbor(std::span<const std::uint8_t> aBytes, std::string_view aSource)
 {
--- a/include/dandelionslip/Support/Json.h
+++ b/include/dandelionslip/Support/Json.h
@@ -1,4 +1,4 @@
-// Strict JSON and CBOR decoding: comments allowed, duplicate keys refused, nesting bounded.
+// Strict JSON and CBOR decoding: allows comments, rejects duplicate keys, limits nesting.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -16,7 +16,7 @@
 using Json = nlohmann::json;
 using Bytes = std::vector<std::uint8_t>;
 
-/// Deepest nesting accepted; the decoder of the library recurses once for each level.
+/// Deepest nesting accepted. Bounds stack use, because nlohmann-json recurses for each level.
 inline constexpr std::size_t kMaxJsonDepth = 32;
 
 /// Parses JSON with // and /* */ comments. Errors name aSource with line and column.
@@ -28,7 +28,7 @@
 /// Encodes a value as CBOR.
 Bytes EncodeCbor(const Json& aValue);
 
-/// Decodes CBOR; refuses trailing bytes, duplicate keys and deep nesting.
+/// Decodes CBOR; rejects trailing bytes, duplicate keys and deep nesting.
 Result<Json> DecodeCbor(std::span<const std::uint8_t> aBytes, std::string_view aSource);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Support/LineWriter.h
+++ b/include/dandelionslip/Support/LineWriter.h
@@ -1,4 +1,4 @@
-// Writes whole lines to a descriptor without ever waiting for its reader.
+// Writes whole lines to a file descriptor without blocking.
 #pragma once
 
 #include <atomic>
@@ -7,11 +7,13 @@
 
 namespace dandelionslip {
 
-/// A line that the descriptor cannot take at once is dropped and counted. Thread-safe.
+/// Writes lines to a pipe or file. A line for which the descriptor has no room is dropped and
+/// counted, so that a slow reader does not delay the process. Thread-safe.
 class LineWriter
 {
 public:
-  /// Longest line, so that a pipe takes it whole or not at all (PIPE_BUF); longer ones are cut.
+  /// Largest line with its line feed; longer lines are truncated. Equals PIPE_BUF, up to which a
+  /// write to a pipe is atomic.
   static constexpr std::size_t kMaxLineBytes = 4096;
 
   explicit LineWriter(int aDescriptor)
@@ -19,7 +21,7 @@
   {
   }
 
-  /// Writes the line and a line feed; false when it was dropped.
+  /// Writes the line and a line feed. Returns false when it was dropped.
   bool Write(std::string aLine);
 
   std::uint64_t Dropped() const { return mDropped; }
--- a/include/dandelionslip/Support/Log.h
+++ b/include/dandelionslip/Support/Log.h
@@ -17,15 +17,15 @@
   Error,
 };
 
-/// Reads a level name ("debug", "info", "warning", "error").
+/// Parses a level name ("debug", "info", "warning", "error").
 Result<LogLevel> ParseLogLevel(std::string_view aName);
 
-/// Sets the lowest level that is written and the program name on every line. Lines go to standard
-/// output, at most LogBudget::kLinesPerSecond of each event; a reader that stops reading loses
-/// lines but never delays the process.
+/// Sets the lowest level that is written, and the program and node name on every line. Lines go to
+/// standard output, at most LogRateLimiter::kLinesPerSecond a second for each event. While nothing
+/// reads the output, lines are dropped and the process is not delayed.
 void InitialiseLog(std::string_view aProgram, std::string_view aNode, LogLevel aLevel);
 
-/// One log line, written when the object goes out of scope.
+/// One log line, which the destructor writes.
 class LogEvent
 {
 public:
@@ -34,7 +34,7 @@
   LogEvent(const LogEvent&) = delete;
   LogEvent& operator=(const LogEvent&) = delete;
 
-  /// Adds a pair; the value is quoted and escaped where needed.
+  /// Adds a key=value pair; the value is quoted and escaped where needed.
   LogEvent& With(std::string_view aKey, std::string_view aValue);
 
   template <std::integral T>
@@ -50,7 +50,7 @@
   void Begin(std::string_view aEvent);
 
   LogLevel mLevel;
-  bool mWritten; ///< The level is high enough and the event has lines left in this second.
+  bool mWritten; ///< The level is high enough and the event's rate limit admits the line.
   std::string mLine;
 };
 
--- a/include/dandelionslip/Support/Metrics.h
+++ b/include/dandelionslip/Support/Metrics.h
@@ -55,7 +55,7 @@
 class MetricsRegistry
 {
 public:
-  /// Finds or creates a counter; aLabels is the text between braces, for example reason="full".
+  /// Finds or creates a metric; aLabels is the text between braces, for example reason="full".
   Counter& CounterFor(std::string_view aName, std::string_view aLabels = {});
   Gauge& GaugeFor(std::string_view aName, std::string_view aLabels = {});
   Summary& SummaryFor(std::string_view aName, std::string_view aLabels = {});
--- a/include/dandelionslip/Support/ProcessUsage.h
+++ b/include/dandelionslip/Support/ProcessUsage.h
@@ -5,14 +5,14 @@
 
 namespace dandelionslip {
 
-/// What the operating system accounts to this process.
+/// Resources that this process uses, as the operating system reports them.
 struct ProcessUsage
 {
   double mCpuSeconds = 0;
   std::uint64_t mResidentBytes = 0;
 };
 
-/// Reads the current values; fields stay 0 when the system does not tell.
+/// Reads the current values; a field is 0 when the operating system does not report it.
 ProcessUsage ReadProcessUsage();
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Support/Random.h
+++ b/include/dandelionslip/Support/Random.h
@@ -1,4 +1,4 @@
-// Injected source of random numbers.
+// Source of random numbers that is passed to the code that needs it.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +31,7 @@
   std::mt19937_64 mEngine;
 };
 
-/// A seed from the operating system, for daemons only.
+/// A random seed from the operating system. Only for programs; tests use fixed seeds.
 std::uint64_t SystemSeed();
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Support/RuntimeClock.h
+++ b/include/dandelionslip/Support/RuntimeClock.h
@@ -1,11 +1,11 @@
-// The runtime's clock: a standard chrono clock that tests pause and advance.
+// A std::chrono clock that tests can pause and advance.
 #pragma once
 
 #include <chrono>
 
 namespace dandelionslip {
 
-/// Monotonic clock used by all timers. Thread-safe.
+/// Monotonic clock of all timers. Includes the time for which the VM is suspended. Thread-safe.
 struct RuntimeClock
 {
   using duration = std::chrono::nanoseconds;
@@ -17,20 +17,20 @@
   /// The current time; constant while paused.
   static time_point now();
 
-  /// Stops the clock at its current reading. Used by tests.
+  /// Stops the clock at its current time. Used by tests.
   static void Pause();
 
   /// Moves a paused clock forward. Has no effect on a running clock.
   static void Advance(duration aStep);
 
-  /// Lets the clock run again from its current reading.
+  /// Lets a paused clock run again, starting at the time at which it is paused.
   static void Resume();
 };
 
 using TimePoint = RuntimeClock::time_point;
 using Milliseconds = std::chrono::milliseconds;
 
-/// Milliseconds of wall-clock time since 1970, for identifiers only.
+/// Wall-clock time in milliseconds since 1970. Only for identifiers, never for timers.
 std::int64_t WallClockMs();
 
 } // namespace dandelionslip
--- a/lib/Support/Error.cpp
+++ b/lib/Support/Error.cpp
@@ -1,4 +1,4 @@
-// Text forms of errors.
+// Converts errors to text.
 #include "dandelionslip/Support/Error.h"
 
 namespace dandelionslip {
--- a/lib/Support/Hash.cpp
+++ b/lib/Support/Hash.cpp
@@ -1,4 +1,4 @@
-// XXH3 behind the library's hash interface.
+// Implements hashing with XXH3 of the xxHash library.
 #include "dandelionslip/Support/Hash.h"
 
 #include <xxhash.h>
--- a/lib/Support/Json.cpp
+++ b/lib/Support/Json.cpp
@@ -1,4 +1,4 @@
-// Strict decoding on top of the SAX interface of nlohmann-json.
+// Implements strict decoding with the SAX interface of nlohmann-json.
 #include "dandelionslip/Support/Json.h"
 
 #include <fstream>
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Builds a document and refuses what the library's own builder accepts silently.
+// Builds a document from SAX events. Rejects duplicate keys and deep nesting, which the library's
+// own builder accepts.
 class StrictBuilder
 {
 public:
@@ -19,24 +20,24 @@
   using string_t = Json::string_t;
   using binary_t = Json::binary_t;
 
-  bool null() { return Place(Json()); }
-  bool boolean(bool aValue) { return Place(Json(aValue)); }
-  bool number_integer(number_integer_t aValue) { return Place(Json(aValue)); }
-  bool number_unsigned(number_unsigned_t aValue) { return Place(Json(aValue)); }
+  bool null() { return AddValue(Json()); }
+  bool boolean(bool aValue) { return AddValue(Json(aValue)); }
+  bool number_integer(number_integer_t aValue) { return AddValue(Json(aValue)); }
+  bool number_unsigned(number_unsigned_t aValue) { return AddValue(Json(aValue)); }
   bool number_float(number_float_t aValue, const string_t& /*aText*/)
   {
-    return Place(Json(aValue));
+    return AddValue(Json(aValue));
   }
-  bool string(string_t& aValue) { return Place(Json(std::move(aValue))); }
-  bool binary(binary_t& aValue) { return Place(Json(std::move(aValue))); }
-  bool start_object(std::size_t /*aSize*/) { return Open(Json::object()); }
-  bool start_array(std::size_t /*aSize*/) { return Open(Json::array()); }
-  bool end_object() { return Close(); }
-  bool end_array() { return Close(); }
+  bool string(string_t& aValue) { return AddValue(Json(std::move(aValue))); }
+  bool binary(binary_t& aValue) { return AddValue(Json(std::move(aValue))); }
+  bool start_object(std::size_t /*aSize*/) { return OpenContainer(Json::object()); }
+  bool start_array(std::size_t /*aSize*/) { return OpenContainer(Json::array()); }
+  bool end_object() { return CloseContainer(); }
+  bool end_array() { return CloseContainer(); }
 
   bool key(string_t& aKey)
   {
-    if (mOpen.back()->contains(aKey)) {
+    if (mOpenContainers.back()->contains(aKey)) {
       mProblem = "duplicate key \"" + aKey + "\"";
       return false;
     }
@@ -59,11 +60,11 @@
 private:
   Json* Insert(Json&& aValue)
   {
-    if (mOpen.empty()) {
+    if (mOpenContainers.empty()) {
       mRoot = std::move(aValue);
       return &mRoot;
     }
-    Json& parent = *mOpen.back();
+    Json& parent = *mOpenContainers.back();
     if (parent.is_array()) {
       parent.push_back(std::move(aValue));
       return &parent.back();
@@ -73,33 +74,33 @@
     return &slot;
   }
 
-  bool Place(Json&& aValue)
+  bool AddValue(Json&& aValue)
   {
     Insert(std::move(aValue));
     return true;
   }
 
-  bool Open(Json&& aContainer)
+  bool OpenContainer(Json&& aContainer)
   {
-    if (mOpen.size() >= kMaxJsonDepth) {
+    if (mOpenContainers.size() >= kMaxJsonDepth) {
       mProblem = "nesting deeper than " + std::to_string(kMaxJsonDepth) + " levels";
       return false;
     }
-    mOpen.push_back(Insert(std::move(aContainer)));
+    mOpenContainers.push_back(Insert(std::move(aContainer)));
     mKeys.emplace_back();
     return true;
   }
 
-  bool Close()
+  bool CloseContainer()
   {
-    mOpen.pop_back();
+    mOpenContainers.pop_back();
     mKeys.pop_back();
     return true;
   }
 
   Json mRoot;
-  std::vector<Json*> mOpen;
-  std::vector<std::string> mKeys;
+  std::vector<Json*> mOpenContainers;
+  std::vector<std::string> mKeys; // The latest key of each open container.
   std::string mProblem;
   std::optional<std::size_t> mPosition;
 };
--- a/lib/Support/LineWriter.cpp
+++ b/lib/Support/LineWriter.cpp
@@ -1,4 +1,4 @@
-// Lines to a descriptor.
+// Implements non-blocking writes of lines.
 #include "dandelionslip/Support/LineWriter.h"
 
 #include <poll.h>
@@ -12,7 +12,7 @@
     aLine.resize(kMaxLineBytes - 1);
   }
   aLine += '\n';
-  // A pipe that polls as writable has room for PIPE_BUF bytes, so the write does not wait.
+  // A pipe that poll reports as writable has room for PIPE_BUF bytes, so the write does not block.
   pollfd descriptor{mDescriptor, POLLOUT, 0};
   const bool writable = ::poll(&descriptor, 1, 0) == 1 && (descriptor.revents & POLLOUT) != 0;
   if (!writable || ::write(mDescriptor, aLine.data(), aLine.size()) < 0) {
--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -1,8 +1,8 @@
-// Boost.Log behind the structured logging interface.
+// Implements structured logging with Boost.Log.
 #include "dandelionslip/Support/Log.h"
 
 #include "dandelionslip/Support/LineWriter.h"
-#include "dandelionslip/Support/LogBudget.h"
+#include "dandelionslip/Support/LogRateLimiter.h"
 
 #include <boost/log/core.hpp>
 #include <boost/log/sinks/basic_sink_backend.hpp>
@@ -48,7 +48,7 @@
   return writer;
 }
 
-// Hands finished records to the writer, which never waits.
+// Passes formatted records to the line writer, which does not block.
 class LineBackend
   : public logging::sinks::basic_formatted_sink_backend<char, logging::sinks::synchronized_feeding>
 {
@@ -66,18 +66,18 @@
   BOOST_LOG(logger) << aLine;
 }
 
-// Whether the event has lines left in this second. Also accounts for lines that were left out.
+// Whether the rate limit admits a line of this event. Also logs how many lines were omitted before.
 bool Admit(std::string_view aEvent)
 {
   static std::mutex mutex;
-  static LogBudget budget;
+  static LogRateLimiter limiter;
   const TimePoint now = RuntimeClock::now();
   std::vector<OmittedLines> omitted;
   bool admitted = false;
   {
     const std::lock_guard lock(mutex);
-    omitted = budget.TakeOmitted(now);
-    admitted = budget.Admit(aEvent, now);
+    omitted = limiter.TakeOmitted(now);
+    admitted = limiter.Admit(aEvent, now);
   }
   for (const auto& [event, count] : omitted) {
     WriteRecord(LogLevel::Warning, Prefix() + "event=log_lines_omitted of=" + event +
@@ -86,7 +86,7 @@
   return admitted;
 }
 
-bool IsPlain(char aCharacter)
+bool NeedsNoQuotes(char aCharacter)
 {
   const auto byte = static_cast<unsigned char>(aCharacter);
   return byte > ' ' && byte < 0x7f && aCharacter != '"' && aCharacter != '=' && aCharacter != '\\';
@@ -116,7 +116,7 @@
 
 std::string QuoteLogValue(std::string_view aValue)
 {
-  if (!aValue.empty() && std::all_of(aValue.begin(), aValue.end(), IsPlain)) {
+  if (!aValue.empty() && std::all_of(aValue.begin(), aValue.end(), NeedsNoQuotes)) {
     return std::string(aValue);
   }
   static constexpr std::string_view kHex = "0123456789abcdef";
--- a/lib/Support/Metrics.cpp
+++ b/lib/Support/Metrics.cpp
@@ -1,4 +1,4 @@
-// Metrics on Boost.Accumulators and the text exposition format.
+// Implements metrics with Boost.Accumulators and formats them as text.
 #include "dandelionslip/Support/Metrics.h"
 
 #include <boost/accumulators/accumulators.hpp>
--- a/lib/Support/ProcessUsage.cpp
+++ b/lib/Support/ProcessUsage.cpp
@@ -1,4 +1,4 @@
-// Process accounting from the operating system.
+// Reads processor time and memory from the operating system.
 #include "dandelionslip/Support/ProcessUsage.h"
 
 #include <sys/resource.h>
@@ -22,9 +22,9 @@
 ProcessUsage ReadProcessUsage()
 {
   ProcessUsage result;
-  rusage accounted{};
-  if (getrusage(RUSAGE_SELF, &accounted) == 0) {
-    result.mCpuSeconds = Seconds(accounted.ru_utime) + Seconds(accounted.ru_stime);
+  rusage usage{};
+  if (getrusage(RUSAGE_SELF, &usage) == 0) {
+    result.mCpuSeconds = Seconds(usage.ru_utime) + Seconds(usage.ru_stime);
   }
   std::uint64_t total = 0;
   std::uint64_t resident = 0;
--- a/lib/Support/Random.cpp
+++ b/lib/Support/Random.cpp
@@ -1,4 +1,4 @@
-// Seeds from the operating system.
+// Reads seeds from the operating system.
 #include "dandelionslip/Support/Random.h"
 
 namespace dandelionslip {
--- a/lib/Support/RuntimeClock.cpp
+++ b/lib/Support/RuntimeClock.cpp
@@ -10,15 +10,15 @@
 
 constexpr std::int64_t kRunning = -1;
 
-// Reading of the paused clock, or kRunning.
+// Time at which the clock is paused, or kRunning.
 std::atomic<std::int64_t> gPausedAt{kRunning};
-// Difference between the runtime clock and the boot-time clock.
+// Difference between RuntimeClock and CLOCK_BOOTTIME.
 std::atomic<std::int64_t> gOffset{0};
 
 std::int64_t BootTimeCount()
 {
-  // The steady clock stands still while a VM is suspended; leases and read confirmations must not
-  // outlive a suspension.
+  // The steady clock stops while a VM is suspended. Leases and read confirmations would then still
+  // be valid after a long suspension.
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
   return (std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec)).count();
--- a/unittests/Support/JsonTest.cpp
+++ b/unittests/Support/JsonTest.cpp
@@ -1,4 +1,4 @@
-// Tests of strict JSON and CBOR decoding.
+// Tests of strict JSON and CBOR decoding, and of the quoting of log values.
 #include "dandelionslip/Support/Fields.h"
 #include "dandelionslip/Support/Log.h"
 #include "dandelionslip/Support/Metrics.h"
@@ -28,8 +28,8 @@
   CPPUNIT_TEST_SUITE(JsonTest);
   CPPUNIT_TEST(CommentsAreAccepted);
   CPPUNIT_TEST(ViolationsNameTheKeyPath);
-  CPPUNIT_TEST(DuplicateKeysAreRefused);
-  CPPUNIT_TEST(DeepNestingIsRefused);
+  CPPUNIT_TEST(DuplicateKeysAreRejected);
+  CPPUNIT_TEST(DeepNestingIsRejected);
   CPPUNIT_TEST(MutatedCborNeverCrashes);
   CPPUNIT_TEST(LogValuesAreEscaped);
   CPPUNIT_TEST_SUITE_END();
@@ -44,14 +44,14 @@
     return sample ? "" : sample.error().Message();
   }
 
-  // Guards against settings files with comments being refused.
+  // Guards against the rejection of settings files with comments.
   void CommentsAreAccepted()
   {
     CPPUNIT_ASSERT_EQUAL(std::string(),
                          ErrorOf("{ // name\n\"name\": \"a\", /* n */ \"count\": 3}"));
   }
 
-  // Guards against errors that do not say where the problem is.
+  // Guards against errors that do not name the line or key at fault.
   void ViolationsNameTheKeyPath()
   {
     CPPUNIT_ASSERT(ErrorOf(R"({"name": 4})").find("name: found 4") != std::string::npos);
@@ -62,39 +62,39 @@
     CPPUNIT_ASSERT(ErrorOf("{}").find("name: missing") != std::string::npos);
   }
 
-  // Guards against a second value silently replacing the first one.
-  void DuplicateKeysAreRefused()
+  // Guards against a second value of a key that silently replaces the first one.
+  void DuplicateKeysAreRejected()
   {
     CPPUNIT_ASSERT(ErrorOf(R"({"name": "a", "name": "b"})").find("duplicate key \"name\"") !=
                    std::string::npos);
   }
 
-  // Guards against stack exhaustion by nested input.
-  void DeepNestingIsRefused()
+  // Guards against stack overflow by deeply nested input.
+  void DeepNestingIsRejected()
   {
     CPPUNIT_ASSERT(ErrorOf(std::string(100000, '[')).find("nesting") != std::string::npos);
     const Bytes nested(100000, 0x81);
     CPPUNIT_ASSERT(!DecodeCbor(nested, "test"));
   }
 
-  // Guards against crashes on altered messages; an altered message may still be valid.
+  // Guards against crashes on corrupt messages. A changed message may still be valid.
   void MutatedCborNeverCrashes()
   {
     const Bytes valid = ToCbor(Sample{"upstream-1", 7});
     Random random(1);
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     constexpr int kRounds = 5000;
     for (int round = 0; round < kRounds; ++round) {
-      Bytes altered = valid;
-      altered[random.Below(altered.size())] = static_cast<std::uint8_t>(random.Next());
-      altered.resize(random.Below(altered.size() + 1));
-      refused += FromCbor<Sample>(altered, "test") ? 0 : 1;
+      Bytes mutated = valid;
+      mutated[random.Below(mutated.size())] = static_cast<std::uint8_t>(random.Next());
+      mutated.resize(random.Below(mutated.size() + 1));
+      rejected += FromCbor<Sample>(mutated, "test") ? 0 : 1;
     }
-    CPPUNIT_ASSERT(refused > kRounds / 2);
+    CPPUNIT_ASSERT(rejected > kRounds / 2);
     CPPUNIT_ASSERT_EQUAL(7U, FromCbor<Sample>(valid, "test").value().mCount);
   }
 
-  // Guards against one event being split over lines by its values.
+  // Guards against values that split an event into two lines.
   void LogValuesAreEscaped()
   {
     CPPUNIT_ASSERT_EQUAL(std::string("plain"), QuoteLogValue("plain"));
--- a/unittests/Support/LogTest.cpp
+++ b/unittests/Support/LogTest.cpp
@@ -1,7 +1,7 @@
-// Tests of bounded, non-blocking logs.
+// Tests of rate-limited, non-blocking logging.
 #include "dandelionslip/Support/Log.h"
 #include "dandelionslip/Support/LineWriter.h"
-#include "dandelionslip/Support/LogBudget.h"
+#include "dandelionslip/Support/LogRateLimiter.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -16,52 +16,53 @@
 class LogTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(LogTest);
-  CPPUNIT_TEST(FloodsAreBoundedAndCounted);
-  CPPUNIT_TEST(OneFloodLeavesOtherEventsTheirLines);
-  CPPUNIT_TEST(ReadersThatStopLoseLines);
-  CPPUNIT_TEST(LongLinesStayWhole);
-  CPPUNIT_TEST(ValuesCannotForgeLines);
+  CPPUNIT_TEST(LinesAreLimitedAndOmissionsCounted);
+  CPPUNIT_TEST(EventsAreLimitedSeparately);
+  CPPUNIT_TEST(WriterDoesNotBlockOnFullPipe);
+  CPPUNIT_TEST(LongLinesAreTruncated);
+  CPPUNIT_TEST(ValuesCannotInjectLines);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr TimePoint kStart{std::chrono::seconds(100)};
 
-  // Guards against logs that take a process's time under load, and against silent gaps.
-  void FloodsAreBoundedAndCounted()
+  // Guards against logging that takes much processor time under load, and against omitted lines
+  // that are not counted.
+  void LinesAreLimitedAndOmissionsCounted()
   {
-    LogBudget budget;
+    LogRateLimiter limiter;
     TimePoint now = kStart;
     std::uint64_t written = 0;
     std::uint64_t omitted = 0;
     constexpr int kSeconds = 5;
-    constexpr int kFlood = 1'000;
-    for (int i = 0; i < kSeconds * kFlood; ++i) {
+    constexpr int kEventsPerSecond = 1'000;
+    for (int i = 0; i < kSeconds * kEventsPerSecond; ++i) {
       now += std::chrono::milliseconds(1);
-      for (const auto& [event, count] : budget.TakeOmitted(now)) {
+      for (const auto& [event, count] : limiter.TakeOmitted(now)) {
         omitted += count;
       }
-      written += budget.Admit("flow_refused", now) ? 1 : 0;
+      written += limiter.Admit("flow_refused", now) ? 1 : 0;
     }
     now += std::chrono::seconds(1);
-    for (const auto& [event, count] : budget.TakeOmitted(now)) {
+    for (const auto& [event, count] : limiter.TakeOmitted(now)) {
       CPPUNIT_ASSERT_EQUAL(std::string("flow_refused"), event);
       omitted += count;
     }
-    CPPUNIT_ASSERT(written <= std::uint64_t{kSeconds + 1} * LogBudget::kLinesPerSecond);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{kSeconds} * kFlood, written + omitted);
+    CPPUNIT_ASSERT(written <= std::uint64_t{kSeconds + 1} * LogRateLimiter::kLinesPerSecond);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{kSeconds} * kEventsPerSecond, written + omitted);
   }
 
-  // Guards against a rare event that is lost in the flood of another one.
-  void OneFloodLeavesOtherEventsTheirLines()
+  // Guards against a rare event that is omitted because of many lines of another event.
+  void EventsAreLimitedSeparately()
   {
-    LogBudget budget;
+    LogRateLimiter limiter;
     for (int i = 0; i < 1'000; ++i) {
-      budget.Admit("flow_refused", kStart);
+      limiter.Admit("flow_refused", kStart);
     }
-    CPPUNIT_ASSERT(budget.Admit("control_replica_changed", kStart));
+    CPPUNIT_ASSERT(limiter.Admit("control_replica_changed", kStart));
   }
 
-  // Guards against a process that waits for the reader of its logs.
-  void ReadersThatStopLoseLines()
+  // Guards against a process that blocks while nothing reads its log.
+  void WriterDoesNotBlockOnFullPipe()
   {
     std::array<int, 2> ends{};
     CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends.data()));
@@ -81,8 +82,8 @@
     ::close(ends[1]);
   }
 
-  // Guards against a long line that is torn by another process's line on the same pipe.
-  void LongLinesStayWhole()
+  // Guards against a long line that is interleaved with lines of another process on the same pipe.
+  void LongLinesAreTruncated()
   {
     std::array<int, 2> ends{};
     CPPUNIT_ASSERT_EQUAL(0, ::pipe(ends.data()));
@@ -96,8 +97,8 @@
     ::close(ends[1]);
   }
 
-  // Guards against a value from outside that begins a line or a pair of its own.
-  void ValuesCannotForgeLines()
+  // Guards against received values that inject a log line or a key=value pair.
+  void ValuesCannotInjectLines()
   {
     CPPUNIT_ASSERT_EQUAL(std::string(R"("a\x0aevent=started")"), QuoteLogValue("a\nevent=started"));
     CPPUNIT_ASSERT_EQUAL(std::string(R"("a b=\"c\"")"), QuoteLogValue("a b=\"c\""));
--- a/unittests/Support/MetricsTest.cpp
+++ b/unittests/Support/MetricsTest.cpp
@@ -18,8 +18,8 @@
   CPPUNIT_TEST(SummariesWithoutObservationsAreNumbers);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against an exposition that collectors refuse: each series is one line of name, labels
-  // and number, and each name is declared once, before its series.
+  // Guards against output that metrics collectors reject. Each series must be one line of name,
+  // labels and number, and each name must be declared once, before its series.
   void EveryLineParses()
   {
     MetricsRegistry registry;
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{12}, count);
   }
 
-  // Guards against "nan" in the exposition of a process that has served nothing yet.
+  // Guards against "nan" in the output of a process that has not observed any value yet.
   void SummariesWithoutObservationsAreNumbers()
   {
     MetricsRegistry registry;
