--- a/include/dandelionslip/Config/AgentSettings.h
+++ b/include/dandelionslip/Config/AgentSettings.h
@@ -12,16 +12,16 @@
 struct AgentSettings : CommonSettings
 {
   std::string mService;                    ///< Name of the service that the upstream belongs to.
-  std::string mDatagramEndpoint;           ///< UDP "address:port" towards balancers and agents.
+  std::string mDatagramEndpoint;           ///< UDP "address:port" for balancers and other agents.
   std::string mRequestEndpoint;            ///< TCP "address:port" for HTTP/2 from other nodes.
   std::string mUpstreamDatagramEndpoint;   ///< UDP "address:port" of the upstream.
   std::string mUpstreamRequestEndpoint;    ///< TCP "address:port" of the upstream.
   std::string mUpstreamHealthPath;         ///< HTTP path starting with '/'; empty for none.
-  std::string mLocalAddress = "127.0.0.1"; ///< Numeric source address towards the upstream.
-  std::uint32_t mMaxFlows = 20'000;        ///< Entries of the flow table.
-  std::uint32_t mMaxRecords = 100'000;     ///< Request records kept at once.
-  std::uint32_t mMaxRecordMebibytes = 64;  ///< Memory for recorded answers, MiB.
-  Milliseconds mRecordRetention{600'000};
+  std::string mLocalAddress = "127.0.0.1"; ///< Numeric source address of traffic to the upstream.
+  std::uint32_t mMaxFlows = 20'000;        ///< Largest number of flows in the flow table.
+  std::uint32_t mMaxRecords = 100'000;     ///< Largest number of request records.
+  std::uint32_t mMaxRecordMebibytes = 64;  ///< Most memory for recorded answers, in MiB.
+  Milliseconds mRecordRetention{600'000};  ///< How long a request record is kept.
 
   bool operator==(const AgentSettings&) const = default;
 };
--- a/include/dandelionslip/Config/BalancerSettings.h
+++ b/include/dandelionslip/Config/BalancerSettings.h
@@ -10,10 +10,10 @@
 /// The settings file of a balancer.
 struct BalancerSettings : CommonSettings
 {
-  std::string mDatagramEndpoint; ///< UDP "address:port" towards agents.
+  std::string mDatagramEndpoint; ///< UDP "address:port" for agents.
   std::string mRequestEndpoint;  ///< TCP "address:port" for HTTP/2 from other nodes.
-  /// Numeric address on which the services' ports are bound in place of the services' own
-  /// addresses; empty to bind those.
+  /// Numeric address on which the balancer binds the services' ports instead of on the services'
+  /// own addresses; empty to bind the services' addresses.
   std::string mListenAddress;
 
   bool operator==(const BalancerSettings&) const = default;
--- a/include/dandelionslip/Config/CommonSettings.h
+++ b/include/dandelionslip/Config/CommonSettings.h
@@ -1,4 +1,4 @@
-// Settings that every program has.
+// Settings that balancers, agents and control replicas have in common.
 #pragma once
 
 #include "dandelionslip/Support/Fields.h"
@@ -13,8 +13,8 @@
 
 std::span<const EnumName<LogLevel>> EnumNames(LogLevel);
 
-/// Keys that are common to balancers, agents and control replicas. Endpoints have been checked by
-/// LoadSettings, so Endpoint::Parse succeeds on each of them.
+/// Settings of every daemon. LoadSettings has checked the endpoints, so Endpoint::Parse succeeds on
+/// each of them.
 struct CommonSettings
 {
   std::string mNode;       ///< Unique name; for an agent the name of its upstream.
@@ -23,7 +23,7 @@
   std::string mMetricsEndpoint;               ///< TCP "address:port"; empty for no endpoint.
   std::vector<std::string> mControlEndpoints; ///< TCP "address:port" in order of preference.
   Milliseconds mAnnounceInterval{500};
-  Milliseconds mStopDeadline{10'000}; ///< Longest planned stop.
+  Milliseconds mStopDeadline{10'000}; ///< Longest duration of a planned stop.
   std::uint32_t mWorkers = 2;         ///< Threads that process traffic.
 
   bool operator==(const CommonSettings&) const = default;
--- a/include/dandelionslip/Config/ControlSettings.h
+++ b/include/dandelionslip/Config/ControlSettings.h
@@ -30,20 +30,22 @@
 struct ControlSettings : CommonSettings
 {
   std::string mEndpoint;            ///< TCP "address:port" for peers, nodes and operators.
-  std::vector<PeerSettings> mPeers; ///< The other replicas, without this one.
+  std::vector<PeerSettings> mPeers; ///< The other replicas.
   std::string mDataFolder;          ///< Holds the log, the snapshots and the replica's identity.
   Milliseconds mHeartbeat{100};
   Milliseconds mElectionTimeoutMin{500};
   Milliseconds mElectionTimeoutMax{1'000};
-  Milliseconds mFirstElection{0}; ///< Longest election timeout right after a start; 0: as usual.
+  /// Longest election timeout just after a start; 0 means mElectionTimeoutMax.
+  Milliseconds mFirstElection{0};
   std::uint32_t mSnapshotEntries = 4'096; ///< Log entries between two snapshots.
   Milliseconds mLease{2'000};
-  Milliseconds mSummaryInterval{250}; ///< Between two reports of a replica on its nodes.
-  bool mJoin = false;                 ///< Start as a learner of an existing group.
-  /// Endpoints of the replicas that found the group together, this one possibly among them. Used in
-  /// place of mPeers where the replicas of the group are not known beforehand: all others join.
+  Milliseconds mSummaryInterval{250}; ///< Interval at which replicas send summaries of their nodes.
+  bool mJoin = false;                 ///< Whether to start as a learner of an existing Raft group.
+  /// Endpoints of the replicas that form the initial Raft group; may include this replica. Used
+  /// instead of mPeers when the later replicas are not known in advance. All other replicas join.
   std::vector<std::string> mFounders;
-  /// Voters that the leader keeps by promoting learners; 0 leaves membership to the operator.
+  /// Number of voters that the leader maintains by promoting learners; 0 when only the operator
+  /// changes the membership.
   std::uint32_t mTargetVoters = 0;
 
   bool operator==(const ControlSettings&) const = default;
--- a/include/dandelionslip/Config/LoadSettings.h
+++ b/include/dandelionslip/Config/LoadSettings.h
@@ -11,8 +11,8 @@
 
 namespace dandelionslip {
 
-/// Checks the rules that concern the text of a key or several keys. Errors (InvalidInput) name
-/// aSource, the key path, the value found and the expectation.
+/// Checks rules that the field descriptions cannot express. Errors (InvalidInput) name aSource, the
+/// key path, the value found and what was expected.
 Result<void> CheckSettings(const BalancerSettings& aSettings, std::string_view aSource);
 Result<void> CheckSettings(const AgentSettings& aSettings, std::string_view aSource);
 Result<void> CheckSettings(const ControlSettings& aSettings, std::string_view aSource);
--- a/include/dandelionslip/Config/PacketSettings.h
+++ b/include/dandelionslip/Config/PacketSettings.h
@@ -1,4 +1,4 @@
-// Settings of the nodes of the packet plane.
+// Settings of balancers and agents of the packet plane, which forwards the packets of flows.
 #pragma once
 
 #include "dandelionslip/Config/CommonSettings.h"
@@ -7,12 +7,12 @@
 
 namespace dandelionslip {
 
-/// Keys of both kinds of node.
+/// Settings that these balancers and agents have in common.
 struct PacketNodeSettings : CommonSettings
 {
-  std::string mDatagramEndpoint; ///< UDP "address:port" towards other nodes.
+  std::string mDatagramEndpoint; ///< UDP "address:port" for other nodes.
   std::string mStatusEndpoint;   ///< TCP "address:port" for readiness and metrics.
-  std::uint16_t mCallerPort = 0; ///< UDP port at a caller's address that takes its packets.
+  std::uint16_t mCallerPort = 0; ///< UDP port at which callers receive packets.
 
   bool operator==(const PacketNodeSettings&) const = default;
 };
@@ -21,8 +21,8 @@
 struct PacketBalancerNodeSettings : PacketNodeSettings
 {
   std::string mCallerEndpoint;  ///< UDP "address:port" that receives the callers' packets.
-  double mProcessorShare = 1.0; ///< Of a core that the balancer may use.
-  double mLinkMbps = 1'000.0;   ///< Of the VM's own link.
+  double mProcessorShare = 1.0; ///< Share of a processor core that the balancer may use.
+  double mLinkMbps = 1'000.0;   ///< Bandwidth of the VM's network link.
 
   bool operator==(const PacketBalancerNodeSettings&) const = default;
 };
@@ -35,9 +35,11 @@
   std::string mUpstreamOutboundEndpoint; ///< UDP "address:port" that the upstream sends to.
   std::string mUpstreamReportEndpoint;   ///< TCP "address:port" for the upstream's heartbeats.
   Milliseconds mHeartbeat{1'000};        ///< Interval of the upstream's heartbeats.
-  Milliseconds mMaxFlowAge{60'000};
-  double mColdExcessFactor = 1.0; ///< Multiplies the cold opens a second of the service.
-  std::uint32_t mColdSlack = 0;   ///< Added to them.
+  Milliseconds mMaxFlowAge{60'000};      ///< Flows older than this need not be kept.
+  /// A cold upstream takes at most RoutedService::mColdOpensPerSecond * mColdExcessFactor +
+  /// mColdSlack new flows a second, rounded down but at least 1.
+  double mColdExcessFactor = 1.0;
+  std::uint32_t mColdSlack = 0;
 
   bool operator==(const PacketAgentNodeSettings&) const = default;
 };
--- a/include/dandelionslip/Config/Publication.h
+++ b/include/dandelionslip/Config/Publication.h
@@ -1,4 +1,4 @@
-// Assembles operators' commands from service files.
+// Builds operators' commands from service files.
 #pragma once
 
 #include "dandelionslip/Config/ServiceFiles.h"
@@ -10,7 +10,7 @@
 
 namespace dandelionslip {
 
-/// Who publishes, when and under which id.
+/// Who publishes, when, and with which id.
 struct PublicationIdentity
 {
   std::string mPublicationId; ///< UUID in its 36-character text form.
@@ -20,7 +20,7 @@
   bool operator==(const PublicationIdentity&) const = default;
 };
 
-/// A service to delete and the version that the operator believes to be in force.
+/// A service to delete, and the version that the operator expects to be current.
 struct ServiceDeletion
 {
   std::string mName;
@@ -29,13 +29,13 @@
   bool operator==(const ServiceDeletion&) const = default;
 };
 
-/// The files whose declaration differs from the one in force.
+/// The files whose declaration differs from the current configuration.
 std::vector<ServiceFile> ChangedServices(std::span<const ServiceFile> aFiles,
-                                         const Configuration& aInForce);
+                                         const Configuration& aCurrent);
 
-/// Builds one atomic command; the version in force that each service file expects is its own
-/// version less one. Errors (InvalidInput): malformed publication id, no operator, no change, a
-/// service named twice, an address used by two services, a deletion without a version.
+/// Builds one command, which is applied atomically. Each service file expects the current version
+/// to be its own version minus one. Errors (InvalidInput): malformed publication id, no operator,
+/// no change, a service named twice, an address used by two services, a deletion without a version.
 Result<Command> BuildPublication(const PublicationIdentity& aIdentity,
                                  std::span<const ServiceFile> aFiles,
                                  std::span<const ServiceDeletion> aDeletions = {});
--- a/include/dandelionslip/Config/ServiceFiles.h
+++ b/include/dandelionslip/Config/ServiceFiles.h
@@ -9,7 +9,7 @@
 
 namespace dandelionslip {
 
-/// Name ending by which service files are found.
+/// Suffix of the names of service files.
 inline constexpr std::string_view kServiceFileSuffix = ".service.json";
 
 /// A service declaration and the file that holds it.
@@ -21,15 +21,15 @@
   bool operator==(const ServiceFile&) const = default;
 };
 
-/// Decodes and checks a service declaration; errors (InvalidInput) name aSource and the key path.
+/// Decodes and checks a service declaration. Errors (InvalidInput) name aSource and the key path.
 Result<ServiceSpec> ParseServiceSpec(std::string_view aText, std::string_view aSource);
 
 /// Reads and checks one service file. Errors: Io, or InvalidInput with file and key path.
 Result<ServiceSpec> LoadServiceFile(const std::string& aPath);
 
-/// Reads the service files directly inside the folders, ordered by service name. A folder that is
-/// missing or holds no service file is refused (Io), and so are two files that declare one service
-/// or two services on one address (InvalidInput, naming both files).
+/// Reads the service files that are directly in the folders, and orders them by service name.
+/// Errors: Io when a folder is missing or contains no service file; InvalidInput, naming both
+/// files, when two files declare the same service or use the same address.
 Result<std::vector<ServiceFile>> CollectServices(const std::vector<std::string>& aFolders);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Config/TextFile.h
+++ b/include/dandelionslip/Config/TextFile.h
@@ -7,7 +7,7 @@
 
 namespace dandelionslip {
 
-/// Largest settings or service file accepted, so that a wrong path cannot fill the memory.
+/// Largest settings or service file accepted, so that a wrong path does not exhaust the memory.
 inline constexpr std::size_t kMaxConfigurationFileBytes = 1024UL * 1024UL;
 
 /// Reads a regular file. Errors: Io when it is missing, not a regular file or unreadable,
--- a/lib/Config/CheckSettings.cpp
+++ b/lib/Config/CheckSettings.cpp
@@ -1,5 +1,5 @@
-// Rules of settings files that concern the text of a key or several keys.
-#include "KeyChecks.h"
+// Checks rules of settings files that the field descriptions cannot express.
+#include "SettingsChecker.h"
 
 #include "dandelionslip/Config/LoadSettings.h"
 
@@ -13,7 +13,7 @@
 constexpr std::string_view kTcp = "tcp";
 constexpr std::string_view kUdp = "udp";
 
-std::string Indexed(std::string_view aKey, std::size_t aIndex)
+std::string KeyWithIndex(std::string_view aKey, std::size_t aIndex)
 {
   return std::string(aKey) + "[" + std::to_string(aIndex) + "]";
 }
@@ -23,37 +23,37 @@
   return std::to_string(aValue.count());
 }
 
-void CheckControlEndpoints(KeyChecks& aChecks, const std::vector<std::string>& aEndpoints)
+void CheckControlEndpoints(SettingsChecker& aChecker, const std::vector<std::string>& aEndpoints)
 {
   std::set<Endpoint> seen;
   for (std::size_t i = 0; i < aEndpoints.size(); ++i) {
-    const std::string key = Indexed("control_endpoints", i);
-    if (const auto endpoint = aChecks.RemoteEndpoint(key, aEndpoints[i])) {
-      aChecks.Require(seen.insert(*endpoint).second, key, Quoted(aEndpoints[i]),
-                      "distinct endpoints");
+    const std::string key = KeyWithIndex("control_endpoints", i);
+    if (const auto endpoint = aChecker.CheckRemoteEndpoint(key, aEndpoints[i])) {
+      aChecker.Require(seen.insert(*endpoint).second, key, Quoted(aEndpoints[i]),
+                       "distinct endpoints");
     }
   }
 }
 
-void CheckCommon(KeyChecks& aChecks, const CommonSettings& aSettings)
+void CheckCommon(SettingsChecker& aChecker, const CommonSettings& aSettings)
 {
-  aChecks.Name("node", aSettings.mNode);
-  aChecks.Name("data_centre", aSettings.mDataCentre);
+  aChecker.CheckName("node", aSettings.mNode);
+  aChecker.CheckName("data_centre", aSettings.mDataCentre);
   if (!aSettings.mMetricsEndpoint.empty()) {
-    aChecks.LocalEndpoint("metrics_endpoint", aSettings.mMetricsEndpoint, kTcp);
+    aChecker.CheckLocalEndpoint("metrics_endpoint", aSettings.mMetricsEndpoint, kTcp);
   }
-  CheckControlEndpoints(aChecks, aSettings.mControlEndpoints);
+  CheckControlEndpoints(aChecker, aSettings.mControlEndpoints);
 }
 
-// A balancer or agent cannot work without control.
-void CheckNode(KeyChecks& aChecks, const CommonSettings& aSettings)
+// Balancers and agents need at least one control replica.
+void CheckNode(SettingsChecker& aChecker, const CommonSettings& aSettings)
 {
-  CheckCommon(aChecks, aSettings);
-  aChecks.Require(!aSettings.mControlEndpoints.empty(), "control_endpoints", "none",
-                  "at least one address:port of a control replica");
+  CheckCommon(aChecker, aSettings);
+  aChecker.Require(!aSettings.mControlEndpoints.empty(), "control_endpoints", "none",
+                   "at least one address:port of a control replica");
 }
 
-void CheckPeers(KeyChecks& aChecks, const ControlSettings& aSettings)
+void CheckRaftGroup(SettingsChecker& aChecker, const ControlSettings& aSettings)
 {
   std::set<std::string> names{aSettings.mNode};
   std::set<Endpoint> endpoints;
@@ -62,40 +62,40 @@
   }
   for (std::size_t i = 0; i < aSettings.mPeers.size(); ++i) {
     const auto& [name, text] = aSettings.mPeers[i];
-    const std::string key = Indexed("peers", i);
-    aChecks.Name(key + ".name", name);
-    aChecks.Require(names.insert(name).second, key + ".name", Quoted(name),
-                    "a name other than this node's and the other peers'");
-    if (const auto endpoint = aChecks.RemoteEndpoint(key + ".endpoint", text)) {
-      aChecks.Require(endpoints.insert(*endpoint).second, key + ".endpoint", Quoted(text),
-                      "an endpoint other than this node's and the other peers'");
+    const std::string key = KeyWithIndex("peers", i);
+    aChecker.CheckName(key + ".name", name);
+    aChecker.Require(names.insert(name).second, key + ".name", Quoted(name),
+                     "a name other than this node's and the other peers'");
+    if (const auto endpoint = aChecker.CheckRemoteEndpoint(key + ".endpoint", text)) {
+      aChecker.Require(endpoints.insert(*endpoint).second, key + ".endpoint", Quoted(text),
+                       "an endpoint other than this node's and the other peers'");
     }
   }
   for (std::size_t i = 0; i < aSettings.mFounders.size(); ++i) {
-    aChecks.RemoteEndpoint(Indexed("founders", i), aSettings.mFounders[i]);
+    aChecker.CheckRemoteEndpoint(KeyWithIndex("founders", i), aSettings.mFounders[i]);
   }
   const bool knowsGroup = !aSettings.mPeers.empty() || !aSettings.mFounders.empty();
-  aChecks.Require(!aSettings.mJoin || knowsGroup, "join", "true without peers",
-                  "at least one peer to join");
+  aChecker.Require(!aSettings.mJoin || knowsGroup, "join", "true without peers",
+                   "at least one peer to join");
 }
 
-// An election must not start because of one or two delayed heartbeats, and replicas that time out
-// together split the votes.
-void CheckTimes(KeyChecks& aChecks, const ControlSettings& aSettings)
+// One or two delayed heartbeats must not start an election. The range of election timeouts must not
+// be empty, because replicas that time out at the same time split the votes.
+void CheckTimes(SettingsChecker& aChecker, const ControlSettings& aSettings)
 {
   constexpr int kHeartbeatsPerElectionTimeout = 3;
   constexpr int kAnnouncementsPerLease = 2;
-  const auto shortest = kHeartbeatsPerElectionTimeout * aSettings.mHeartbeat;
-  aChecks.Require(aSettings.mElectionTimeoutMin > shortest, "election_timeout_min_ms",
-                  Text(aSettings.mElectionTimeoutMin),
-                  "more than 3 times heartbeat_ms, that is above " + Text(shortest));
-  aChecks.Require(aSettings.mElectionTimeoutMax > aSettings.mElectionTimeoutMin,
-                  "election_timeout_max_ms", Text(aSettings.mElectionTimeoutMax),
-                  "more than election_timeout_min_ms, that is above " +
-                    Text(aSettings.mElectionTimeoutMin));
-  const auto shortestLease = kAnnouncementsPerLease * aSettings.mAnnounceInterval;
-  aChecks.Require(aSettings.mLease >= shortestLease, "lease_ms", Text(aSettings.mLease),
-                  "at least 2 times announce_interval_ms, that is " + Text(shortestLease));
+  const auto minElectionTimeout = kHeartbeatsPerElectionTimeout * aSettings.mHeartbeat;
+  aChecker.Require(aSettings.mElectionTimeoutMin > minElectionTimeout, "election_timeout_min_ms",
+                   Text(aSettings.mElectionTimeoutMin),
+                   "more than 3 times heartbeat_ms, that is above " + Text(minElectionTimeout));
+  aChecker.Require(aSettings.mElectionTimeoutMax > aSettings.mElectionTimeoutMin,
+                   "election_timeout_max_ms", Text(aSettings.mElectionTimeoutMax),
+                   "more than election_timeout_min_ms, that is above " +
+                     Text(aSettings.mElectionTimeoutMin));
+  const auto minLease = kAnnouncementsPerLease * aSettings.mAnnounceInterval;
+  aChecker.Require(aSettings.mLease >= minLease, "lease_ms", Text(aSettings.mLease),
+                   "at least 2 times announce_interval_ms, that is " + Text(minLease));
 }
 
 bool IsPathCharacter(char aCharacter)
@@ -103,53 +103,55 @@
   return aCharacter > ' ' && aCharacter <= '~';
 }
 
-void CheckUpstream(KeyChecks& aChecks, const AgentSettings& aSettings)
+void CheckUpstream(SettingsChecker& aChecker, const AgentSettings& aSettings)
 {
-  aChecks.LocalEndpoint("upstream_datagram_endpoint", aSettings.mUpstreamDatagramEndpoint, kUdp);
-  aChecks.LocalEndpoint("upstream_request_endpoint", aSettings.mUpstreamRequestEndpoint, kTcp);
+  aChecker.CheckLocalEndpoint("upstream_datagram_endpoint", aSettings.mUpstreamDatagramEndpoint,
+                              kUdp);
+  aChecker.CheckLocalEndpoint("upstream_request_endpoint", aSettings.mUpstreamRequestEndpoint,
+                              kTcp);
   const std::string& path = aSettings.mUpstreamHealthPath;
-  aChecks.Require(path.empty() ||
-                    (path.front() == '/' && std::all_of(path.begin(), path.end(), IsPathCharacter)),
-                  "upstream_health_path", Quoted(path), "a path that starts with '/'");
-  const auto local = aChecks.Address("local_address", aSettings.mLocalAddress);
+  aChecker.Require(
+    path.empty() || (path.front() == '/' && std::all_of(path.begin(), path.end(), IsPathCharacter)),
+    "upstream_health_path", Quoted(path), "a path that starts with '/'");
+  const auto local = aChecker.CheckAddress("local_address", aSettings.mLocalAddress);
   const auto upstream = Endpoint::Parse(aSettings.mUpstreamDatagramEndpoint);
-  aChecks.Require(!local || !upstream || local->IsV4() == upstream.value().IsV4(), "local_address",
-                  Quoted(aSettings.mLocalAddress),
-                  "the address family of upstream_datagram_endpoint");
+  aChecker.Require(!local || !upstream || local->IsV4() == upstream.value().IsV4(), "local_address",
+                   Quoted(aSettings.mLocalAddress),
+                   "the address family of upstream_datagram_endpoint");
 }
 
 } // namespace
 
 Result<void> CheckSettings(const BalancerSettings& aSettings, std::string_view aSource)
 {
-  KeyChecks checks(aSource);
+  SettingsChecker checks(aSource);
   CheckNode(checks, aSettings);
-  checks.LocalEndpoint("datagram_endpoint", aSettings.mDatagramEndpoint, kUdp);
-  checks.LocalEndpoint("request_endpoint", aSettings.mRequestEndpoint, kTcp);
+  checks.CheckLocalEndpoint("datagram_endpoint", aSettings.mDatagramEndpoint, kUdp);
+  checks.CheckLocalEndpoint("request_endpoint", aSettings.mRequestEndpoint, kTcp);
   if (!aSettings.mListenAddress.empty()) {
-    checks.Address("listen_address", aSettings.mListenAddress);
+    checks.CheckAddress("listen_address", aSettings.mListenAddress);
   }
   return checks.Finish();
 }
 
 Result<void> CheckSettings(const AgentSettings& aSettings, std::string_view aSource)
 {
-  KeyChecks checks(aSource);
+  SettingsChecker checks(aSource);
   CheckNode(checks, aSettings);
-  checks.Name("service", aSettings.mService);
-  checks.LocalEndpoint("datagram_endpoint", aSettings.mDatagramEndpoint, kUdp);
-  checks.LocalEndpoint("request_endpoint", aSettings.mRequestEndpoint, kTcp);
+  checks.CheckName("service", aSettings.mService);
+  checks.CheckLocalEndpoint("datagram_endpoint", aSettings.mDatagramEndpoint, kUdp);
+  checks.CheckLocalEndpoint("request_endpoint", aSettings.mRequestEndpoint, kTcp);
   CheckUpstream(checks, aSettings);
   return checks.Finish();
 }
 
 Result<void> CheckSettings(const ControlSettings& aSettings, std::string_view aSource)
 {
-  KeyChecks checks(aSource);
+  SettingsChecker checks(aSource);
   CheckCommon(checks, aSettings);
-  checks.LocalEndpoint("endpoint", aSettings.mEndpoint, kTcp);
+  checks.CheckLocalEndpoint("endpoint", aSettings.mEndpoint, kTcp);
   checks.Require(!aSettings.mDataFolder.empty(), "data_folder", Quoted(""), "the path of a folder");
-  CheckPeers(checks, aSettings);
+  CheckRaftGroup(checks, aSettings);
   CheckTimes(checks, aSettings);
   return checks.Finish();
 }
--- a/lib/Config/CommonSettings.cpp
+++ b/lib/Config/CommonSettings.cpp
@@ -1,4 +1,4 @@
-// Names of log levels in settings files.
+// Names of the log levels in settings files.
 #include "dandelionslip/Config/CommonSettings.h"
 
 #include <array>
--- a/lib/Config/Publication.cpp
+++ b/lib/Config/Publication.cpp
@@ -1,7 +1,7 @@
-// Assembles operators' commands from service files.
+// Builds operators' commands from service files.
 #include "dandelionslip/Config/Publication.h"
 
-#include "AddressIndex.h"
+#include "ServiceFileIndex.h"
 
 #include <algorithm>
 #include <set>
@@ -61,7 +61,7 @@
 
 Result<void> CheckFiles(std::span<const ServiceFile> aFiles)
 {
-  AddressIndex index;
+  ServiceFileIndex index;
   for (const ServiceFile& file : aFiles) {
     if (auto checked = CheckServiceSpec(file.mSpec, file.mPath); !checked) {
       return checked;
@@ -73,8 +73,8 @@
   return Ok();
 }
 
-std::vector<ServiceChange> Changes(std::span<const ServiceFile> aFiles,
-                                   std::span<const ServiceDeletion> aDeletions)
+std::vector<ServiceChange> ServiceChanges(std::span<const ServiceFile> aFiles,
+                                          std::span<const ServiceDeletion> aDeletions)
 {
   std::vector<ServiceChange> changes;
   for (const ServiceFile& file : aFiles) {
@@ -89,12 +89,12 @@
 } // namespace
 
 std::vector<ServiceFile> ChangedServices(std::span<const ServiceFile> aFiles,
-                                         const Configuration& aInForce)
+                                         const Configuration& aCurrent)
 {
   std::vector<ServiceFile> changed;
   std::copy_if(aFiles.begin(), aFiles.end(), std::back_inserter(changed),
                [&](const ServiceFile& aFile) {
-                 const ServiceEntry* entry = aInForce.FindService(aFile.mSpec.mName);
+                 const ServiceEntry* entry = aCurrent.FindService(aFile.mSpec.mName);
                  return !entry || entry->mSpec != aFile.mSpec;
                });
   return changed;
@@ -117,7 +117,7 @@
   command.mPublicationId = aIdentity.mPublicationId;
   command.mOperator = aIdentity.mOperator;
   command.mIssuedMs = aIdentity.mIssuedMs;
-  command.mServices = Changes(aFiles, aDeletions);
+  command.mServices = ServiceChanges(aFiles, aDeletions);
   return command;
 }
 
--- a/lib/Config/ServiceFiles.cpp
+++ b/lib/Config/ServiceFiles.cpp
@@ -1,7 +1,7 @@
-// Reads service files and finds them in folders.
+// Finds service files in folders and reads them.
 #include "dandelionslip/Config/ServiceFiles.h"
 
-#include "AddressIndex.h"
+#include "ServiceFileIndex.h"
 
 #include "dandelionslip/Config/TextFile.h"
 
@@ -27,7 +27,8 @@
   return failure;
 }
 
-// Appends the service files of a folder. A folder given twice, or by two names, is read once.
+// Appends the paths of the service files in a folder. Skips files in aSeen, so that a folder that
+// is given twice, also by different paths, is read once.
 Result<void> FindFiles(const std::string& aFolder, std::set<fs::path>& aSeen,
                        std::vector<std::string>& aPaths)
 {
@@ -85,9 +86,10 @@
       return found.as_failure();
     }
   }
-  // The order in which the file system lists entries must not decide which file is reported.
+  // Sorted, so that the reported file does not depend on the order in which the file system lists
+  // entries.
   std::sort(paths.begin(), paths.end());
-  AddressIndex index;
+  ServiceFileIndex index;
   std::vector<ServiceFile> files;
   for (const std::string& path : paths) {
     auto spec = LoadServiceFile(path);
--- a/lib/Config/KeyChecks.cpp
+++ b/lib/Config/SettingsChecker.cpp
@@ -1,5 +1,5 @@
-// Checks of values that the field descriptions cannot express.
-#include "KeyChecks.h"
+// Checks of settings that the field descriptions cannot express.
+#include "SettingsChecker.h"
 
 #include "dandelionslip/Support/Json.h"
 
@@ -24,26 +24,27 @@
   return Json(aValue).dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-void KeyChecks::Name(std::string_view aKey, std::string_view aValue)
+void SettingsChecker::CheckName(std::string_view aKey, std::string_view aValue)
 {
   const bool valid = !aValue.empty() && aValue.size() <= kMaxNameLength &&
                      std::all_of(aValue.begin(), aValue.end(), IsNameCharacter);
   Require(valid, aKey, Quoted(aValue), "1 to 63 characters of a-z, 0-9 and '-'");
 }
 
-void KeyChecks::LocalEndpoint(std::string_view aKey, std::string_view aValue,
-                              std::string_view aTransport)
+void SettingsChecker::CheckLocalEndpoint(std::string_view aKey, std::string_view aValue,
+                                         std::string_view aTransport)
 {
-  const auto endpoint = RemoteEndpoint(aKey, aValue);
+  const auto endpoint = CheckRemoteEndpoint(aKey, aValue);
   if (!endpoint) {
     return;
   }
   const auto [entry, isNew] =
-    mLocal.emplace(std::pair(std::string(aTransport), *endpoint), std::string(aKey));
+    mKeyByLocalEndpoint.emplace(std::pair(std::string(aTransport), *endpoint), std::string(aKey));
   Require(isNew, aKey, Quoted(aValue), "an endpoint other than that of " + entry->second);
 }
 
-std::optional<Endpoint> KeyChecks::RemoteEndpoint(std::string_view aKey, std::string_view aValue)
+std::optional<Endpoint> SettingsChecker::CheckRemoteEndpoint(std::string_view aKey,
+                                                             std::string_view aValue)
 {
   const auto endpoint = Endpoint::Parse(aValue);
   Require(endpoint.has_value(), aKey, Quoted(aValue),
@@ -51,7 +52,8 @@
   return endpoint ? std::optional(endpoint.value()) : std::nullopt;
 }
 
-std::optional<Endpoint> KeyChecks::Address(std::string_view aKey, std::string_view aValue)
+std::optional<Endpoint> SettingsChecker::CheckAddress(std::string_view aKey,
+                                                      std::string_view aValue)
 {
   const std::string text(aValue);
   const bool isV6 = text.find(':') != std::string::npos;
@@ -61,8 +63,8 @@
   return endpoint ? std::optional(endpoint.value()) : std::nullopt;
 }
 
-void KeyChecks::Require(bool aCondition, std::string_view aKey, std::string_view aFound,
-                        std::string_view aExpected)
+void SettingsChecker::Require(bool aCondition, std::string_view aKey, std::string_view aFound,
+                              std::string_view aExpected)
 {
   if (aCondition || mError) {
     return;
@@ -72,7 +74,7 @@
                    std::string(aExpected)};
 }
 
-Result<void> KeyChecks::Finish() const
+Result<void> SettingsChecker::Finish() const
 {
   if (mError) {
     return boost::outcome_v2::failure(*mError);
--- a/lib/Config/TextFile.cpp
+++ b/lib/Config/TextFile.cpp
@@ -1,4 +1,4 @@
-// Reads configuration files with a bound on their size.
+// Reads configuration files of limited size.
 #include "dandelionslip/Config/TextFile.h"
 
 #include <filesystem>
--- a/unittests/Config/ConfigurationPageTest.cpp
+++ b/unittests/Config/ConfigurationPageTest.cpp
@@ -1,4 +1,4 @@
-// Checks that docs/configuration.md states every key with its default and range.
+// Checks that docs/configuration.md documents every key with its default and range.
 #include "dandelionslip/Config/LoadSettings.h"
 #include "dandelionslip/Config/ServiceFiles.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Builds, for each key of a struct, the expression that its table row has to match.
+// Builds for each key of a struct a regular expression that its table row must match.
 class RowCollector
 {
 public:
@@ -92,7 +92,7 @@
     }
   }
 
-  // Guards against a page that lags behind the code.
+  // Guards against documentation that was not updated with the code.
   void EveryKeyIsDocumented()
   {
     const auto page = ReadTextFile(EXAMPLES_DIR "/../docs/configuration.md");
--- a/unittests/Config/ExamplesTest.cpp
+++ b/unittests/Config/ExamplesTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the example files and of altered copies of them.
+// Tests of the example files and of corrupted copies of them.
 #include "dandelionslip/Config/LoadSettings.h"
 #include "dandelionslip/Config/Publication.h"
 #include "dandelionslip/Support/Random.h"
@@ -53,7 +53,8 @@
   }
 }
 
-// Parses a text; the result is an error that names its source or a value that reads back equal.
+// Whether the text parses. Checks that an error names its source, and that a parsed value is equal
+// after it has been written and parsed again.
 template <typename T>
 bool Accepts(std::string_view aText)
 {
@@ -69,7 +70,7 @@
 
 using Acceptor = bool (*)(std::string_view);
 
-// The first entry whose text occurs in a file name decides how the file is read.
+// The first entry whose text occurs in a file name determines how the file is parsed.
 constexpr std::pair<std::string_view, Acceptor> kAcceptors[] = {
   {kServiceFileSuffix, &Accepts<ServiceSpec>},
   {"control-", &Accepts<ControlSettings>},
@@ -77,13 +78,13 @@
   {"agent-", &Accepts<AgentSettings>},
 };
 
-std::string Altered(std::string aText, Random& aRandom)
+std::string CorruptedCopy(std::string aText, Random& aRandom)
 {
-  static constexpr std::string_view kLikely = "{}[]\",:/*0-9.eE\\\n";
+  static constexpr std::string_view kSyntaxCharacters = "{}[]\",:/*0-9.eE\\\n";
   for (std::uint64_t change = aRandom.Below(4); change > 0 && !aText.empty(); --change) {
     const std::size_t at = aRandom.Below(aText.size());
-    const char likely = kLikely[aRandom.Below(kLikely.size())];
-    const char byte = aRandom.Below(2) == 0 ? likely : static_cast<char>(aRandom.Next());
+    const char syntaxCharacter = kSyntaxCharacters[aRandom.Below(kSyntaxCharacters.size())];
+    const char byte = aRandom.Below(2) == 0 ? syntaxCharacter : static_cast<char>(aRandom.Next());
     const auto action = aRandom.Below(4);
     if (action == 0) {
       aText.resize(at);
@@ -99,13 +100,13 @@
 class ExamplesTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ExamplesTest);
-  CPPUNIT_TEST(ServicesHaveTodaysSizes);
-  CPPUNIT_TEST(NodesFitTheirDeployment);
-  CPPUNIT_TEST(AlteredFilesNeverCrash);
+  CPPUNIT_TEST(ServicesHaveExpectedSizes);
+  CPPUNIT_TEST(NodesListAllReplicas);
+  CPPUNIT_TEST(CorruptedFilesDoNotCrash);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against example services that cannot be published.
-  void ServicesHaveTodaysSizes()
+  // Guards against example services that have wrong sizes or cannot be published.
+  void ServicesHaveExpectedSizes()
   {
     for (const Deployment& deployment : kDeployments) {
       std::vector<std::string> folders;
@@ -125,9 +126,9 @@
     }
   }
 
-  // Guards against replicas that disagree about who belongs to the group, and against nodes that
-  // would start but find no control replica.
-  void NodesFitTheirDeployment()
+  // Guards against replicas with different lists of the Raft group, and against nodes that start
+  // but find no control replica.
+  void NodesListAllReplicas()
   {
     for (const Deployment& deployment : kDeployments) {
       std::set<std::set<std::string>> groups;
@@ -163,8 +164,9 @@
     }
   }
 
-  // Guards against crashes on damaged files and against acceptance of what cannot be read again.
-  void AlteredFilesNeverCrash()
+  // Guards against crashes on corrupted files, and against accepted values that cannot be written
+  // and parsed again.
+  void CorruptedFilesDoNotCrash()
   {
     constexpr std::uint64_t kSeeds = 500;
     std::size_t files = 0;
@@ -181,12 +183,12 @@
       const Acceptor accepts = reader->second;
       const std::string text = ReadTextFile(entry.path().string()).value();
       CPPUNIT_ASSERT(accepts(text));
-      std::size_t refused = 0;
+      std::size_t rejected = 0;
       for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
         Random random(seed);
-        refused += accepts(Altered(text, random)) ? 0 : 1;
+        rejected += accepts(CorruptedCopy(text, random)) ? 0 : 1;
       }
-      CPPUNIT_ASSERT(refused > kSeeds / 4 && refused < kSeeds);
+      CPPUNIT_ASSERT(rejected > kSeeds / 4 && rejected < kSeeds);
       ++files;
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(20), files);
--- a/unittests/Config/ServiceFilesTest.cpp
+++ b/unittests/Config/ServiceFilesTest.cpp
@@ -30,10 +30,10 @@
   CPPUNIT_TEST_SUITE(ServiceFilesTest);
   CPPUNIT_TEST(ServicesAreOrderedByName);
   CPPUNIT_TEST(ConflictingFilesAreBothNamed);
-  CPPUNIT_TEST(FoldersWithoutServicesAreRefused);
+  CPPUNIT_TEST(FoldersWithoutServicesAreRejected);
   CPPUNIT_TEST(FileErrorsNameFileAndKey);
   CPPUNIT_TEST(PublicationExpectsPrecedingVersion);
-  CPPUNIT_TEST(InvalidPublicationsAreRefused);
+  CPPUNIT_TEST(InvalidPublicationsAreRejected);
   CPPUNIT_TEST_SUITE_END();
 
   fs::path mRoot;
@@ -74,7 +74,8 @@
   void tearDown() override { fs::remove_all(mRoot); }
 
 private:
-  // Guards against a result that depends on the order of folders or of the file system.
+  // Guards against a result that depends on the order of the folders or of the file system's
+  // entries.
   void ServicesAreOrderedByName()
   {
     Write("x/z.service.json", Text("alpha", "10.0.0.1:80"));
@@ -87,7 +88,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("beta"), files.value()[1].mSpec.mName);
   }
 
-  // Guards against one of two conflicting declarations silently winning (I2).
+  // Guards against two conflicting declarations of which one is silently used.
   void ConflictingFilesAreBothNamed()
   {
     Write("x/a.service.json", Text("alpha", "[2001:db8::1]:80"));
@@ -101,15 +102,15 @@
     AssertContains(sameAddress, "c.service.json): addresses[0]: found \"[2001:db8:0::1]:80\"");
   }
 
-  // Guards against a mistyped folder publishing nothing without notice.
-  void FoldersWithoutServicesAreRefused()
+  // Guards against a mistyped folder that is accepted although nothing is published.
+  void FoldersWithoutServicesAreRejected()
   {
     Write("empty/readme", "");
     AssertContains(CollectError({Folder("missing")}), "missing");
     AssertContains(CollectError({Folder("empty")}), ".service.json");
   }
 
-  // Guards against errors that do not say where the problem is.
+  // Guards against errors that do not name the file and the key.
   void FileErrorsNameFileAndKey()
   {
     Write("x/a.service.json", R"({"service": "a", "version": 1, "addresses": ["host:80"]})");
@@ -133,15 +134,15 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(3), command.mServices[2].mExpectedVersion);
     CPPUNIT_ASSERT(!command.mServices[2].mSpec);
     CPPUNIT_ASSERT(FromCbor<Command>(ToCbor(command), "test").value() == command);
-    Configuration inForce;
-    inForce.mServices["a"] = {1, files[0].mSpec};
-    const auto changed = ChangedServices(files, inForce);
+    Configuration current;
+    current.mServices["a"] = {1, files[0].mSpec};
+    const auto changed = ChangedServices(files, current);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), changed.size());
     CPPUNIT_ASSERT_EQUAL(std::string("b"), changed[0].mSpec.mName);
   }
 
-  // Guards against commands that control would have to refuse or could apply in part.
-  void InvalidPublicationsAreRefused()
+  // Guards against commands that the control replicas would refuse or could apply only in part.
+  void InvalidPublicationsAreRejected()
   {
     const std::vector<ServiceFile> files{File("a", "10.0.0.1:80", 1)};
     const std::vector<ServiceFile> sameAddress{files[0], File("b", "10.0.0.1:80", 1)};
