--- a/include/dandelionslip/Model/Command.h
+++ b/include/dandelionslip/Model/Command.h
@@ -13,8 +13,8 @@
 struct ServiceChange
 {
   std::string mName;
-  std::uint64_t mExpectedVersion =
-    0; ///< Expected current version; 0 when the service must not exist.
+  /// Expected current version; 0 when the service must not exist.
+  std::uint64_t mExpectedVersion = 0;
   std::optional<ServiceSpec> mSpec;
 
   bool operator==(const ServiceChange&) const = default;
