--- a/lib/Model/NodeState.cpp
+++ b/lib/Model/NodeState.cpp
@@ -14,7 +14,7 @@
   if (!aDifference || aDifference->mTo <= aCurrent.mRevision) {
     return Ok();
   }
-  return CheckDifference(aCurrent.mRevision, aDifference->mFrom, aDifference->mTo, "node.take");
+  return CheckDifference(aCurrent.mRevision, aDifference->mFrom, aDifference->mTo, "node.apply");
 }
 
 template <typename State, typename Difference>
@@ -42,7 +42,7 @@
 Result<void> NodeState::Take(const AnnouncementAnswer& aAnswer)
 {
   if (!aAnswer.mConfirmed && CarriesState(aAnswer)) {
-    return Fail(ErrorCode::InvalidInput, "node.take", "",
+    return Fail(ErrorCode::InvalidInput, "node.apply", "",
                 "found state in an unconfirmed answer, expected none");
   }
   if (auto check = CheckDifferenceStart(mConfiguration, aAnswer.mConfigurationDifference); !check) {
