--- a/include/dandelionslip/Agent/BucketRecords.h
+++ b/include/dandelionslip/Agent/BucketRecords.h
@@ -26,7 +26,7 @@
   virtual void Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords) = 0;
 
   /// This agent is the first owner that the buckets have ever had.
-  virtual void StartFirst(std::span<const std::uint32_t> aBuckets) = 0;
+  virtual void StartAsFirstOwner(std::span<const std::uint32_t> aBuckets) = 0;
 
   /// The records of the buckets are lost; this agent owns them from now on.
   virtual void StartWithoutRecords(std::span<const std::uint32_t> aBuckets) = 0;
--- a/include/dandelionslip/Agent/FlowActions.h
+++ b/include/dandelionslip/Agent/FlowActions.h
@@ -54,7 +54,7 @@
 /// The custodian has acknowledged the state; announce it and exit.
 struct HandoverDone
 {
-  std::string mCustodian;
+  std::string mBackup;
 };
 
 /// The state from before the restart has been taken over; the agent may announce itself serving.
--- a/include/dandelionslip/Agent/FlowCore.h
+++ b/include/dandelionslip/Agent/FlowCore.h
@@ -30,7 +30,7 @@
 
   /// The agent's lease ended. Other members may own its buckets from now on; they are rebuilt when
   /// the next state arrives.
-  void OnLeaseEnd() { mDoubtful = true; }
+  void OnLeaseExpired() { mDoubtful = true; }
 
   /// The lease is valid again, and every state up to then has been applied. Without a newer state
   /// no other member has owned the buckets.
@@ -66,7 +66,7 @@
 
   /// Starts the resumption from the custodian. Ends with ResumptionDone; until then the core
   /// admits nothing.
-  void BeginResumption(const std::string& aCustodian, TimePoint aNow, FlowActions& aOut);
+  void BeginResumption(const std::string& aBackup, TimePoint aNow, FlowActions& aOut);
 
   /// Newest generation in which all buckets owned are complete, for announcements.
   std::uint32_t AckedGeneration() const { return mAckedGeneration; }
@@ -98,7 +98,7 @@
   struct Stop
   {
     Json mAdmission;
-    std::string mCustodian;
+    std::string mBackup;
     std::set<std::string> mUnacknowledged; ///< Members whose state the custodian has not confirmed.
     TimePoint mNextSend;
     std::uint32_t mAsks = 0;       ///< Sent to the custodian without any acknowledgement.
@@ -108,7 +108,7 @@
   /// A resumption in progress.
   struct Resumption
   {
-    std::string mCustodian;
+    std::string mBackup;
     TimePoint mNextAsk;
   };
 
--- a/include/dandelionslip/Agent/FlowCustody.h
+++ b/include/dandelionslip/Agent/FlowCustody.h
@@ -54,7 +54,7 @@
   std::vector<DirectoryEntry> HeldFlows(std::span<const std::uint32_t> aBuckets) const;
 
   /// All states not given back, to be handed on when this agent stops itself.
-  std::vector<Handover> Export(const std::string& aCustodian) const;
+  std::vector<Handover> Export(const std::string& aBackup) const;
 
   /// Forgets states that are no longer needed.
   void Tick(TimePoint aNow);
--- a/include/dandelionslip/Agent/FlowMessages.h
+++ b/include/dandelionslip/Agent/FlowMessages.h
@@ -253,7 +253,7 @@
 /// The custodian holds the state; the sender of the handover may exit.
 struct HandoverAck
 {
-  std::string mCustodian;
+  std::string mBackup;
   std::string mMember; ///< Whose state it is.
   std::uint64_t mIncarnation = 0;
 
@@ -263,7 +263,7 @@
 template <typename V>
 void DescribeFields(V& aVisitor, HandoverAck& aValue)
 {
-  aVisitor.Field("custodian", aValue.mCustodian);
+  aVisitor.Field("custodian", aValue.mBackup);
   aVisitor.Field("member", aValue.mMember);
   aVisitor.Field("incarnation", aValue.mIncarnation);
 }
@@ -287,7 +287,7 @@
 /// Answer to ResumeRequest; without state when the custodian holds none.
 struct ResumeAnswer
 {
-  std::string mCustodian;
+  std::string mBackup;
   std::uint64_t mIncarnation = 0; ///< Of the request.
   std::optional<Handover> mState;
   /// State that the restarted agent itself kept for others when it stopped.
@@ -299,7 +299,7 @@
 template <typename V>
 void DescribeFields(V& aVisitor, ResumeAnswer& aValue)
 {
-  aVisitor.Field("custodian", aValue.mCustodian);
+  aVisitor.Field("custodian", aValue.mBackup);
   aVisitor.Field("incarnation", aValue.mIncarnation);
   aVisitor.Optional("state", aValue.mState);
   aVisitor.Optional("custody", aValue.mCustody);
--- a/include/dandelionslip/Agent/UpstreamAdmission.h
+++ b/include/dandelionslip/Agent/UpstreamAdmission.h
@@ -34,10 +34,10 @@
   void AdoptFlow();
 
   /// Reserves a slot for one request. Refusals: Draining, SlotsFull, Cold.
-  std::optional<Refusal> TryStartSlot(TimePoint aNow);
+  std::optional<Refusal> TryStartRequest(TimePoint aNow);
 
   /// Releases the slot of a request that ended after aLatency.
-  void FinishSlot(TimePoint aNow, Duration aLatency, CompletionResult aResult);
+  void FinishRequest(TimePoint aNow, Duration aLatency, CompletionResult aResult);
 
   /// Records that the upstream answered a caller's datagram after aLatency. Answers on established
   /// flows count too; without them a service that has only flows could not ramp up again.
--- a/include/dandelionslip/Daemon/HomeRecords.h
+++ b/include/dandelionslip/Daemon/HomeRecords.h
@@ -25,7 +25,7 @@
 
   Json Export(std::span<const std::uint32_t> aBuckets, const std::string& aNewOwner) override;
   void Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords) override;
-  void StartFirst(std::span<const std::uint32_t> aBuckets) override;
+  void StartAsFirstOwner(std::span<const std::uint32_t> aBuckets) override;
   void StartWithoutRecords(std::span<const std::uint32_t> aBuckets) override;
 
   /// The request actions that the calls since the last one have caused.
--- a/include/dandelionslip/Model/Member.h
+++ b/include/dandelionslip/Model/Member.h
@@ -39,7 +39,7 @@
   std::string mRequestEndpoint;  ///< TCP "address:port" for HTTP/2.
   std::uint64_t mIncarnation = 0;
   MemberState mState = MemberState::Cold;
-  std::string mCustodian; ///< Peer that holds the state of a restarting agent.
+  std::string mBackup; ///< Peer that holds the state of a restarting agent.
 
   bool operator==(const Member&) const = default;
 };
@@ -55,7 +55,7 @@
   aVisitor.Field("request_endpoint", aValue.mRequestEndpoint);
   aVisitor.Field("incarnation", aValue.mIncarnation);
   aVisitor.Field("state", aValue.mState);
-  aVisitor.Optional("custodian", aValue.mCustodian);
+  aVisitor.Optional("custodian", aValue.mBackup);
 }
 
 /// Whether the member may be offered new flows and requests.
--- a/include/dandelionslip/Route/ServiceTable.h
+++ b/include/dandelionslip/Route/ServiceTable.h
@@ -15,7 +15,7 @@
 {
   std::string mName;
   std::string mDataCentre;
-  std::string mCustodian; ///< Peer that acts for the member while it restarts; may be empty.
+  std::string mBackup; ///< Peer that acts for the member while it restarts; may be empty.
   std::string mRequestEndpoint;
   Endpoint mDatagramEndpoint;
   MemberState mState = MemberState::Cold;
--- a/lib/Agent/BucketHandoff.cpp
+++ b/lib/Agent/BucketHandoff.cpp
@@ -200,7 +200,7 @@
     mRecords->StartWithoutRecords(mLostRecords);
   }
   if (mRecords != nullptr && !mFirstRecords.empty()) {
-    mRecords->StartFirst(mFirstRecords);
+    mRecords->StartAsFirstOwner(mFirstRecords);
   }
   mLostRecords.clear();
   mFirstRecords.clear();
--- a/lib/Agent/FlowCoreRestart.cpp
+++ b/lib/Agent/FlowCoreRestart.cpp
@@ -61,7 +61,7 @@
                },
                [&](const DirectoryUpdate& aUpdate) {
                  if (mStop) {
-                   PassUpdateOn(mStop->mCustodian, aUpdate, aOut);
+                   PassUpdateOn(mStop->mBackup, aUpdate, aOut);
                  } else if (!mResumption) {
                    mHandoff.OnUpdate(aUpdate, aNow, aOut);
                  }
@@ -120,7 +120,7 @@
   });
   state.mDirectory = ExportDirectory(mHandoff.Directory());
   if (mRecords != nullptr) {
-    state.mRecords = mRecords->Export(CompleteBuckets(mHandoff.Directory()), mStop->mCustodian);
+    state.mRecords = mRecords->Export(CompleteBuckets(mHandoff.Directory()), mStop->mBackup);
   }
   state.mAdmission = mStop->mAdmission;
   return state;
@@ -134,21 +134,21 @@
 
 void FlowCore::ContinueHandover(TimePoint aNow, FlowActions& aOut)
 {
-  if (aNow < mStop->mNextSend || (!mStop->mCustodian.empty() && mStop->mUnacknowledged.empty())) {
+  if (aNow < mStop->mNextSend || (!mStop->mBackup.empty() && mStop->mUnacknowledged.empty())) {
     return;
   }
   mStop->mNextSend = aNow + mContext.mSettings.mAskInterval;
   // Agents that stop at the same time do not take each other's state and would wait for ever.
   if (++mStop->mAsks > kMaxHandoverAsks) {
-    mStop->mSilent.insert(mStop->mCustodian);
+    mStop->mSilent.insert(mStop->mBackup);
   }
   std::string custodian = ChooseCustodian();
   if (custodian.empty() && !mStop->mSilent.empty()) {
     mStop->mSilent.clear();
     custodian = ChooseCustodian();
   }
-  const bool changed = custodian != mStop->mCustodian;
-  mStop->mCustodian = custodian;
+  const bool changed = custodian != mStop->mBackup;
+  mStop->mBackup = custodian;
   if (custodian.empty()) {
     mStop->mNextSend = TimePoint::max();
     aOut.emplace_back(HandoverDone{});
@@ -165,27 +165,26 @@
   }
   for (Handover& state : states) {
     if (mStop->mUnacknowledged.contains(state.mMember)) {
-      aOut.emplace_back(SendPeerMessage{mStop->mCustodian, std::move(state)});
+      aOut.emplace_back(SendPeerMessage{mStop->mBackup, std::move(state)});
     }
   }
 }
 
 void FlowCore::OnHandoverAck(const HandoverAck& aAck, FlowActions& aOut)
 {
-  if (!mStop || aAck.mCustodian != mStop->mCustodian ||
-      mStop->mUnacknowledged.erase(aAck.mMember) == 0) {
+  if (!mStop || aAck.mBackup != mStop->mBackup || mStop->mUnacknowledged.erase(aAck.mMember) == 0) {
     return;
   }
   mStop->mAsks = 0;
   if (mStop->mUnacknowledged.empty()) {
-    aOut.emplace_back(HandoverDone{mStop->mCustodian});
+    aOut.emplace_back(HandoverDone{mStop->mBackup});
   }
 }
 
-void FlowCore::BeginResumption(const std::string& aCustodian, TimePoint aNow, FlowActions& aOut)
+void FlowCore::BeginResumption(const std::string& aBackup, TimePoint aNow, FlowActions& aOut)
 {
   mHandoff.NoteResumption();
-  mResumption = Resumption{aCustodian, aNow};
+  mResumption = Resumption{aBackup, aNow};
   ContinueResumption(aNow, aOut);
 }
 
@@ -194,7 +193,7 @@
   if (mContext.mTable.Buckets() == 0 || aNow < mResumption->mNextAsk) {
     return;
   }
-  const TableMember* acting = mContext.ActingFor(mResumption->mCustodian);
+  const TableMember* acting = mContext.ActingFor(mResumption->mBackup);
   if (acting == nullptr || mContext.IsSelf(acting->mName)) {
     FinishResumption({}, aNow, aOut);
     return;
--- a/lib/Agent/FlowCustody.cpp
+++ b/lib/Agent/FlowCustody.cpp
@@ -161,7 +161,7 @@
   return flows;
 }
 
-std::vector<Handover> FlowCustody::Export(const std::string& aCustodian) const
+std::vector<Handover> FlowCustody::Export(const std::string& aBackup) const
 {
   std::vector<Handover> states;
   for (const auto& [member, custody] : mCustody) {
@@ -170,7 +170,7 @@
       states.back().mSenderIncarnation = mContext.mSettings.mIncarnation;
       states.back().mDirectory = ExportDirectory(custody.mDirectory);
       if (mRecords != nullptr) {
-        states.back().mRecords = mRecords->Export(CompleteBuckets(custody.mDirectory), aCustodian);
+        states.back().mRecords = mRecords->Export(CompleteBuckets(custody.mDirectory), aBackup);
       }
     }
   }
--- a/lib/Agent/UpstreamAdmission.cpp
+++ b/lib/Agent/UpstreamAdmission.cpp
@@ -70,7 +70,7 @@
   ++mConnectionsInUse;
 }
 
-std::optional<Refusal> UpstreamAdmission::TryStartSlot(TimePoint aNow)
+std::optional<Refusal> UpstreamAdmission::TryStartRequest(TimePoint aNow)
 {
   if (!TakesNewWork()) {
     return Refusal{RefusalReason::Draining, RetrySchedule::kShortest};
@@ -84,7 +84,7 @@
   return std::nullopt;
 }
 
-void UpstreamAdmission::FinishSlot(TimePoint aNow, Duration aLatency, CompletionResult aResult)
+void UpstreamAdmission::FinishRequest(TimePoint aNow, Duration aLatency, CompletionResult aResult)
 {
   if (mSlotsInUse == 0) {
     return;
--- a/lib/Control/LeaseTable.cpp
+++ b/lib/Control/LeaseTable.cpp
@@ -40,7 +40,7 @@
 {
   const Member& member = aAnnouncement.mMember;
   if (member.mName.empty() || member.mName.size() > kMaxNameLength ||
-      member.mCustodian.size() > kMaxNameLength) {
+      member.mBackup.size() > kMaxNameLength) {
     return Reject(member, "name, custodian: expected 1 to 255 characters");
   }
   if (member.mDataCentre.empty() || member.mDataCentre.size() > kMaxNameLength) {
@@ -119,8 +119,8 @@
     entry.mAnnouncement.mAckedGeneration = std::max(acked, aAnnouncement.mAckedGeneration);
   }
   // The new process of a restarted member learns from the view which peer holds its state.
-  if (member.mCustodian.empty() && member.mState == MemberState::Cold) {
-    entry.mAnnouncement.mMember.mCustodian = before.mCustodian;
+  if (member.mBackup.empty() && member.mState == MemberState::Cold) {
+    entry.mAnnouncement.mMember.mBackup = before.mBackup;
   }
   return RenewalOutcome::Accepted;
 }
--- a/lib/Daemon/AgentDaemon.cpp
+++ b/lib/Daemon/AgentDaemon.cpp
@@ -41,14 +41,17 @@
   {
   }
 
-  std::optional<Refusal> TryStart(TimePoint aNow) override { return mAdmission.TryStartSlot(aNow); }
+  std::optional<Refusal> TryStart(TimePoint aNow) override
+  {
+    return mAdmission.TryStartRequest(aNow);
+  }
 
   void Finished(TimePoint aNow, RuntimeClock::duration aLatency, RunResult aResult) override
   {
     static constexpr std::array<CompletionResult, 4> kResults{
       CompletionResult::Success, CompletionResult::Failed, CompletionResult::Shed,
       CompletionResult::Cancelled};
-    mAdmission.FinishSlot(aNow, aLatency, kResults[static_cast<std::size_t>(aResult)]);
+    mAdmission.FinishRequest(aNow, aLatency, kResults[static_cast<std::size_t>(aResult)]);
   }
 
 private:
@@ -141,10 +144,10 @@
       CreateCores(*entry, now);
       mLastView = aState.CurrentView();
       mConfiguration = aState.CurrentConfiguration();
-      if (self != nullptr && self->mState == MemberState::Restarting && !self->mCustodian.empty()) {
-        LogEvent(LogLevel::Info, "resuming").With("custodian", self->mCustodian);
+      if (self != nullptr && self->mState == MemberState::Restarting && !self->mBackup.empty()) {
+        LogEvent(LogLevel::Info, "resuming").With("custodian", self->mBackup);
         mResuming = true;
-        mFlows->BeginResumption(self->mCustodian, now, actions);
+        mFlows->BeginResumption(self->mBackup, now, actions);
       }
       mFlows->OnState(aState.CurrentView(), aState.CurrentConfiguration(), now, actions);
     }
@@ -225,7 +228,7 @@
     announcement.mWeight = mAdmission->UpdateWeight(RuntimeClock::now());
     announcement.mAckedGeneration = mFlows->AckedGeneration();
     member.mState = AnnouncedState();
-    member.mCustodian = mCustodian;
+    member.mBackup = mBackup;
     return announcement;
   }
 
@@ -374,7 +377,7 @@
       const TimePoint now = RuntimeClock::now();
       if (mLeased && now >= mLeaseEnd) {
         mLeased = false;
-        aCore.OnLeaseEnd();
+        aCore.OnLeaseExpired();
       }
       aCore.OnTick(now, aOut);
     });
@@ -445,11 +448,11 @@
 
   void Do(HandoverDone& aAction)
   {
-    LogEvent(LogLevel::Info, "handed_over").With("custodian", aAction.mCustodian);
+    LogEvent(LogLevel::Info, "handed_over").With("custodian", aAction.mBackup);
     {
       const std::lock_guard lock(mMutex);
-      mCustodian = aAction.mCustodian;
-      mStopState = aAction.mCustodian.empty() ? MemberState::Left : MemberState::Restarting;
+      mBackup = aAction.mBackup;
+      mStopState = aAction.mBackup.empty() ? MemberState::Left : MemberState::Restarting;
     }
     mLink.Stop();
     AnnounceStop();
@@ -862,7 +865,7 @@
   TimePoint mLeaseEnd;
   bool mLeased = false; ///< The end of the newest lease has not been reported yet.
   std::optional<MemberState> mStopState;
-  std::string mCustodian;
+  std::string mBackup;
   bool mResuming = false;
   View mLastView;
   Configuration mConfiguration;
--- a/lib/Daemon/HomeRecords.cpp
+++ b/lib/Daemon/HomeRecords.cpp
@@ -83,7 +83,7 @@
   Append(std::move(actions.value()));
 }
 
-void HomeRecords::StartFirst(std::span<const std::uint32_t> aBuckets)
+void HomeRecords::StartAsFirstOwner(std::span<const std::uint32_t> aBuckets)
 {
   const RequestTime now = mClock();
   for (const std::uint32_t bucket : aBuckets) {
--- a/lib/Route/ServiceTable.cpp
+++ b/lib/Route/ServiceTable.cpp
@@ -98,7 +98,7 @@
     TableMember added;
     added.mName = name;
     added.mDataCentre = member.mDataCentre;
-    added.mCustodian = member.mState == MemberState::Restarting ? member.mCustodian : "";
+    added.mBackup = member.mState == MemberState::Restarting ? member.mBackup : "";
     added.mRequestEndpoint = member.mRequestEndpoint;
     added.mDatagramEndpoint = endpoint ? endpoint.value() : Endpoint{};
     added.mState = member.mState;
@@ -114,7 +114,7 @@
     auto acting = static_cast<MemberIndex>(i);
     for (std::size_t step = 0; step < kMaxCustodians; ++step) {
       const MemberIndex custodian =
-        mMembers[acting].mCustodian.empty() ? kNoMember : Find(mMembers[acting].mCustodian);
+        mMembers[acting].mBackup.empty() ? kNoMember : Find(mMembers[acting].mBackup);
       if (custodian == kNoMember || mMembers[custodian].mOut) {
         break;
       }
--- a/unittests/Agent/FlowSystem.cpp
+++ b/unittests/Agent/FlowSystem.cpp
@@ -286,13 +286,13 @@
       After(Delay(Milliseconds(20)), [this, &aAgent] { GiveState(aAgent); });
     } else if (auto* done = std::get_if<HandoverDone>(&action)) {
       After(std::chrono::microseconds(0),
-            [this, &aAgent, custodian = done->mCustodian] { StopProcess(aAgent, custodian); });
+            [this, &aAgent, custodian = done->mBackup] { StopProcess(aAgent, custodian); });
     } else if (std::holds_alternative<ResumptionDone>(action)) {
       ++mResumptions;
       aAgent.mResuming = false;
       Member& member = mView.mMembers[aAgent.mName];
       member.mState = MemberState::Serving;
-      member.mCustodian.clear();
+      member.mBackup.clear();
       ++mView.mRevision;
     }
   }
@@ -457,19 +457,19 @@
   Perform(agent, std::move(actions));
 }
 
-void FlowSystem::StopProcess(Agent& aAgent, const std::string& aCustodian)
+void FlowSystem::StopProcess(Agent& aAgent, const std::string& aBackup)
 {
   aAgent.mCore.reset();
   Member& member = mView.mMembers[aAgent.mName];
   member.mState = MemberState::Restarting;
-  member.mCustodian = aCustodian;
+  member.mBackup = aBackup;
   ++mView.mRevision;
-  After(std::chrono::milliseconds(300) + Delay(Milliseconds(2'000)), [this, &aAgent, aCustodian] {
+  After(std::chrono::milliseconds(300) + Delay(Milliseconds(2'000)), [this, &aAgent, aBackup] {
     ++aAgent.mIncarnation;
     aAgent.mResuming = true;
     StartProcess(aAgent);
     FlowActions actions;
-    aAgent.mCore->BeginResumption(aCustodian, mNow, actions);
+    aAgent.mCore->BeginResumption(aBackup, mNow, actions);
     aAgent.mCore->OnState(mView, mConfiguration, mNow, actions);
     Perform(aAgent, std::move(actions));
   });
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSystem.h
@@ -144,7 +144,7 @@
   void StepCaller(Caller& aCaller);
   void SendFromCaller(Caller& aCaller);
   void ToCaller(const Endpoint& aCaller, const Endpoint& aService, const Bytes& aPayload);
-  void StopProcess(Agent& aAgent, const std::string& aCustodian);
+  void StopProcess(Agent& aAgent, const std::string& aBackup);
   Agent* AgentAt(const Endpoint& aEndpoint);
 
   Random mRandom;
--- a/unittests/Agent/UpstreamAdmissionTest.cpp
+++ b/unittests/Agent/UpstreamAdmissionTest.cpp
@@ -73,7 +73,7 @@
   void Work(std::uint64_t aKind)
   {
     const auto steps = std::chrono::duration_cast<seconds>(mNow - mColdAt).count();
-    if (aKind == 0 && !mAdmission->TryStartSlot(mNow)) {
+    if (aKind == 0 && !mAdmission->TryStartRequest(mNow)) {
       CPPUNIT_ASSERT(++mSlots <= LargestAfter(2, steps, mSpec.mSlots));
     } else if (aKind == 1 && !mAdmission->TryOpenFlow(mNow)) {
       CPPUNIT_ASSERT(++mFlows <= LargestAfter(10, steps, mSpec.mConnections));
@@ -81,7 +81,7 @@
       --mSlots;
       const bool shed = mRandom.Below(3000) == 0;
       mColdAt = shed ? mNow : mColdAt;
-      mAdmission->FinishSlot(mNow, Milliseconds(5), shed ? Result::Shed : Result::Success);
+      mAdmission->FinishRequest(mNow, Milliseconds(5), shed ? Result::Shed : Result::Success);
     } else if (aKind == 3 && mFlows > 0 && mRandom.Below(3) == 0) {
       --mFlows;
       mAdmission->CloseFlow(mNow);
@@ -268,17 +268,17 @@
   {
     TimePoint now = kStart;
     UpstreamAdmission admission(ServiceSpec{}, now);
-    CPPUNIT_ASSERT(!admission.TryStartSlot(now));
+    CPPUNIT_ASSERT(!admission.TryStartRequest(now));
     CPPUNIT_ASSERT(!admission.TryOpenFlow(now));
     admission.Drain();
-    CPPUNIT_ASSERT(admission.TryStartSlot(now)->mReason == RefusalReason::Draining);
+    CPPUNIT_ASSERT(admission.TryStartRequest(now)->mReason == RefusalReason::Draining);
     CPPUNIT_ASSERT(admission.TryOpenFlow(now)->mReason == RefusalReason::Draining);
     CPPUNIT_ASSERT_EQUAL(0U, admission.UpdateWeight(now));
-    admission.FinishSlot(now, Milliseconds(1), Result::Success);
+    admission.FinishRequest(now, Milliseconds(1), Result::Success);
     admission.CloseFlow(now);
     CPPUNIT_ASSERT_EQUAL(0U, admission.SlotsInUse() + admission.ConnectionsInUse());
     admission.Undrain();
-    CPPUNIT_ASSERT(!admission.TryStartSlot(now));
+    CPPUNIT_ASSERT(!admission.TryStartRequest(now));
   }
 
   // Guards against refusals that tell operators and callers the wrong bound.
@@ -286,14 +286,14 @@
   {
     TimePoint now = kStart;
     UpstreamAdmission admission(ServiceSpec{}, now);
-    CPPUNIT_ASSERT(!admission.TryStartSlot(now));
-    CPPUNIT_ASSERT(admission.TryStartSlot(now)->mReason == RefusalReason::Cold);
+    CPPUNIT_ASSERT(!admission.TryStartRequest(now));
+    CPPUNIT_ASSERT(admission.TryStartRequest(now)->mReason == RefusalReason::Cold);
     MakeWarm(admission, now);
     for (int i = 0; i < 3; ++i) {
-      CPPUNIT_ASSERT(!admission.TryStartSlot(now));
+      CPPUNIT_ASSERT(!admission.TryStartRequest(now));
     }
-    const auto first = admission.TryStartSlot(now);
-    const auto second = admission.TryStartSlot(now);
+    const auto first = admission.TryStartRequest(now);
+    const auto second = admission.TryStartRequest(now);
     CPPUNIT_ASSERT(first->mReason == RefusalReason::SlotsFull);
     CPPUNIT_ASSERT(second->mRetryAfter > first->mRetryAfter);
     for (int i = 0; i < 2000; ++i) {
--- a/unittests/Agent/WeightSimulation.h
+++ b/unittests/Agent/WeightSimulation.h
@@ -142,7 +142,7 @@
 
   bool Start(TimePoint aNow, Upstream& aUpstream)
   {
-    if (aUpstream.mAdmission.TryStartSlot(aNow)) {
+    if (aUpstream.mAdmission.TryStartRequest(aNow)) {
       return false;
     }
     const double occupancy = 1.0 * aUpstream.mAdmission.SlotsInUse() / mSpec.mSlots;
@@ -159,7 +159,7 @@
   {
     for (; !mRunning.empty() && mRunning.top().mEnd <= aTime; mRunning.pop()) {
       const auto& [end, start, upstream] = mRunning.top();
-      upstream->mAdmission.FinishSlot(end, end - start, CompletionResult::Success);
+      upstream->mAdmission.FinishRequest(end, end - start, CompletionResult::Success);
     }
   }
 
--- a/unittests/Control/ControlCodecTest.cpp
+++ b/unittests/Control/ControlCodecTest.cpp
@@ -142,7 +142,7 @@
   void DamagedAnnouncementsAreHandled()
   {
     Announcement announcement = AgentAnnouncement("a", 7, MemberState::Restarting);
-    announcement.mMember.mCustodian = "b";
+    announcement.mMember.mBackup = "b";
     announcement.mMember.mRequestEndpoint = "192.0.2.7:900";
     MembershipCore core("r0", MembershipSettings{});
     core.OnRoleChange({1, true, "r0", {"r0"}}, kTestStart);
--- a/unittests/Control/LeaseTableTest.cpp
+++ b/unittests/Control/LeaseTableTest.cpp
@@ -44,15 +44,15 @@
   {
     LeaseTable table{MembershipSettings{}};
     auto stop = AgentAnnouncement("a", 1, MemberState::Restarting);
-    stop.mMember.mCustodian = "b";
+    stop.mMember.mBackup = "b";
     table.Renew(AgentAnnouncement("a"), kTestStart);
     table.Renew(stop, kTestStart + 100ms);
     CPPUNIT_ASSERT(table.Expire(kTestStart + 10'099ms).empty());
     CPPUNIT_ASSERT(MemberState::Restarting == StateOf(table, "a"));
     table.Renew(AgentAnnouncement("a", 2, MemberState::Cold), kTestStart + 5s);
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), table.Find("a")->mAnnouncement.mMember.mCustodian);
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), table.Find("a")->mAnnouncement.mMember.mBackup);
     table.Renew(AgentAnnouncement("a", 2), kTestStart + 6s);
-    CPPUNIT_ASSERT(table.Find("a")->mAnnouncement.mMember.mCustodian.empty());
+    CPPUNIT_ASSERT(table.Find("a")->mAnnouncement.mMember.mBackup.empty());
     table.Renew(AgentAnnouncement("a", 2, MemberState::Restarting), kTestStart + 7s);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Expire(kTestStart + 17s).size());
     table.Renew(AgentAnnouncement("c", 1, MemberState::Left), kTestStart);
--- a/unittests/Daemon/HomeRecordsTest.cpp
+++ b/unittests/Daemon/HomeRecordsTest.cpp
@@ -130,7 +130,7 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartFirst(mAll);
+    first.mRecords.StartAsFirstOwner(mAll);
     const RequestId id = RunAt(first, "price");
     second.mRecords.Import(mAll, first.mRecords.Export(mAll, "b"));
     CheckResendIsAnswered(second, id, "price");
@@ -141,7 +141,7 @@
   void OldOwnerDecidesNothingAfterTheExport()
   {
     Agent first("a", mWallMs);
-    first.mRecords.StartFirst(mAll);
+    first.mRecords.StartAsFirstOwner(mAll);
     first.mRecords.Export(mAll, "b");
     const HomeActions actions = Send(first, RequestId::Make(mWallMs, mRandom), 1);
     CPPUNIT_ASSERT(Find<RunAtUpstream>(actions) == nullptr);
@@ -155,7 +155,7 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartFirst(mAll);
+    first.mRecords.StartAsFirstOwner(mAll);
     const RequestId id = RunAt(first, "price");
     const Json lost = first.mRecords.Export(mAll, "b");
     const Json repeated = first.mRecords.Export(mAll, "b");
@@ -169,7 +169,7 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartFirst(mAll);
+    first.mRecords.StartAsFirstOwner(mAll);
     second.mRecords.Import(mAll, first.mRecords.Export(mAll, "b"));
     const RequestId id = RunAt(second, "drawing");
     first.mRecords.Import(mAll, second.mRecords.Export(mAll, "a"));
@@ -181,7 +181,7 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartFirst(mAll);
+    first.mRecords.StartAsFirstOwner(mAll);
     const RequestId id = RunAt(first, "hold");
     second.mRecords.StartWithoutRecords(mAll);
     CheckResendIsUnknown(second, id);
