--- a/include/dandelionslip/Control/FileLayer.h
+++ b/include/dandelionslip/Control/FileSystem.h
@@ -14,7 +14,7 @@
 /// Success without a value, or an error.
 using Status = Result<void>;
 
-/// An open file of a FileLayer.
+/// An open file of a FileSystem.
 using FileHandle = int;
 
 enum class OpenMode
@@ -25,10 +25,10 @@
 
 /// File operations. Nothing is durable before Sync (contents) and SyncDirectory (names).
 /// All errors have the code Io and name the path.
-class FileLayer
+class FileSystem
 {
 public:
-  virtual ~FileLayer() = default;
+  virtual ~FileSystem() = default;
 
   virtual Result<FileHandle> Open(const std::string& aPath, OpenMode aMode) = 0;
   /// Writes all bytes at the end of the file.
--- a/include/dandelionslip/Control/LogEntry.h
+++ b/include/dandelionslip/Control/LogEntry.h
@@ -12,7 +12,7 @@
 {
   NoOp,       ///< Appended by a leader at the start of its term; carries nothing.
   Command,    ///< Payload of the state machine.
-  Membership, ///< Payload is the CBOR form of the resulting Membership.
+  Membership, ///< Payload is the CBOR form of the resulting RaftMembership.
 };
 
 std::span<const EnumName<EntryKind>> EnumNames(EntryKind);
--- a/include/dandelionslip/Control/LogStore.h
+++ b/include/dandelionslip/Control/LogStore.h
@@ -1,7 +1,7 @@
 // Durable log of one replica: identity, term and vote, snapshot and checksummed segments.
 #pragma once
 
-#include "dandelionslip/Control/FileLayer.h"
+#include "dandelionslip/Control/FileSystem.h"
 #include "dandelionslip/Control/HardState.h"
 #include "dandelionslip/Control/Snapshot.h"
 #include "dandelionslip/Support/Random.h"
@@ -46,7 +46,7 @@
 public:
   /// Opens or creates the store. Drops an incomplete record at the end of the newest segment.
   /// Damage before that gives ErrorCode::Corrupt with the segment's path and the offset.
-  static Result<std::unique_ptr<LogStore>> Open(FileLayer& aFiles, LogStoreSettings aSettings,
+  static Result<std::unique_ptr<LogStore>> Open(FileSystem& aFiles, LogStoreSettings aSettings,
                                                 Random& aRandom);
   ~LogStore();
   LogStore(const LogStore&) = delete;
@@ -57,7 +57,7 @@
 
   /// Writes the first membership to a blank store, the same on every replica in it. It must be
   /// called at most once in the life of a replica: never on a disk that replaces a lost one.
-  Status Bootstrap(const Membership& aMembership);
+  Status Bootstrap(const RaftMembership& aMembership);
 
   /// Writes term and vote.
   Status SaveHardState(const HardState& aState);
@@ -84,7 +84,7 @@
     std::uint64_t mSize = 0;
   };
 
-  LogStore(FileLayer& aFiles, LogStoreSettings aSettings);
+  LogStore(FileSystem& aFiles, LogStoreSettings aSettings);
 
   std::string PathOf(const std::string& aName) const;
   std::string SegmentPath(LogIndex aFirst) const;
@@ -118,7 +118,7 @@
   Status RemoveCoveredSegments();
   Status RemoveAllSegments();
 
-  FileLayer& mFiles;
+  FileSystem& mFiles;
   LogStoreSettings mSettings;
   std::map<LogIndex, Segment> mSegments; ///< By first index.
   std::optional<FileHandle> mNewest;     ///< Open for appending; the last of mSegments.
--- a/include/dandelionslip/Control/PosixFileLayer.h
+++ b/include/dandelionslip/Control/PosixFileSystem.h
@@ -1,12 +1,12 @@
-// FileLayer on the operating system's files.
+// FileSystem on the operating system's files.
 #pragma once
 
-#include "dandelionslip/Control/FileLayer.h"
+#include "dandelionslip/Control/FileSystem.h"
 
 namespace dandelionslip {
 
-/// FileLayer on the operating system's files.
-class PosixFileLayer : public FileLayer
+/// FileSystem on the operating system's files.
+class PosixFileSystem : public FileSystem
 {
 public:
   Result<FileHandle> Open(const std::string& aPath, OpenMode aMode) override;
--- a/include/dandelionslip/Control/ProposalTracker.h
+++ b/include/dandelionslip/Control/ProposalTracker.h
@@ -30,9 +30,9 @@
   /// Starts to wait for an entry returned by RaftCore::Propose.
   void Track(EntryId aEntry);
   /// An entry was applied; returns the proposals that this decides.
-  std::vector<ProposalResult> Applied(const LogEntry& aEntry);
+  std::vector<ProposalResult> OnApplied(const LogEntry& aEntry);
   /// A snapshot replaced all entries up to aIndex; their outcomes are unknown.
-  std::vector<ProposalResult> SnapshotInstalled(LogIndex aIndex);
+  std::vector<ProposalResult> OnSnapshotInstalled(LogIndex aIndex);
   /// Gives up on all open proposals, for example at a stop.
   std::vector<ProposalResult> Abandon();
   /// Gives up on one proposal, for example at its deadline.
--- a/include/dandelionslip/Control/RaftAction.h
+++ b/include/dandelionslip/Control/RaftAction.h
@@ -25,14 +25,14 @@
 std::string_view ToString(RaftRole aRole);
 
 /// Write, in this order: hard state, truncation, entries. Once all are synced, send the messages,
-/// and call RaftCore::Persisted if there were entries; the actions it returns follow those that
+/// and call RaftCore::OnPersisted if there were entries; the actions it returns follow those that
 /// were returned earlier.
 struct PersistAction
 {
   std::optional<HardState> mHardState;
   std::optional<LogIndex> mTruncateFrom;
   std::vector<LogEntry> mEntries;
-  std::vector<RaftMessage> mThenSend;
+  std::vector<RaftMessage> mMessagesAfterSync;
 };
 
 /// Send a message; it may be lost.
@@ -52,11 +52,11 @@
 {
   std::shared_ptr<const Snapshot> mSnapshot;
   bool mKeepSuffix = false; ///< Entries after the snapshot stay in the log.
-  std::vector<RaftMessage> mThenSend;
+  std::vector<RaftMessage> mMessagesAfterSync;
 };
 
 /// Role, term or known leader changed.
-struct RoleAction
+struct RoleChangedAction
 {
   RaftRole mRole = RaftRole::Follower;
   Term mTerm = 0;
@@ -77,7 +77,7 @@
 };
 
 using RaftAction = std::variant<PersistAction, SendAction, ApplyAction, InstallSnapshotAction,
-                                RoleAction, PeerRefusedAction, StopAction>;
+                                RoleChangedAction, PeerRefusedAction, StopAction>;
 using RaftActions = std::vector<RaftAction>;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/RaftCore.h
+++ b/include/dandelionslip/Control/RaftCore.h
@@ -47,7 +47,7 @@
   /// A message arrived.
   RaftActions Receive(TimePoint aNow, const RaftMessage& aMessage);
   /// The entries up to this one are synced to the local disk.
-  RaftActions Persisted(TimePoint aNow, EntryId aLast);
+  RaftActions OnPersisted(TimePoint aNow, EntryId aLast);
 
   /// Appends a command. On success the outcome is open until an ApplyAction brings the entry with
   /// the returned index: equal term means applied, another term means certainly not applied. Every
@@ -57,7 +57,7 @@
   /// Appends a membership change under the same rules. Further errors: Conflict (another change is
   /// open, or this term has no committed entry yet, or the learner's log is not durable up to the
   /// commit index), InvalidInput (the change does not fit the membership), NotFound.
-  Result<EntryId> ProposeChange(TimePoint aNow, const MembershipChange& aChange,
+  Result<EntryId> ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
                                 RaftActions& aActions);
   /// Hands leadership to an up-to-date voter before a planned stop; any voter when aTarget is
   /// empty. Proposals are refused until it succeeds or one election timeout has passed.
@@ -83,11 +83,11 @@
   /// Term of an entry that is still in the log or of the snapshot's last entry.
   std::optional<Term> TermAt(LogIndex aIndex) const;
   /// The newest membership in the log, which may not be committed yet.
-  const Membership& Members() const;
+  const RaftMembership& Members() const;
   /// The newest committed membership.
-  const Membership& CommittedMembers() const;
+  const RaftMembership& CommittedMembers() const;
   /// Leader only: the index up to which a replica's log is known to be durable and equal.
-  LogIndex MatchOf(const ReplicaId& aReplica) const;
+  LogIndex MatchIndexOf(const ReplicaId& aReplica) const;
 
 private:
   class Node;
--- a/include/dandelionslip/Control/Membership.h
+++ b/include/dandelionslip/Control/RaftMembership.h
@@ -31,7 +31,7 @@
 }
 
 /// Voters, learners and the identities that are removed for good.
-struct Membership
+struct RaftMembership
 {
   std::map<ReplicaId, ReplicaInfo> mReplicas;
   std::vector<ReplicaId> mRemoved;
@@ -44,37 +44,37 @@
   /// Smallest number of voters that forms a majority.
   std::size_t Quorum() const { return VoterCount() / 2 + 1; }
 
-  bool operator==(const Membership&) const = default;
+  bool operator==(const RaftMembership&) const = default;
 };
 
 template <typename V>
-void DescribeFields(V& aVisitor, Membership& aValue)
+void DescribeFields(V& aVisitor, RaftMembership& aValue)
 {
   aVisitor.Field("replicas", aValue.mReplicas);
   aVisitor.Field("removed", aValue.mRemoved);
 }
 
-enum class MembershipChangeKind
+enum class RaftMembershipChangeKind
 {
   AddLearner,
   Promote, ///< Learner to voter.
   Remove,  ///< For good; the identity is refused afterwards.
 };
 
-std::span<const EnumName<MembershipChangeKind>> EnumNames(MembershipChangeKind);
+std::span<const EnumName<RaftMembershipChangeKind>> EnumNames(RaftMembershipChangeKind);
 
 /// A change of one replica.
-struct MembershipChange
+struct RaftMembershipChange
 {
-  MembershipChangeKind mKind = MembershipChangeKind::AddLearner;
+  RaftMembershipChangeKind mKind = RaftMembershipChangeKind::AddLearner;
   ReplicaId mReplica;
   std::string mAddress; ///< For AddLearner only.
 
-  bool operator==(const MembershipChange&) const = default;
+  bool operator==(const RaftMembershipChange&) const = default;
 };
 
 template <typename V>
-void DescribeFields(V& aVisitor, MembershipChange& aValue)
+void DescribeFields(V& aVisitor, RaftMembershipChange& aValue)
 {
   aVisitor.Field("kind", aValue.mKind);
   aVisitor.Field("replica", aValue.mReplica);
--- a/include/dandelionslip/Control/RaftMessage.h
+++ b/include/dandelionslip/Control/RaftMessage.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "dandelionslip/Control/LogEntry.h"
-#include "dandelionslip/Control/Membership.h"
+#include "dandelionslip/Control/RaftMembership.h"
 
 #include <optional>
 #include <string>
@@ -151,7 +151,7 @@
 {
   LogIndex mIndex = 0;
   Term mLastTerm = 0; ///< Term of the entry at mIndex.
-  Membership mMembership;
+  RaftMembership mMembership;
   std::uint64_t mSize = 0; ///< Of the whole state, in bytes.
   std::uint64_t mOffset = 0;
   Bytes mData;
--- a/include/dandelionslip/Control/ReplicaKeeper.h
+++ b/include/dandelionslip/Control/ReplicaRepairPlanner.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "dandelionslip/Control/LogEntry.h"
-#include "dandelionslip/Control/Membership.h"
+#include "dandelionslip/Control/RaftMembership.h"
 #include "dandelionslip/Support/RuntimeClock.h"
 
 #include <functional>
@@ -12,7 +12,7 @@
 namespace dandelionslip {
 
 /// Settings of the replacement of replicas.
-struct ReplicaKeeperSettings
+struct ReplicaRepairSettings
 {
   std::size_t mTargetVoters = 5; ///< Twice the disks that may be lost at once, plus one.
   /// A voter that is silent for longer may be replaced by a learner. It is longer than a process
@@ -26,7 +26,7 @@
 /// What the leader knows of its group when it decides.
 struct ReplicaGroup
 {
-  const Membership& mMembers; ///< The newest membership in the log.
+  const RaftMembership& mMembers; ///< The newest membership in the log.
   ReplicaId mSelf;
   LogIndex mCommit = 0;
   std::function<LogIndex(const ReplicaId&)> mMatchOf; ///< Durable and equal up to this index.
@@ -36,20 +36,20 @@
 /// that lost its disk comes back under a new identity at its old address; it is promoted before the
 /// old identity is removed, so that at no time fewer disks hold a committed entry. Used by the
 /// leader only. Not thread-safe.
-class ReplicaKeeper
+class ReplicaRepairPlanner
 {
 public:
-  explicit ReplicaKeeper(const ReplicaKeeperSettings& aSettings);
+  explicit ReplicaRepairPlanner(const ReplicaRepairSettings& aSettings);
 
   /// A replica asked to join, or repeated that. The newest identity at an address replaces others.
   void OnJoinRequest(const ReplicaId& aReplica, const std::string& aAddress, TimePoint aNow);
   /// A message of a replica arrived.
-  void OnHeard(const ReplicaId& aReplica, TimePoint aNow);
+  void OnMessageFrom(const ReplicaId& aReplica, TimePoint aNow);
   /// This replica became the leader; silence is counted from now on.
-  void OnLeading(TimePoint aNow);
+  void OnBecameLeader(TimePoint aNow);
 
   /// The next change to propose, if any. Only one change may be open at a time.
-  std::optional<MembershipChange> Next(const ReplicaGroup& aGroup, TimePoint aNow) const;
+  std::optional<RaftMembershipChange> Next(const ReplicaGroup& aGroup, TimePoint aNow) const;
 
 private:
   struct Presence
@@ -61,11 +61,13 @@
   Milliseconds SilenceOf(const ReplicaId& aReplica, TimePoint aNow) const;
   bool IsSuperseded(const ReplicaGroup& aGroup, const ReplicaId& aReplica, TimePoint aNow) const;
   std::optional<ReplicaId> ReplaceableVoter(const ReplicaGroup& aGroup, TimePoint aNow) const;
-  std::optional<MembershipChange> AddJoining(const ReplicaGroup& aGroup, TimePoint aNow) const;
-  std::optional<MembershipChange> PromoteLearner(const ReplicaGroup& aGroup, TimePoint aNow) const;
-  std::optional<MembershipChange> RemoveReplica(const ReplicaGroup& aGroup, TimePoint aNow) const;
+  std::optional<RaftMembershipChange> AddJoining(const ReplicaGroup& aGroup, TimePoint aNow) const;
+  std::optional<RaftMembershipChange> PromoteLearner(const ReplicaGroup& aGroup,
+                                                     TimePoint aNow) const;
+  std::optional<RaftMembershipChange> RemoveReplica(const ReplicaGroup& aGroup,
+                                                    TimePoint aNow) const;
 
-  ReplicaKeeperSettings mSettings;
+  ReplicaRepairSettings mSettings;
   TimePoint mLeadingSince;
   std::map<ReplicaId, TimePoint> mHeard;
   std::map<ReplicaId, Presence> mJoining; ///< At most one identity for each address.
--- a/include/dandelionslip/Control/Snapshot.h
+++ b/include/dandelionslip/Control/Snapshot.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "dandelionslip/Control/LogEntry.h"
-#include "dandelionslip/Control/Membership.h"
+#include "dandelionslip/Control/RaftMembership.h"
 
 namespace dandelionslip {
 
@@ -11,7 +11,7 @@
 {
   LogIndex mIndex = 0;
   Term mTerm = 0;
-  Membership mMembership;
+  RaftMembership mMembership;
   Bytes mState; ///< Encoded by the state machine; opaque to the log.
 
   EntryId Id() const { return {mIndex, mTerm}; }
--- a/include/dandelionslip/Daemon/OperatorClient.h
+++ b/include/dandelionslip/Daemon/OperatorClient.h
@@ -1,7 +1,7 @@
 // Operators' requests to the control replicas.
 #pragma once
 
-#include "dandelionslip/Control/Membership.h"
+#include "dandelionslip/Control/RaftMembership.h"
 #include "dandelionslip/Model/Command.h"
 #include "dandelionslip/Support/RuntimeClock.h"
 
@@ -25,7 +25,7 @@
   CommandAnswer Send(const Command& aCommand, Milliseconds aTimeout);
 
   /// Proposes a change of the replicas. Repeated only while no leader took it.
-  CommandAnswer Send(const MembershipChange& aChange, Milliseconds aTimeout);
+  CommandAnswer Send(const RaftMembershipChange& aChange, Milliseconds aTimeout);
 
   /// The status of each replica that answers, keyed by its endpoint.
   Json Status(Milliseconds aTimeout);
--- a/lib/Control/LogStore.cpp
+++ b/lib/Control/LogStore.cpp
@@ -10,7 +10,7 @@
 
 namespace dandelionslip {
 
-LogStore::LogStore(FileLayer& aFiles, LogStoreSettings aSettings)
+LogStore::LogStore(FileSystem& aFiles, LogStoreSettings aSettings)
   : mFiles(aFiles)
   , mSettings(std::move(aSettings))
 {
@@ -26,7 +26,7 @@
   return std::move(mRecovered);
 }
 
-Status LogStore::Bootstrap(const Membership& aMembership)
+Status LogStore::Bootstrap(const RaftMembership& aMembership)
 {
   if (mLastIndex != 0) {
     return Fail(ErrorCode::Conflict, "store.bootstrap", mSettings.mDirectory,
--- a/lib/Control/LogStoreLoad.cpp
+++ b/lib/Control/LogStoreLoad.cpp
@@ -61,7 +61,7 @@
 
 // Reads a file that holds exactly one record.
 template <typename T>
-Result<T> ReadSingle(FileLayer& aFiles, const std::string& aPath)
+Result<T> ReadSingle(FileSystem& aFiles, const std::string& aPath)
 {
   BOOST_OUTCOME_TRY(const Bytes bytes, aFiles.Read(aPath));
   if (bytes.empty()) {
@@ -81,7 +81,7 @@
 
 } // namespace
 
-Result<std::unique_ptr<LogStore>> LogStore::Open(FileLayer& aFiles, LogStoreSettings aSettings,
+Result<std::unique_ptr<LogStore>> LogStore::Open(FileSystem& aFiles, LogStoreSettings aSettings,
                                                  Random& aRandom)
 {
   std::unique_ptr<LogStore> store(new LogStore(aFiles, std::move(aSettings)));
@@ -262,7 +262,7 @@
                       std::to_string(expected));
     }
     if (entry.mKind == EntryKind::Membership) {
-      const auto members = FromCbor<Membership>(entry.mPayload, aSegment.mPath);
+      const auto members = FromCbor<RaftMembership>(entry.mPayload, aSegment.mPath);
       if (!members) {
         return Damage(aSegment.mPath, offset, members.error().mDetail);
       }
--- a/lib/Control/PosixFileLayer.cpp
+++ b/lib/Control/PosixFileSystem.cpp
@@ -1,5 +1,5 @@
-// FileLayer on the operating system's files.
-#include "dandelionslip/Control/PosixFileLayer.h"
+// FileSystem on the operating system's files.
+#include "dandelionslip/Control/PosixFileSystem.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -38,7 +38,7 @@
 
 } // namespace
 
-Result<FileHandle> PosixFileLayer::Open(const std::string& aPath, OpenMode aMode)
+Result<FileHandle> PosixFileSystem::Open(const std::string& aPath, OpenMode aMode)
 {
   const int flags = aMode == OpenMode::Create ? O_CREAT | O_TRUNC : 0;
   const int file = ::open(aPath.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC | flags, kFileMode);
@@ -48,7 +48,7 @@
   return file;
 }
 
-Status PosixFileLayer::Append(FileHandle aFile, std::span<const std::uint8_t> aBytes)
+Status PosixFileSystem::Append(FileHandle aFile, std::span<const std::uint8_t> aBytes)
 {
   while (!aBytes.empty()) {
     const auto written = ::write(aFile, aBytes.data(), aBytes.size());
@@ -63,22 +63,22 @@
   return Ok();
 }
 
-Status PosixFileLayer::Sync(FileHandle aFile)
+Status PosixFileSystem::Sync(FileHandle aFile)
 {
   return Check(::fsync(aFile), "file.sync", HandleName(aFile));
 }
 
-Status PosixFileLayer::Truncate(FileHandle aFile, std::uint64_t aSize)
+Status PosixFileSystem::Truncate(FileHandle aFile, std::uint64_t aSize)
 {
   return Check(::ftruncate(aFile, static_cast<off_t>(aSize)), "file.truncate", HandleName(aFile));
 }
 
-void PosixFileLayer::Close(FileHandle aFile)
+void PosixFileSystem::Close(FileHandle aFile)
 {
   ::close(aFile);
 }
 
-Result<Bytes> PosixFileLayer::Read(const std::string& aPath)
+Result<Bytes> PosixFileSystem::Read(const std::string& aPath)
 {
   std::ifstream file(aPath, std::ios::binary);
   if (!file) {
@@ -91,17 +91,17 @@
   return bytes;
 }
 
-Status PosixFileLayer::Rename(const std::string& aFrom, const std::string& aTo)
+Status PosixFileSystem::Rename(const std::string& aFrom, const std::string& aTo)
 {
   return Check(::rename(aFrom.c_str(), aTo.c_str()), "file.rename", aFrom);
 }
 
-Status PosixFileLayer::Remove(const std::string& aPath)
+Status PosixFileSystem::Remove(const std::string& aPath)
 {
   return Check(::unlink(aPath.c_str()), "file.remove", aPath);
 }
 
-Status PosixFileLayer::MakeDirectory(const std::string& aPath)
+Status PosixFileSystem::MakeDirectory(const std::string& aPath)
 {
   if (::mkdir(aPath.c_str(), kDirectoryMode) != 0 && errno != EEXIST) {
     return FailWithErrno("directory.make", aPath);
@@ -109,7 +109,7 @@
   return Ok();
 }
 
-Status PosixFileLayer::SyncDirectory(const std::string& aPath)
+Status PosixFileSystem::SyncDirectory(const std::string& aPath)
 {
   const int directory = ::open(aPath.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (directory < 0) {
@@ -120,7 +120,7 @@
   return status;
 }
 
-Result<std::vector<std::string>> PosixFileLayer::List(const std::string& aPath)
+Result<std::vector<std::string>> PosixFileSystem::List(const std::string& aPath)
 {
   std::error_code error;
   std::vector<std::string> names;
--- a/lib/Control/ProposalTracker.cpp
+++ b/lib/Control/ProposalTracker.cpp
@@ -24,7 +24,7 @@
   mOpen.emplace(aEntry.mIndex, aEntry.mTerm);
 }
 
-std::vector<ProposalResult> ProposalTracker::Applied(const LogEntry& aEntry)
+std::vector<ProposalResult> ProposalTracker::OnApplied(const LogEntry& aEntry)
 {
   std::vector<ProposalResult> results;
   const auto [first, last] = mOpen.equal_range(aEntry.mIndex);
@@ -37,7 +37,7 @@
   return results;
 }
 
-std::vector<ProposalResult> ProposalTracker::SnapshotInstalled(LogIndex aIndex)
+std::vector<ProposalResult> ProposalTracker::OnSnapshotInstalled(LogIndex aIndex)
 {
   return TakeUnknown(mOpen, mOpen.upper_bound(aIndex));
 }
--- a/lib/Control/RaftCore.cpp
+++ b/lib/Control/RaftCore.cpp
@@ -22,9 +22,9 @@
   return mNode->Receive(aNow, aMessage);
 }
 
-RaftActions RaftCore::Persisted(TimePoint aNow, EntryId aLast)
+RaftActions RaftCore::OnPersisted(TimePoint aNow, EntryId aLast)
 {
-  return mNode->Persisted(aNow, aLast);
+  return mNode->OnPersisted(aNow, aLast);
 }
 
 Result<EntryId> RaftCore::Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions)
@@ -32,7 +32,7 @@
   return mNode->Propose(aNow, std::move(aPayload), aActions);
 }
 
-Result<EntryId> RaftCore::ProposeChange(TimePoint aNow, const MembershipChange& aChange,
+Result<EntryId> RaftCore::ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
                                         RaftActions& aActions)
 {
   return mNode->ProposeChange(aNow, aChange, aActions);
@@ -100,17 +100,17 @@
   return mNode->Log().TermAt(aIndex);
 }
 
-const Membership& RaftCore::Members() const
+const RaftMembership& RaftCore::Members() const
 {
   return mNode->Log().LatestMembership();
 }
 
-const Membership& RaftCore::CommittedMembers() const
+const RaftMembership& RaftCore::CommittedMembers() const
 {
   return mNode->Log().MembershipAt(mNode->CommitIndex());
 }
 
-LogIndex RaftCore::MatchOf(const ReplicaId& aReplica) const
+LogIndex RaftCore::MatchIndexOf(const ReplicaId& aReplica) const
 {
   return mNode->MatchOf(aReplica);
 }
--- a/lib/Control/RaftElection.cpp
+++ b/lib/Control/RaftElection.cpp
@@ -6,7 +6,7 @@
 std::optional<std::string> RaftCore::Node::ReasonToRefuse(const RaftMessage& aMessage) const
 {
   // Only the committed membership counts: a change that is not committed may be taken back.
-  const Membership& members = mLog.MembershipAt(mCommit);
+  const RaftMembership& members = mLog.MembershipAt(mCommit);
   if (members.IsRemoved(aMessage.mFrom)) {
     return "identity " + aMessage.mFrom + " was removed from the membership";
   }
@@ -116,7 +116,7 @@
 // Counts a vote of a voter whose disk is the promoted one; true when that makes a majority.
 bool RaftCore::Node::CountVote(const RaftMessage& aMessage)
 {
-  const Membership& members = mLog.LatestMembership();
+  const RaftMembership& members = mLog.LatestMembership();
   const ReplicaInfo* info = members.Find(aMessage.mFrom);
   if (info == nullptr || !info->mVoter || aMessage.mFromBlank ||
       (info->mStore != 0 && info->mStore != aMessage.mFromStore)) {
--- a/lib/Control/RaftFollower.cpp
+++ b/lib/Control/RaftFollower.cpp
@@ -29,7 +29,8 @@
       return false;
     }
     lowest = entry.mTerm;
-    if (entry.mKind == EntryKind::Membership && !FromCbor<Membership>(entry.mPayload, "append")) {
+    if (entry.mKind == EntryKind::Membership &&
+        !FromCbor<RaftMembership>(entry.mPayload, "append")) {
       return false;
     }
   }
--- a/lib/Control/RaftLog.cpp
+++ b/lib/Control/RaftLog.cpp
@@ -74,10 +74,10 @@
   mEntries.clear();
   mMemberships.clear();
   mSnapshot = std::move(aSnapshot);
-  mMemberships[SnapshotId().mIndex] = mSnapshot ? mSnapshot->mMembership : Membership{};
+  mMemberships[SnapshotId().mIndex] = mSnapshot ? mSnapshot->mMembership : RaftMembership{};
 }
 
-const Membership& RaftLog::MembershipAt(LogIndex aIndex) const
+const RaftMembership& RaftLog::MembershipAt(LogIndex aIndex) const
 {
   return std::prev(mMemberships.upper_bound(aIndex))->second;
 }
@@ -88,7 +88,7 @@
     return;
   }
   // The payload was checked when the entry was received or loaded.
-  if (auto membership = FromCbor<Membership>(aEntry.mPayload, "log")) {
+  if (auto membership = FromCbor<RaftMembership>(aEntry.mPayload, "log")) {
     mMemberships[aEntry.mIndex] = std::move(membership).value();
   }
 }
--- a/lib/Control/RaftLog.h
+++ b/lib/Control/RaftLog.h
@@ -43,10 +43,10 @@
   void Replace(std::shared_ptr<const Snapshot> aSnapshot);
 
   /// The newest membership and the index of its entry.
-  const Membership& LatestMembership() const { return mMemberships.rbegin()->second; }
+  const RaftMembership& LatestMembership() const { return mMemberships.rbegin()->second; }
   LogIndex LatestMembershipIndex() const { return mMemberships.rbegin()->first; }
   /// The membership in force after aIndex, which is not below the snapshot.
-  const Membership& MembershipAt(LogIndex aIndex) const;
+  const RaftMembership& MembershipAt(LogIndex aIndex) const;
 
 private:
   void RememberMembership(const LogEntry& aEntry);
@@ -55,7 +55,7 @@
   std::shared_ptr<const Snapshot> mSnapshot;
   std::deque<LogEntry> mEntries;
   /// By index of the entry; the first one is that of the snapshot.
-  std::map<LogIndex, Membership> mMemberships;
+  std::map<LogIndex, RaftMembership> mMemberships;
 };
 
 } // namespace dandelionslip
--- a/lib/Control/RaftNode.cpp
+++ b/lib/Control/RaftNode.cpp
@@ -80,7 +80,7 @@
   return Finish();
 }
 
-RaftActions RaftCore::Node::Persisted(TimePoint aNow, EntryId aLast)
+RaftActions RaftCore::Node::OnPersisted(TimePoint aNow, EntryId aLast)
 {
   Begin(aNow);
   if (mLog.TermAt(aLast.mIndex) == aLast.mTerm) {
@@ -122,7 +122,7 @@
     actions.emplace_back(ApplyAction{mLog.Range(mApplied + 1, mCommit)});
     mApplied = mCommit;
   }
-  const RoleAction current{Role(), mHardState.mTerm, mLeader};
+  const RoleChangedAction current{Role(), mHardState.mTerm, mLeader};
   if (current.mRole != mReported.mRole || current.mTerm != mReported.mTerm ||
       current.mLeader != mReported.mLeader) {
     actions.emplace_back(current);
@@ -149,13 +149,13 @@
     return;
   }
   if (!persist.mHardState && !install) {
-    // A leader's own copy counts only after Persisted, so its entries may leave before the sync.
+    // A leader's own copy counts only after OnPersisted, so its entries may leave before the sync.
     const auto split = std::stable_partition(messages.begin(), messages.end(), IsFromLeader);
     SendEach({messages.begin(), split}, aActions);
     messages.erase(messages.begin(), split);
   }
   if (!install) {
-    persist.mThenSend = std::move(messages);
+    persist.mMessagesAfterSync = std::move(messages);
     aActions.emplace_back(std::move(persist));
     return;
   }
@@ -240,7 +240,7 @@
 void RaftCore::Node::CheckSelf()
 {
   mSelfChecked = true;
-  const Membership& members = mLog.MembershipAt(mCommit);
+  const RaftMembership& members = mLog.MembershipAt(mCommit);
   if (members.IsRemoved(mSelf)) {
     StopSelf("identity " + mSelf + " was removed from the membership");
     return;
--- a/lib/Control/RaftNode.h
+++ b/lib/Control/RaftNode.h
@@ -20,9 +20,9 @@
 
   RaftActions Tick(TimePoint aNow);
   RaftActions Receive(TimePoint aNow, const RaftMessage& aMessage);
-  RaftActions Persisted(TimePoint aNow, EntryId aLast);
+  RaftActions OnPersisted(TimePoint aNow, EntryId aLast);
   Result<EntryId> Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions);
-  Result<EntryId> ProposeChange(TimePoint aNow, const MembershipChange& aChange,
+  Result<EntryId> ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
                                 RaftActions& aActions);
   Status TransferLeadership(TimePoint aNow, const ReplicaId& aTarget, RaftActions& aActions);
   void Compact(std::shared_ptr<const Snapshot> aSnapshot);
@@ -115,10 +115,10 @@
   Status CheckMayPropose(const char* aStep) const;
   EntryId ProposeEntry(EntryKind aKind, Bytes aPayload);
   void SyncPeers();
-  Result<Membership> Changed(const MembershipChange& aChange) const;
-  Status AddLearner(Membership& aMembers, const MembershipChange& aChange) const;
-  Status Promote(Membership& aMembers, const MembershipChange& aChange) const;
-  Status Remove(Membership& aMembers, const MembershipChange& aChange) const;
+  Result<RaftMembership> Changed(const RaftMembershipChange& aChange) const;
+  Status AddLearner(RaftMembership& aMembers, const RaftMembershipChange& aChange) const;
+  Status Promote(RaftMembership& aMembers, const RaftMembershipChange& aChange) const;
+  Status Remove(RaftMembership& aMembers, const RaftMembershipChange& aChange) const;
 
   const RaftSettings mSettings;
   const ReplicaId mSelf;
@@ -162,7 +162,7 @@
   std::vector<RaftMessage> mMessages;
   std::vector<PeerRefusedAction> mRefusedPeers;
   std::optional<std::string> mStopReason;
-  RoleAction mReported;
+  RoleChangedAction mReported;
 };
 
 } // namespace dandelionslip
--- a/lib/Control/RaftProposal.cpp
+++ b/lib/Control/RaftProposal.cpp
@@ -39,7 +39,7 @@
   return id;
 }
 
-Result<EntryId> RaftCore::Node::ProposeChange(TimePoint aNow, const MembershipChange& aChange,
+Result<EntryId> RaftCore::Node::ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
                                               RaftActions& aActions)
 {
   Begin(aNow);
@@ -63,7 +63,7 @@
 // Creates and drops peers so that they equal the newest membership.
 void RaftCore::Node::SyncPeers()
 {
-  const Membership& members = mLog.LatestMembership();
+  const RaftMembership& members = mLog.LatestMembership();
   std::erase_if(mPeers, [&](const auto& aItem) { return members.Find(aItem.first) == nullptr; });
   for (const auto& [id, info] : members.mReplicas) {
     if (id != mSelf && !mPeers.contains(id)) {
@@ -72,26 +72,26 @@
   }
 }
 
-Result<Membership> RaftCore::Node::Changed(const MembershipChange& aChange) const
+Result<RaftMembership> RaftCore::Node::Changed(const RaftMembershipChange& aChange) const
 {
-  Membership members = mLog.LatestMembership();
+  RaftMembership members = mLog.LatestMembership();
   if (members.IsRemoved(aChange.mReplica)) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica,
                 "the identity was removed for good");
   }
   const bool present = members.Find(aChange.mReplica) != nullptr;
-  if (!present && aChange.mKind != MembershipChangeKind::AddLearner) {
+  if (!present && aChange.mKind != RaftMembershipChangeKind::AddLearner) {
     return Fail(ErrorCode::NotFound, "raft.change", aChange.mReplica, "not in the membership");
   }
   Status changed = Ok();
   switch (aChange.mKind) {
-    case MembershipChangeKind::AddLearner:
+    case RaftMembershipChangeKind::AddLearner:
       changed = AddLearner(members, aChange);
       break;
-    case MembershipChangeKind::Promote:
+    case RaftMembershipChangeKind::Promote:
       changed = Promote(members, aChange);
       break;
-    case MembershipChangeKind::Remove:
+    case RaftMembershipChangeKind::Remove:
       changed = Remove(members, aChange);
       break;
   }
@@ -99,7 +99,8 @@
   return members;
 }
 
-Status RaftCore::Node::AddLearner(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Node::AddLearner(RaftMembership& aMembers,
+                                  const RaftMembershipChange& aChange) const
 {
   if (!IsReplicaId(aChange.mReplica)) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica,
@@ -113,7 +114,7 @@
   return Ok();
 }
 
-Status RaftCore::Node::Promote(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Node::Promote(RaftMembership& aMembers, const RaftMembershipChange& aChange) const
 {
   ReplicaInfo& info = aMembers.mReplicas[aChange.mReplica];
   if (info.mVoter) {
@@ -131,7 +132,7 @@
   return Ok();
 }
 
-Status RaftCore::Node::Remove(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Node::Remove(RaftMembership& aMembers, const RaftMembershipChange& aChange) const
 {
   if (aChange.mReplica == mSelf) {
     return Fail(ErrorCode::InvalidInput, "raft.change", mSelf,
@@ -147,7 +148,7 @@
 {
   Begin(aNow);
   BOOST_OUTCOME_TRY(CheckMayPropose("raft.transfer"));
-  const Membership& members = mLog.LatestMembership();
+  const RaftMembership& members = mLog.LatestMembership();
   const std::pair<const ReplicaId, RaftPeer>* best = nullptr;
   for (const auto& item : mPeers) {
     const bool wanted = aTarget.empty() || item.first == aTarget;
--- a/lib/Control/ReplicaKeeper.cpp
+++ b/lib/Control/ReplicaRepairPlanner.cpp
@@ -1,18 +1,18 @@
 // Decides which replica to add, promote or remove.
-#include "dandelionslip/Control/ReplicaKeeper.h"
+#include "dandelionslip/Control/ReplicaRepairPlanner.h"
 
 #include <algorithm>
 #include <array>
 
 namespace dandelionslip {
 
-ReplicaKeeper::ReplicaKeeper(const ReplicaKeeperSettings& aSettings)
+ReplicaRepairPlanner::ReplicaRepairPlanner(const ReplicaRepairSettings& aSettings)
   : mSettings(aSettings)
 {
 }
 
-void ReplicaKeeper::OnJoinRequest(const ReplicaId& aReplica, const std::string& aAddress,
-                                  TimePoint aNow)
+void ReplicaRepairPlanner::OnJoinRequest(const ReplicaId& aReplica, const std::string& aAddress,
+                                         TimePoint aNow)
 {
   std::erase_if(mJoining, [&](const auto& aItem) {
     return aNow - aItem.second.mAt > mSettings.mJoinLifetime ||
@@ -23,18 +23,18 @@
   }
 }
 
-void ReplicaKeeper::OnHeard(const ReplicaId& aReplica, TimePoint aNow)
+void ReplicaRepairPlanner::OnMessageFrom(const ReplicaId& aReplica, TimePoint aNow)
 {
   mHeard[aReplica] = aNow;
 }
 
-void ReplicaKeeper::OnLeading(TimePoint aNow)
+void ReplicaRepairPlanner::OnBecameLeader(TimePoint aNow)
 {
   mLeadingSince = aNow;
   mHeard.clear();
 }
 
-Milliseconds ReplicaKeeper::SilenceOf(const ReplicaId& aReplica, TimePoint aNow) const
+Milliseconds ReplicaRepairPlanner::SilenceOf(const ReplicaId& aReplica, TimePoint aNow) const
 {
   const auto heard = mHeard.find(aReplica);
   const TimePoint since = heard == mHeard.end() ? mLeadingSince : heard->second;
@@ -43,8 +43,8 @@
 
 // Two replicas cannot share an address: the later identity shows that the earlier one's disk is
 // gone. The earlier one is silent by then, because its process has ended.
-bool ReplicaKeeper::IsSuperseded(const ReplicaGroup& aGroup, const ReplicaId& aReplica,
-                                 TimePoint aNow) const
+bool ReplicaRepairPlanner::IsSuperseded(const ReplicaGroup& aGroup, const ReplicaId& aReplica,
+                                        TimePoint aNow) const
 {
   const ReplicaInfo* info = aGroup.mMembers.Find(aReplica);
   if (info == nullptr || aReplica == aGroup.mSelf) {
@@ -57,8 +57,8 @@
   });
 }
 
-std::optional<ReplicaId> ReplicaKeeper::ReplaceableVoter(const ReplicaGroup& aGroup,
-                                                         TimePoint aNow) const
+std::optional<ReplicaId> ReplicaRepairPlanner::ReplaceableVoter(const ReplicaGroup& aGroup,
+                                                                TimePoint aNow) const
 {
   std::optional<ReplicaId> longestSilent;
   Milliseconds longest = mSettings.mSilence;
@@ -77,8 +77,8 @@
   return longestSilent;
 }
 
-std::optional<MembershipChange> ReplicaKeeper::AddJoining(const ReplicaGroup& aGroup,
-                                                          TimePoint aNow) const
+std::optional<RaftMembershipChange> ReplicaRepairPlanner::AddJoining(const ReplicaGroup& aGroup,
+                                                                     TimePoint aNow) const
 {
   if (aGroup.mMembers.mReplicas.size() >= mSettings.mMaxReplicas) {
     return std::nullopt;
@@ -86,14 +86,14 @@
   for (const auto& [id, request] : mJoining) {
     const bool fresh = aNow - request.mAt <= mSettings.mJoinLifetime;
     if (fresh && aGroup.mMembers.Find(id) == nullptr && !aGroup.mMembers.IsRemoved(id)) {
-      return MembershipChange{MembershipChangeKind::AddLearner, id, request.mAddress};
+      return RaftMembershipChange{RaftMembershipChangeKind::AddLearner, id, request.mAddress};
     }
   }
   return std::nullopt;
 }
 
-std::optional<MembershipChange> ReplicaKeeper::PromoteLearner(const ReplicaGroup& aGroup,
-                                                              TimePoint aNow) const
+std::optional<RaftMembershipChange> ReplicaRepairPlanner::PromoteLearner(const ReplicaGroup& aGroup,
+                                                                         TimePoint aNow) const
 {
   const std::size_t voters = aGroup.mMembers.VoterCount();
   const bool wanted = voters < mSettings.mTargetVoters ||
@@ -105,38 +105,39 @@
     const bool live =
       !info.mVoter && SilenceOf(id, aNow) < mSettings.mSilence && !IsSuperseded(aGroup, id, aNow);
     if (live && aGroup.mMatchOf(id) >= aGroup.mCommit) {
-      return MembershipChange{MembershipChangeKind::Promote, id, {}};
+      return RaftMembershipChange{RaftMembershipChangeKind::Promote, id, {}};
     }
   }
   return std::nullopt;
 }
 
-std::optional<MembershipChange> ReplicaKeeper::RemoveReplica(const ReplicaGroup& aGroup,
-                                                             TimePoint aNow) const
+std::optional<RaftMembershipChange> ReplicaRepairPlanner::RemoveReplica(const ReplicaGroup& aGroup,
+                                                                        TimePoint aNow) const
 {
   if (aGroup.mMembers.VoterCount() > mSettings.mTargetVoters) {
     if (const auto voter = ReplaceableVoter(aGroup, aNow)) {
-      return MembershipChange{MembershipChangeKind::Remove, *voter, {}};
+      return RaftMembershipChange{RaftMembershipChangeKind::Remove, *voter, {}};
     }
   }
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
     const bool gone =
       IsSuperseded(aGroup, id, aNow) || SilenceOf(id, aNow) > mSettings.mLearnerSilence;
     if (!info.mVoter && id != aGroup.mSelf && gone) {
-      return MembershipChange{MembershipChangeKind::Remove, id, {}};
+      return RaftMembershipChange{RaftMembershipChangeKind::Remove, id, {}};
     }
   }
   return std::nullopt;
 }
 
-std::optional<MembershipChange> ReplicaKeeper::Next(const ReplicaGroup& aGroup,
-                                                    TimePoint aNow) const
+std::optional<RaftMembershipChange> ReplicaRepairPlanner::Next(const ReplicaGroup& aGroup,
+                                                               TimePoint aNow) const
 {
-  using Step =
-    std::optional<MembershipChange> (ReplicaKeeper::*)(const ReplicaGroup&, TimePoint) const;
+  using Step = std::optional<RaftMembershipChange> (ReplicaRepairPlanner::*)(const ReplicaGroup&,
+                                                                             TimePoint) const;
   // A surplus voter goes first: while it counts, one more loss can stop the group.
-  static constexpr std::array<Step, 3> kSteps{
-    &ReplicaKeeper::RemoveReplica, &ReplicaKeeper::PromoteLearner, &ReplicaKeeper::AddJoining};
+  static constexpr std::array<Step, 3> kSteps{&ReplicaRepairPlanner::RemoveReplica,
+                                              &ReplicaRepairPlanner::PromoteLearner,
+                                              &ReplicaRepairPlanner::AddJoining};
   for (const Step step : kSteps) {
     if (auto change = (this->*step)(aGroup, aNow)) {
       return change;
--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -6,8 +6,8 @@
 
 #include "dandelionslip/Control/JoinRequest.h"
 #include "dandelionslip/Control/MembershipCore.h"
-#include "dandelionslip/Control/PosixFileLayer.h"
-#include "dandelionslip/Control/ReplicaKeeper.h"
+#include "dandelionslip/Control/PosixFileSystem.h"
+#include "dandelionslip/Control/ReplicaRepairPlanner.h"
 #include "dandelionslip/Daemon/WorkerPool.h"
 #include "dandelionslip/Net/MetricsEndpoint.h"
 #include "dandelionslip/Net/Timer.h"
@@ -52,9 +52,9 @@
   return text.data();
 }
 
-Membership FoundingMembership(const ControlSettings& aSettings)
+RaftMembership FoundingMembership(const ControlSettings& aSettings)
 {
-  Membership membership;
+  RaftMembership membership;
   for (const auto& founder : aSettings.mFounders) {
     membership.mReplicas[FoundingIdentity(founder)] = {founder, true, 0};
   }
@@ -87,9 +87,9 @@
           std::find(founders.begin(), founders.end(), aSettings.mEndpoint) != founders.end());
 }
 
-ReplicaKeeperSettings KeeperSettingsFrom(const ControlSettings& aSettings)
+ReplicaRepairSettings KeeperSettingsFrom(const ControlSettings& aSettings)
 {
-  ReplicaKeeperSettings settings;
+  ReplicaRepairSettings settings;
   settings.mTargetVoters = aSettings.mTargetVoters;
   return settings;
 }
@@ -102,7 +102,7 @@
   return settings;
 }
 
-Result<std::unique_ptr<LogStore>> OpenStore(PosixFileLayer& aFiles,
+Result<std::unique_ptr<LogStore>> OpenStore(PosixFileSystem& aFiles,
                                             const ControlSettings& aSettings,
                                             const ControlStart& aStart, Random& aRandom)
 {
@@ -233,7 +233,7 @@
   }
 
   void OnRole(RaftRole aRole, Term aTerm, const std::string& aLeader,
-              const Membership& aMembers) override
+              const RaftMembership& aMembers) override
   {
     RoleChange change{aTerm, aRole == RaftRole::Leader, aLeader, {}};
     for (const auto& [id, info] : aMembers.mReplicas) {
@@ -245,7 +245,7 @@
     mMembership.OnRoleChange(change, RuntimeClock::now());
     if (change.mLeading && mLedTerm != aTerm) {
       mLedTerm = aTerm;
-      mKeeper.OnLeading(RuntimeClock::now());
+      mKeeper.OnBecameLeader(RuntimeClock::now());
     }
   }
 
@@ -405,7 +405,7 @@
   void KeepReplicas()
   {
     const TimePoint now = RuntimeClock::now();
-    const Membership members = mRaft.Members();
+    const RaftMembership members = mRaft.Members();
     const Milliseconds pause = members.IsVoter(mRaft.Self()) ? kPresenceInterval : kJoinInterval;
     if (!mJoinSentAt || now - *mJoinSentAt >= pause) {
       mJoinSentAt = now;
@@ -414,12 +414,12 @@
     mRaft.MaintainMembers([this](const RaftCore& aCore, TimePoint aNow) {
       const std::lock_guard lock(mMutex);
       return mKeeper.Next({aCore.Members(), mRaft.Self(), aCore.CommitIndex(),
-                           [&](const ReplicaId& aId) { return aCore.MatchOf(aId); }},
+                           [&](const ReplicaId& aId) { return aCore.MatchIndexOf(aId); }},
                           aNow);
     });
   }
 
-  void SendJoin(const Membership& aMembers)
+  void SendJoin(const RaftMembership& aMembers)
   {
     const JoinRequest request{mRaft.Self(), mSettings.mEndpoint, false};
     if (mRaft.IsLeader()) {
@@ -553,7 +553,7 @@
     }
     {
       const std::lock_guard lock(mMutex);
-      mKeeper.OnHeard(message.value().mFrom, RuntimeClock::now());
+      mKeeper.OnMessageFrom(message.value().mFrom, RuntimeClock::now());
     }
     mRaft.Receive(std::move(message.value()));
     aExchange->Respond({});
@@ -637,7 +637,7 @@
 
   void OnReplicaRequest(const std::shared_ptr<HttpExchange>& aExchange)
   {
-    const auto change = Decode<MembershipChange>(aExchange);
+    const auto change = Decode<RaftMembershipChange>(aExchange);
     if (!change) {
       return;
     }
@@ -690,8 +690,8 @@
   std::unique_ptr<Http2Server> mServer;
   std::unique_ptr<MetricsEndpoint> mMetrics;
   std::unique_ptr<RepeatingTimer> mTimer;
-  ReplicaKeeper mKeeper;      ///< Guarded by mMutex.
-  std::uint64_t mLedTerm = 0; ///< Newest term that this replica led; guarded by mMutex.
+  ReplicaRepairPlanner mKeeper; ///< Guarded by mMutex.
+  std::uint64_t mLedTerm = 0;   ///< Newest term that this replica led; guarded by mMutex.
   std::unique_ptr<RepeatingTimer> mKeeperTimer;
   std::optional<TimePoint> mJoinSentAt;
   bool mIdentityRefused = false;
@@ -717,7 +717,7 @@
 Result<int> RunControl(const ControlSettings& aSettings, const ControlStart& aStart)
 {
   InitialiseLog("dandelionslip-control", aSettings.mNode, aSettings.mLogLevel);
-  PosixFileLayer files;
+  PosixFileSystem files;
   Random random(SystemSeed());
   ControlStart start = aStart;
   while (true) {
--- a/lib/Daemon/OperatorClient.cpp
+++ b/lib/Daemon/OperatorClient.cpp
@@ -49,7 +49,7 @@
   return SendUntilDecided("/v1/command", ToCbor(aCommand), aTimeout);
 }
 
-CommandAnswer OperatorClient::Send(const MembershipChange& aChange, Milliseconds aTimeout)
+CommandAnswer OperatorClient::Send(const RaftMembershipChange& aChange, Milliseconds aTimeout)
 {
   return SendUntilDecided("/v1/replica", ToCbor(aChange), aTimeout);
 }
--- a/lib/Daemon/RaftRuntime.cpp
+++ b/lib/Daemon/RaftRuntime.cpp
@@ -95,7 +95,7 @@
     });
 }
 
-void RaftRuntime::ProposeChange(const MembershipChange& aChange, ProposalCallback aCallback)
+void RaftRuntime::ProposeChange(const RaftMembershipChange& aChange, ProposalCallback aCallback)
 {
   boost::asio::post(mStrand, [this, change = aChange, callback = std::move(aCallback)] {
     RaftActions actions;
@@ -108,7 +108,7 @@
 }
 
 void RaftRuntime::MaintainMembers(
-  std::function<std::optional<MembershipChange>(const RaftCore&, TimePoint)> aDecide)
+  std::function<std::optional<RaftMembershipChange>(const RaftCore&, TimePoint)> aDecide)
 {
   boost::asio::post(mStrand, [this, decide = std::move(aDecide)] {
     RaftActions actions;
@@ -132,7 +132,7 @@
   });
 }
 
-Membership RaftRuntime::Members()
+RaftMembership RaftRuntime::Members()
 {
   const std::lock_guard lock(mMutex);
   return mCore->Members();
@@ -185,12 +185,12 @@
   if (!aAction.mEntries.empty() && !Check(mStore->Append(aAction.mEntries))) {
     return;
   }
-  for (const auto& message : aAction.mThenSend) {
+  for (const auto& message : aAction.mMessagesAfterSync) {
     Send(message);
   }
   if (!aAction.mEntries.empty()) {
     Run([last = aAction.mEntries.back().Id()](RaftCore& aCore, TimePoint aNow) {
-      return aCore.Persisted(aNow, last);
+      return aCore.OnPersisted(aNow, last);
     });
   }
 }
@@ -207,7 +207,7 @@
       mListener.OnCommand(entry);
     }
     mApplied = entry.Id();
-    Resolve(mTracker.Applied(entry));
+    Resolve(mTracker.OnApplied(entry));
   }
   MaybeSnapshot();
 }
@@ -227,15 +227,15 @@
   }
   mSnapshotIndex = snapshot.mIndex;
   mApplied = snapshot.Id();
-  Resolve(mTracker.SnapshotInstalled(snapshot.mIndex));
-  for (const auto& message : aAction.mThenSend) {
+  Resolve(mTracker.OnSnapshotInstalled(snapshot.mIndex));
+  for (const auto& message : aAction.mMessagesAfterSync) {
     Send(message);
   }
 }
 
-void RaftRuntime::Do(RoleAction& aAction)
+void RaftRuntime::Do(RoleChangedAction& aAction)
 {
-  Membership members;
+  RaftMembership members;
   {
     const std::lock_guard lock(mMutex);
     members = mCore->Members();
--- a/lib/Daemon/RaftRuntime.h
+++ b/lib/Daemon/RaftRuntime.h
@@ -28,7 +28,7 @@
   /// The whole state for a snapshot.
   virtual Bytes EncodeState() = 0;
   virtual void OnRole(RaftRole aRole, Term aTerm, const std::string& aLeader,
-                      const Membership& aMembers) = 0;
+                      const RaftMembership& aMembers) = 0;
   /// The replica cannot go on, for example after a failed sync.
   virtual void OnFatal(const Error& aError) = 0;
 };
@@ -52,11 +52,11 @@
 
   /// Proposes a command; the callback tells whether it was applied.
   void Propose(Bytes aPayload, ProposalCallback aCallback);
-  void ProposeChange(const MembershipChange& aChange, ProposalCallback aCallback);
+  void ProposeChange(const RaftMembershipChange& aChange, ProposalCallback aCallback);
   /// Asks the function for a membership change and proposes it. The function runs on the strand
   /// while this replica leads.
   void MaintainMembers(
-    std::function<std::optional<MembershipChange>(const RaftCore&, TimePoint)> aDecide);
+    std::function<std::optional<RaftMembershipChange>(const RaftCore&, TimePoint)> aDecide);
   /// Hands leadership over before a planned stop; the callback runs on the strand.
   void TransferLeadership(std::function<void()> aCallback);
 
@@ -64,7 +64,7 @@
   bool IsLeader();
   std::string LeaderAddress();
   std::string AddressOf(const ReplicaId& aReplica);
-  Membership Members();
+  RaftMembership Members();
   Json Report();
   const ReplicaId& Self() const { return mSelf; }
 
@@ -78,7 +78,7 @@
   void Do(SendAction& aAction);
   void Do(ApplyAction& aAction);
   void Do(InstallSnapshotAction& aAction);
-  void Do(RoleAction& aAction);
+  void Do(RoleChangedAction& aAction);
   void Do(PeerRefusedAction& aAction);
   void Do(StopAction& aAction);
   std::string AddressLocked(const ReplicaId& aReplica) const;
--- a/tools/dandelionslipctl/main.cpp
+++ b/tools/dandelionslipctl/main.cpp
@@ -241,14 +241,14 @@
 
 int Replica(const Arguments& aArguments)
 {
-  MembershipChange change;
+  RaftMembershipChange change;
   change.mReplica = aArguments.at("REPLICA").asString();
   if (aArguments.at("add").asBool()) {
-    change.mKind = MembershipChangeKind::AddLearner;
+    change.mKind = RaftMembershipChangeKind::AddLearner;
     change.mAddress = aArguments.at("ENDPOINT").asString();
   } else {
-    change.mKind = aArguments.at("promote").asBool() ? MembershipChangeKind::Promote
-                                                     : MembershipChangeKind::Remove;
+    change.mKind = aArguments.at("promote").asBool() ? RaftMembershipChangeKind::Promote
+                                                     : RaftMembershipChangeKind::Remove;
   }
   auto client = ClientFor(aArguments);
   return Report(client.Send(change, TimeoutOf(aArguments)), "");
--- a/unittests/Control/FakeFileLayer.cpp
+++ b/unittests/Control/FakeFileSystem.cpp
@@ -1,5 +1,5 @@
-// FileLayer in memory that simulates crashes and failed syncs.
-#include "Control/FakeFileLayer.h"
+// FileSystem in memory that simulates crashes and failed syncs.
+#include "Control/FakeFileSystem.h"
 
 #include <boost/outcome/try.hpp>
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void FakeFileLayer::Restart(CrashMode aMode, Random& aRandom)
+void FakeFileSystem::Restart(CrashMode aMode, Random& aRandom)
 {
   mNames = NamesAfterCrash(aMode, aRandom);
   for (auto& [name, file] : mNames) {
@@ -38,13 +38,13 @@
   Disarm();
 }
 
-void FakeFileLayer::Disarm()
+void FakeFileSystem::Disarm()
 {
   mCrashAt = std::numeric_limits<std::size_t>::max();
   mFailSyncAt = mCrashAt;
 }
 
-FakeFileLayer::Names FakeFileLayer::NamesAfterCrash(CrashMode aMode, Random& aRandom) const
+FakeFileSystem::Names FakeFileSystem::NamesAfterCrash(CrashMode aMode, Random& aRandom) const
 {
   Names names = mSyncedNames;
   if (aMode == CrashMode::DropAll) {
@@ -65,19 +65,19 @@
   return names;
 }
 
-void FakeFileLayer::Wipe()
+void FakeFileSystem::Wipe()
 {
   mNames.clear();
   mSyncedNames.clear();
   mOpen.clear();
 }
 
-Bytes& FakeFileLayer::Contents(const std::string& aPath)
+Bytes& FakeFileSystem::Contents(const std::string& aPath)
 {
   return mNames.at(aPath)->mData;
 }
 
-Status FakeFileLayer::Step(const std::string& aPath)
+Status FakeFileSystem::Step(const std::string& aPath)
 {
   mCrashed = mCrashed || mOperations >= mCrashAt;
   ++mOperations;
@@ -87,7 +87,7 @@
   return Ok();
 }
 
-Status FakeFileLayer::StepSync(const std::string& aPath)
+Status FakeFileSystem::StepSync(const std::string& aPath)
 {
   BOOST_OUTCOME_TRY(Step(aPath));
   if (mSyncs++ == mFailSyncAt) {
@@ -96,7 +96,7 @@
   return Ok();
 }
 
-Result<FileHandle> FakeFileLayer::Open(const std::string& aPath, OpenMode aMode)
+Result<FileHandle> FakeFileSystem::Open(const std::string& aPath, OpenMode aMode)
 {
   BOOST_OUTCOME_TRY(Step(aPath));
   if (aMode == OpenMode::Create) {
@@ -110,7 +110,7 @@
   return mNextHandle++;
 }
 
-Status FakeFileLayer::Append(FileHandle aFile, std::span<const std::uint8_t> aBytes)
+Status FakeFileSystem::Append(FileHandle aFile, std::span<const std::uint8_t> aBytes)
 {
   BOOST_OUTCOME_TRY(Step("append"));
   Bytes& data = mOpen.at(aFile)->mData;
@@ -118,7 +118,7 @@
   return Ok();
 }
 
-Status FakeFileLayer::Sync(FileHandle aFile)
+Status FakeFileSystem::Sync(FileHandle aFile)
 {
   BOOST_OUTCOME_TRY(StepSync("sync"));
   File& file = *mOpen.at(aFile);
@@ -126,19 +126,19 @@
   return Ok();
 }
 
-Status FakeFileLayer::Truncate(FileHandle aFile, std::uint64_t aSize)
+Status FakeFileSystem::Truncate(FileHandle aFile, std::uint64_t aSize)
 {
   BOOST_OUTCOME_TRY(Step("truncate"));
   mOpen.at(aFile)->mData.resize(aSize);
   return Ok();
 }
 
-void FakeFileLayer::Close(FileHandle aFile)
+void FakeFileSystem::Close(FileHandle aFile)
 {
   mOpen.erase(aFile);
 }
 
-Result<Bytes> FakeFileLayer::Read(const std::string& aPath)
+Result<Bytes> FakeFileSystem::Read(const std::string& aPath)
 {
   const auto found = mNames.find(aPath);
   if (mCrashed || found == mNames.end()) {
@@ -147,7 +147,7 @@
   return found->second->mData;
 }
 
-Status FakeFileLayer::Rename(const std::string& aFrom, const std::string& aTo)
+Status FakeFileSystem::Rename(const std::string& aFrom, const std::string& aTo)
 {
   BOOST_OUTCOME_TRY(Step(aFrom));
   mNames[aTo] = mNames.at(aFrom);
@@ -155,7 +155,7 @@
   return Ok();
 }
 
-Status FakeFileLayer::Remove(const std::string& aPath)
+Status FakeFileSystem::Remove(const std::string& aPath)
 {
   BOOST_OUTCOME_TRY(Step(aPath));
   if (mNames.erase(aPath) == 0) {
@@ -164,19 +164,19 @@
   return Ok();
 }
 
-Status FakeFileLayer::MakeDirectory(const std::string& aPath)
+Status FakeFileSystem::MakeDirectory(const std::string& aPath)
 {
   return Step(aPath);
 }
 
-Status FakeFileLayer::SyncDirectory(const std::string& aPath)
+Status FakeFileSystem::SyncDirectory(const std::string& aPath)
 {
   BOOST_OUTCOME_TRY(StepSync(aPath));
   mSyncedNames = mNames;
   return Ok();
 }
 
-Result<std::vector<std::string>> FakeFileLayer::List(const std::string& aPath)
+Result<std::vector<std::string>> FakeFileSystem::List(const std::string& aPath)
 {
   std::vector<std::string> names;
   for (const auto& [name, file] : mNames) {
--- a/unittests/Control/FakeFileLayer.h
+++ b/unittests/Control/FakeFileSystem.h
@@ -1,7 +1,7 @@
-// FileLayer in memory that simulates crashes and failed syncs.
+// FileSystem in memory that simulates crashes and failed syncs.
 #pragma once
 
-#include "dandelionslip/Control/FileLayer.h"
+#include "dandelionslip/Control/FileSystem.h"
 #include "dandelionslip/Support/Random.h"
 
 #include <limits>
@@ -17,9 +17,9 @@
   Random,  ///< Any subset of the name changes and any part of the appended bytes.
 };
 
-/// FileLayer in memory for one directory. Counts the operations that change something, and can
+/// FileSystem in memory for one directory. Counts the operations that change something, and can
 /// crash before any of them or fail any sync.
-class FakeFileLayer : public FileLayer
+class FakeFileSystem : public FileSystem
 {
 public:
   /// Crashes before the operation with this number, counted from now on, starting with 0.
--- a/unittests/Control/LogStoreTest.cpp
+++ b/unittests/Control/LogStoreTest.cpp
@@ -1,7 +1,7 @@
 // Tests of the durable log against crashes, failed syncs and damage.
 #include "dandelionslip/Control/LogStore.h"
-#include "Control/FakeFileLayer.h"
-#include "dandelionslip/Control/PosixFileLayer.h"
+#include "Control/FakeFileSystem.h"
+#include "dandelionslip/Control/PosixFileSystem.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -42,7 +42,7 @@
   return entries;
 }
 
-Result<std::unique_ptr<LogStore>> OpenStore(FileLayer& aFiles, std::string aDirectory = kDirectory)
+Result<std::unique_ptr<LogStore>> OpenStore(FileSystem& aFiles, std::string aDirectory = kDirectory)
 {
   Random random(1);
   return LogStore::Open(aFiles, {std::move(aDirectory), kSmallSegment, {}}, random);
@@ -147,7 +147,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   // Runs the workload until the simulated crash; returns the number of acknowledged changes.
-  static std::size_t RunUntilCrash(FakeFileLayer& aFiles, const std::vector<Change>& aChanges)
+  static std::size_t RunUntilCrash(FakeFileSystem& aFiles, const std::vector<Change>& aChanges)
   {
     auto store = OpenStore(aFiles);
     std::size_t done = 0;
@@ -157,7 +157,7 @@
     return done;
   }
 
-  static void CheckRecovery(FakeFileLayer& aFiles, const std::vector<Change>& aChanges,
+  static void CheckRecovery(FakeFileSystem& aFiles, const std::vector<Change>& aChanges,
                             std::size_t aDone, const std::string& aCase)
   {
     const Contents before = aDone == 0 ? Contents{} : aChanges[aDone - 1].mAfter;
@@ -184,7 +184,7 @@
     for (std::size_t step = 0;; ++step) {
       std::size_t done = 0;
       for (std::uint64_t variant = 0; variant < 12; ++variant) {
-        FakeFileLayer files;
+        FakeFileSystem files;
         Random random(variant);
         files.CrashBefore(step);
         done = RunUntilCrash(files, changes);
@@ -205,7 +205,7 @@
     const Workload workload;
     const auto& changes = workload.Changes();
     for (std::size_t sync = 0;; ++sync) {
-      FakeFileLayer files;
+      FakeFileSystem files;
       auto store = OpenStore(files);
       files.FailSync(sync);
       std::size_t done = 0;
@@ -228,7 +228,7 @@
   }
 
   // A store with two segments; returns the path of the newest one.
-  static std::string FillTwoSegments(FakeFileLayer& aFiles)
+  static std::string FillTwoSegments(FakeFileSystem& aFiles)
   {
     auto store = OpenStore(aFiles);
     CPPUNIT_ASSERT(store.value()->SaveHardState({1, ""}));
@@ -239,10 +239,10 @@
   // Guards against a store that refuses to start after a write was interrupted.
   void CutTailIsDropped()
   {
-    FakeFileLayer reference;
+    FakeFileSystem reference;
     const std::size_t size = reference.Contents(FillTwoSegments(reference)).size();
     for (std::size_t cut = 1; cut < 60; ++cut) {
-      FakeFileLayer files;
+      FakeFileSystem files;
       Bytes& newest = files.Contents(FillTwoSegments(files));
       newest.resize(size - cut);
       CPPUNIT_ASSERT(OpenStore(files).value()->TakeRecovered().mDroppedTail);
@@ -254,13 +254,13 @@
   // Guards against damaged entries being used, or being dropped together with acknowledged ones.
   void DamageBeforeTheTailIsAnError()
   {
-    FakeFileLayer reference;
+    FakeFileSystem reference;
     FillTwoSegments(reference);
     const auto names = reference.List(kDirectory).value();
     for (const std::string& name : names) {
       const std::string path = std::string(kDirectory) + "/" + name;
       for (std::size_t at = 0; at < reference.Contents(path).size(); ++at) {
-        FakeFileLayer files;
+        FakeFileSystem files;
         FillTwoSegments(files);
         files.Contents(path)[at] ^= 0x10;
         const auto store = OpenStore(files);
@@ -275,7 +275,7 @@
   // Guards against a damaged length being taken for a record that was cut at the end of the file.
   void DamagedLengthIsNotACutTail()
   {
-    FakeFileLayer files;
+    FakeFileSystem files;
     const std::string path = FillTwoSegments(files);
     files.Contents(path)[2] = 0xff; // Third byte of the length of the first record.
     CPPUNIT_ASSERT(!OpenStore(files));
@@ -284,12 +284,12 @@
   // Guards against a replica that forgets its vote, its identity or a part of its log.
   void MissingFilesAreErrors()
   {
-    FakeFileLayer reference;
+    FakeFileSystem reference;
     FillTwoSegments(reference);
     const auto names = reference.List(kDirectory).value();
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), names.size());
     for (std::size_t i = 0; i + 1 < names.size(); ++i) {
-      FakeFileLayer files;
+      FakeFileSystem files;
       FillTwoSegments(files);
       CPPUNIT_ASSERT(files.Remove(std::string(kDirectory) + "/" + names[i]));
       CPPUNIT_ASSERT_MESSAGE(names[i], !OpenStore(files));
@@ -299,7 +299,7 @@
   // Guards against a replica taking over the disk of another one.
   void IdentityBelongsToTheDirectory()
   {
-    FakeFileLayer files;
+    FakeFileSystem files;
     const RecoveredState first = OpenStore(files).value()->TakeRecovered();
     CPPUNIT_ASSERT(IsReplicaId(first.mReplica));
     CPPUNIT_ASSERT(first.mStore != 0);
@@ -309,14 +309,14 @@
     Random random(2);
     const ReplicaId other = NewReplicaId(random);
     CPPUNIT_ASSERT(!LogStore::Open(files, {kDirectory, kSmallSegment, other}, random));
-    FakeFileLayer empty;
+    FakeFileSystem empty;
     CPPUNIT_ASSERT(!LogStore::Open(empty, {kDirectory, kSmallSegment, "not a UUID"}, random));
   }
 
   // Guards against a second first entry in a log that is in use.
   void BootstrapNeedsABlankStore()
   {
-    FakeFileLayer files;
+    FakeFileSystem files;
     auto store = OpenStore(files);
     CPPUNIT_ASSERT(store.value()->Bootstrap({}));
     CPPUNIT_ASSERT(!store.value()->Bootstrap({}));
@@ -326,7 +326,7 @@
   // Guards against an append that makes no progress when the bound leaves no room for an entry.
   void EntriesMayExceedTheSegmentBound()
   {
-    FakeFileLayer files;
+    FakeFileSystem files;
     Random random(1);
     auto store = LogStore::Open(files, {kDirectory, 1, {}}, random);
     CPPUNIT_ASSERT(store.value()->SaveHardState({1, ""}));
@@ -340,7 +340,7 @@
   {
     std::string directory = std::filesystem::temp_directory_path() / "dandelionslip-log-XXXXXX";
     CPPUNIT_ASSERT(mkdtemp(directory.data()) != nullptr);
-    PosixFileLayer files;
+    PosixFileSystem files;
     const Workload workload;
     for (const Change& change : workload.Changes()) {
       auto store = OpenStore(files, directory);
--- a/unittests/Control/ProposalTrackerTest.cpp
+++ b/unittests/Control/ProposalTrackerTest.cpp
@@ -20,10 +20,10 @@
     ProposalTracker tracker;
     tracker.Track({5, 1});
     tracker.Track({5, 2});
-    CPPUNIT_ASSERT(tracker.Applied({4, 2, EntryKind::NoOp, {}}).empty());
+    CPPUNIT_ASSERT(tracker.OnApplied({4, 2, EntryKind::NoOp, {}}).empty());
     const std::vector<ProposalResult> expected{{{5, 1}, ProposalOutcome::NotApplied},
                                                {{5, 2}, ProposalOutcome::Applied}};
-    CPPUNIT_ASSERT(tracker.Applied({5, 2, EntryKind::Command, {}}) == expected);
+    CPPUNIT_ASSERT(tracker.OnApplied({5, 2, EntryKind::Command, {}}) == expected);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), tracker.Open());
   }
 
@@ -37,7 +37,7 @@
     tracker.Forget({6, 1});
     const std::vector<ProposalResult> covered{{{5, 1}, ProposalOutcome::Unknown},
                                               {{7, 1}, ProposalOutcome::Unknown}};
-    CPPUNIT_ASSERT(tracker.SnapshotInstalled(7) == covered);
+    CPPUNIT_ASSERT(tracker.OnSnapshotInstalled(7) == covered);
     const std::vector<ProposalResult> left{{{8, 1}, ProposalOutcome::Unknown}};
     CPPUNIT_ASSERT(tracker.Abandon() == left);
     CPPUNIT_ASSERT(tracker.Abandon().empty());
--- a/unittests/Control/RaftCoreTest.cpp
+++ b/unittests/Control/RaftCoreTest.cpp
@@ -54,7 +54,8 @@
     CheckHistory(aCluster);
   }
 
-  static bool Change(SimulatedCluster& aCluster, MembershipChangeKind aKind, const ReplicaId& aId)
+  static bool Change(SimulatedCluster& aCluster, RaftMembershipChangeKind aKind,
+                     const ReplicaId& aId)
   {
     return aCluster.ChangeAndAwait({aKind, aId, "127.0.0.1:1"});
   }
@@ -177,9 +178,9 @@
     const std::size_t leader = cluster.AwaitLeader();
     const std::size_t lost = (leader + 1) % 3;
     cluster.At(lost).Crash();
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::AddLearner, cluster.At(3).Id()));
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::Promote, cluster.At(3).Id()));
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::Remove, cluster.At(lost).Id()));
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::AddLearner, cluster.At(3).Id()));
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::Promote, cluster.At(3).Id()));
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::Remove, cluster.At(lost).Id()));
     cluster.At(leader).Crash();
     CommitSome(cluster);
     AwaitConverged(cluster);
@@ -192,8 +193,8 @@
     SimulatedCluster cluster(4, 3, 8);
     CommitSome(cluster, 20);
     cluster.Isolate(3);
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::AddLearner, cluster.At(3).Id()));
-    const MembershipChange promote{MembershipChangeKind::Promote, cluster.At(3).Id(), ""};
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::AddLearner, cluster.At(3).Id()));
+    const RaftMembershipChange promote{RaftMembershipChangeKind::Promote, cluster.At(3).Id(), ""};
     const auto refused = cluster.Leader()->Change(cluster.Now(), promote);
     CPPUNIT_ASSERT(refused.error().mCode == ErrorCode::Conflict);
     CommitSome(cluster);
@@ -218,14 +219,14 @@
     SimulatedCluster cluster(5, 3, 9);
     SimulatedReplica& leader = cluster.At(cluster.AwaitLeader());
     const auto add = [&](std::size_t aIndex) {
-      return leader.Change(
-        cluster.Now(), {MembershipChangeKind::AddLearner, cluster.At(aIndex).Id(), "127.0.0.1:1"});
+      return leader.Change(cluster.Now(), {RaftMembershipChangeKind::AddLearner,
+                                           cluster.At(aIndex).Id(), "127.0.0.1:1"});
     };
     CPPUNIT_ASSERT(add(3));
     CPPUNIT_ASSERT(add(4).error().mCode == ErrorCode::Conflict);
     cluster.RunFor(Milliseconds(200));
     CPPUNIT_ASSERT(add(4));
-    const MembershipChange self{MembershipChangeKind::Remove, leader.Id(), ""};
+    const RaftMembershipChange self{RaftMembershipChangeKind::Remove, leader.Id(), ""};
     cluster.RunFor(Milliseconds(200));
     CPPUNIT_ASSERT(leader.Change(cluster.Now(), self).error().mCode == ErrorCode::InvalidInput);
     AwaitConverged(cluster);
@@ -239,8 +240,8 @@
     const std::size_t removed = (cluster.AwaitLeader() + 1) % 3;
     const ReplicaId id = cluster.At(removed).Id();
     cluster.Isolate(removed);
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::Remove, id));
-    const MembershipChange back{MembershipChangeKind::AddLearner, id, "127.0.0.1:1"};
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::Remove, id));
+    const RaftMembershipChange back{RaftMembershipChangeKind::AddLearner, id, "127.0.0.1:1"};
     CPPUNIT_ASSERT(cluster.Leader()->Change(cluster.Now(), back).error().mCode ==
                    ErrorCode::InvalidInput);
     cluster.Heal();
@@ -281,8 +282,8 @@
   {
     SimulatedCluster cluster(4, 3, 12);
     CommitSome(cluster);
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::AddLearner, cluster.At(3).Id()));
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::Promote, cluster.At(3).Id()));
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::AddLearner, cluster.At(3).Id()));
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::Promote, cluster.At(3).Id()));
     AwaitConverged(cluster);
     cluster.At(3).Crash();
     const std::size_t old = cluster.AwaitLeader();
@@ -297,7 +298,7 @@
   {
     SimulatedCluster cluster(4, 3, 13);
     CommitSome(cluster);
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::AddLearner, cluster.At(3).Id()));
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::AddLearner, cluster.At(3).Id()));
     AwaitConverged(cluster);
     Wipe(cluster, 3);
     CommitSome(cluster);
@@ -354,7 +355,7 @@
 
   static RecoveredState StateWithOldEntry()
   {
-    Membership members;
+    RaftMembership members;
     for (const ReplicaId id : {"a", "b", "c"}) {
       members.mReplicas[id].mVoter = true;
     }
@@ -387,11 +388,11 @@
     const TimePoint now(std::chrono::hours(1));
     const auto core = LeaderOfTermFour(state, now);
     core->Receive(now, MessageTo(state, 4, AppendAnswer{true, 2, 2, 2, 0, {}}));
-    CPPUNIT_ASSERT_EQUAL(LogIndex(2), core->MatchOf("b"));
+    CPPUNIT_ASSERT_EQUAL(LogIndex(2), core->MatchIndexOf("b"));
     CPPUNIT_ASSERT_EQUAL(LogIndex(0), core->CommitIndex());
     core->Receive(now, MessageTo(state, 4, AppendAnswer{true, 3, 2, 3, 0, {}}));
     CPPUNIT_ASSERT_EQUAL(LogIndex(0), core->CommitIndex());
-    core->Persisted(now, {3, 4});
+    core->OnPersisted(now, {3, 4});
     CPPUNIT_ASSERT_EQUAL(LogIndex(3), core->CommitIndex());
   }
 
@@ -408,7 +409,7 @@
     CPPUNIT_ASSERT(std::none_of(actions.begin(), actions.end(), [](const RaftAction& aAction) {
       return std::holds_alternative<SendAction>(aAction);
     }));
-    core->Persisted(now, {3, 4});
+    core->OnPersisted(now, {3, 4});
     CPPUNIT_ASSERT_EQUAL(LogIndex(0), core->CommitIndex());
   }
 
@@ -441,18 +442,18 @@
     const RecoveredState state = StateWithOldEntry();
     const TimePoint now(std::chrono::hours(1));
     RaftCore core({}, state, Random(1), now);
-    CPPUNIT_ASSERT_EQUAL(LogIndex(2), core.MatchOf("a"));
+    CPPUNIT_ASSERT_EQUAL(LogIndex(2), core.MatchIndexOf("a"));
     AppendRequest append;
     append.mPreviousIndex = 1;
     append.mPreviousTerm = 1;
     append.mEntries = {{2, 3, EntryKind::NoOp, {}}};
     core.Receive(now, MessageTo(state, 3, append));
     CPPUNIT_ASSERT_EQUAL(Term(3), core.TermAt(2).value());
-    CPPUNIT_ASSERT_EQUAL(LogIndex(1), core.MatchOf("a"));
-    core.Persisted(now, {2, 2});
-    CPPUNIT_ASSERT_EQUAL(LogIndex(1), core.MatchOf("a"));
-    core.Persisted(now, {2, 3});
-    CPPUNIT_ASSERT_EQUAL(LogIndex(2), core.MatchOf("a"));
+    CPPUNIT_ASSERT_EQUAL(LogIndex(1), core.MatchIndexOf("a"));
+    core.OnPersisted(now, {2, 2});
+    CPPUNIT_ASSERT_EQUAL(LogIndex(1), core.MatchIndexOf("a"));
+    core.OnPersisted(now, {2, 3});
+    CPPUNIT_ASSERT_EQUAL(LogIndex(2), core.MatchIndexOf("a"));
   }
 
   // Guards against a vote of a replica that may have forgotten an earlier one.
@@ -476,11 +477,11 @@
   {
     SimulatedCluster cluster(2, 1, 18);
     CommitSome(cluster);
-    CPPUNIT_ASSERT(Change(cluster, MembershipChangeKind::AddLearner, cluster.At(1).Id()));
+    CPPUNIT_ASSERT(Change(cluster, RaftMembershipChangeKind::AddLearner, cluster.At(1).Id()));
     AwaitConverged(cluster);
     cluster.RunFor(Milliseconds(50)); // The leader receives the last answers.
     cluster.Isolate(1);
-    const MembershipChange promote{MembershipChangeKind::Promote, cluster.At(1).Id(), ""};
+    const RaftMembershipChange promote{RaftMembershipChangeKind::Promote, cluster.At(1).Id(), ""};
     CPPUNIT_ASSERT(cluster.At(0).Change(cluster.Now(), promote));
     cluster.RunFor(Milliseconds(50));
     cluster.At(0).Crash();
--- a/unittests/Control/RaftScheduleTest.cpp
+++ b/unittests/Control/RaftScheduleTest.cpp
@@ -125,16 +125,16 @@
       aLeader.Transfer(mCluster.Now()).has_value();
     } else if (Chance(0.1)) {
       const ReplicaId target = mCluster.At(mRandom.Below(mCount)).Id();
-      const Membership& members = aLeader.Core().Members();
-      MembershipChange change{MembershipChangeKind::AddLearner, target, "127.0.0.1:1"};
+      const RaftMembership& members = aLeader.Core().Members();
+      RaftMembershipChange change{RaftMembershipChangeKind::AddLearner, target, "127.0.0.1:1"};
       if (members.IsVoter(target)) {
-        change.mKind = MembershipChangeKind::Remove;
+        change.mKind = RaftMembershipChangeKind::Remove;
       } else if (members.Find(target) != nullptr) {
-        change.mKind = MembershipChangeKind::Promote;
+        change.mKind = RaftMembershipChangeKind::Promote;
       }
       // A lost voter and a removed one together may leave no quorum.
       const bool mayRemove = !mMayWipe && mWipes == 0 && members.VoterCount() > 2 && Chance(0.1);
-      const bool allowed = change.mKind != MembershipChangeKind::Remove || mayRemove;
+      const bool allowed = change.mKind != RaftMembershipChangeKind::Remove || mayRemove;
       mChanges += allowed && aLeader.Change(mCluster.Now(), change) ? 1 : 0;
     }
   }
@@ -163,7 +163,7 @@
   // Only the replica with the wiped disk and removed ones may have been stopped.
   bool OnlyRefusedAreDown()
   {
-    const Membership& members = mCluster.Leader()->Core().Members();
+    const RaftMembership& members = mCluster.Leader()->Core().Members();
     for (std::size_t i = 0; i < mCount; ++i) {
       const ReplicaId& id = mCluster.At(i).Id();
       if (!mCluster.At(i).Running() && id != mWiped && !members.IsRemoved(id)) {
--- a/unittests/Control/ReplicaKeeperTest.cpp
+++ b/unittests/Control/ReplicaRepairPlannerTest.cpp
@@ -1,5 +1,5 @@
 // Tests of the replacement of lost replicas.
-#include "dandelionslip/Control/ReplicaKeeper.h"
+#include "dandelionslip/Control/ReplicaRepairPlanner.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,9 +11,9 @@
 
 constexpr TimePoint kStart{std::chrono::seconds(100)};
 
-class ReplicaKeeperTest : public CppUnit::TestFixture
+class ReplicaRepairPlannerTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(ReplicaKeeperTest);
+  CPPUNIT_TEST_SUITE(ReplicaRepairPlannerTest);
   CPPUNIT_TEST(GroupGrowsToItsTarget);
   CPPUNIT_TEST(LearnersBehindAreNotPromoted);
   CPPUNIT_TEST(WipedReplicaIsReplacedBeforeItsOldIdentityGoes);
@@ -23,8 +23,8 @@
   CPPUNIT_TEST(NewLeaderWaitsBeforeItCallsAVoterSilent);
   CPPUNIT_TEST_SUITE_END();
 
-  ReplicaKeeper mKeeper{ReplicaKeeperSettings{}};
-  Membership mMembers;
+  ReplicaRepairPlanner mKeeper{ReplicaRepairSettings{}};
+  RaftMembership mMembers;
   std::map<ReplicaId, LogIndex> mMatch;
   TimePoint mNow = kStart;
 
@@ -35,7 +35,7 @@
     for (const char* id : aIds) {
       mMembers.mReplicas[id] = {AddressOf(id), true, 1};
     }
-    mKeeper.OnLeading(mNow);
+    mKeeper.OnBecameLeader(mNow);
   }
 
   // Time passes; all members but the silent ones are heard.
@@ -45,14 +45,14 @@
       mNow += Milliseconds{100};
       for (const auto& [id, info] : mMembers.mReplicas) {
         if (!aSilent.contains(id)) {
-          mKeeper.OnHeard(id, mNow);
+          mKeeper.OnMessageFrom(id, mNow);
           mKeeper.OnJoinRequest(id, info.mAddress, mNow);
         }
       }
     }
   }
 
-  std::optional<MembershipChange> Next()
+  std::optional<RaftMembershipChange> Next()
   {
     return mKeeper.Next({mMembers, "1", 10, [this](const ReplicaId& aId) { return mMatch[aId]; }},
                         mNow);
@@ -66,14 +66,14 @@
       return "";
     }
     switch (change->mKind) {
-      case MembershipChangeKind::AddLearner:
+      case RaftMembershipChangeKind::AddLearner:
         mMembers.mReplicas[change->mReplica] = {change->mAddress, false, 0};
-        mKeeper.OnHeard(change->mReplica, mNow);
+        mKeeper.OnMessageFrom(change->mReplica, mNow);
         return "add " + change->mReplica;
-      case MembershipChangeKind::Promote:
+      case RaftMembershipChangeKind::Promote:
         mMembers.mReplicas[change->mReplica].mVoter = true;
         return "promote " + change->mReplica;
-      case MembershipChangeKind::Remove:
+      case RaftMembershipChangeKind::Remove:
         mMembers.mReplicas.erase(change->mReplica);
         mMembers.mRemoved.push_back(change->mReplica);
         return "remove " + change->mReplica;
@@ -166,13 +166,13 @@
     mMembers.mReplicas["6"] = {AddressOf("6"), false, 0};
     mMatch["6"] = 10;
     mNow += Milliseconds{60'000};
-    mKeeper.OnLeading(mNow);
-    mKeeper.OnHeard("6", mNow);
+    mKeeper.OnBecameLeader(mNow);
+    mKeeper.OnMessageFrom("6", mNow);
     AssertStep("");
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ReplicaKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReplicaRepairPlannerTest);
 
 } // namespace
 
--- a/unittests/Control/SimulatedCluster.cpp
+++ b/unittests/Control/SimulatedCluster.cpp
@@ -17,7 +17,7 @@
   : mRandom(aSeed)
   , mSettings(aSettings)
 {
-  Membership members;
+  RaftMembership members;
   for (std::size_t i = 0; i < aCount; ++i) {
     const ReplicaId id = NewReplicaId(mRandom);
     if (i < aVoters) {
@@ -111,7 +111,7 @@
   });
 }
 
-bool SimulatedCluster::ChangeAndAwait(const MembershipChange& aChange)
+bool SimulatedCluster::ChangeAndAwait(const RaftMembershipChange& aChange)
 {
   std::optional<EntryId> change;
   return RunUntil([&] {
--- a/unittests/Control/SimulatedCluster.h
+++ b/unittests/Control/SimulatedCluster.h
@@ -45,7 +45,7 @@
   /// Proposes a command at the leader and runs until it is accepted; false on a timeout.
   bool ProposeAndAwait();
   /// Runs until a membership change of the leader is committed.
-  bool ChangeAndAwait(const MembershipChange& aChange);
+  bool ChangeAndAwait(const RaftMembershipChange& aChange);
   /// Whether all running members have applied the leader's whole log.
   bool Converged();
 
--- a/unittests/Control/SimulatedReplica.cpp
+++ b/unittests/Control/SimulatedReplica.cpp
@@ -35,7 +35,7 @@
 {
 }
 
-void SimulatedReplica::Bootstrap(const Membership& aMembers)
+void SimulatedReplica::Bootstrap(const RaftMembership& aMembers)
 {
   auto store = LogStore::Open(mFiles, {"data", kSegmentBytes, mId}, mRandom);
   store.value()->Bootstrap(aMembers).value();
@@ -95,7 +95,7 @@
   return proposed;
 }
 
-Result<EntryId> SimulatedReplica::Change(TimePoint aNow, const MembershipChange& aChange)
+Result<EntryId> SimulatedReplica::Change(TimePoint aNow, const RaftMembershipChange& aChange)
 {
   RaftActions actions;
   auto proposed = mCore->ProposeChange(aNow, aChange, actions);
@@ -158,9 +158,10 @@
       mChecker.Logged(mId, entry, std::exchange(previous, entry.mTerm));
     }
   }
-  std::move(aAction.mThenSend.begin(), aAction.mThenSend.end(), std::back_inserter(mSent));
+  std::move(aAction.mMessagesAfterSync.begin(), aAction.mMessagesAfterSync.end(),
+            std::back_inserter(mSent));
   if (!aAction.mEntries.empty()) {
-    auto caused = mCore->Persisted(aNow, aAction.mEntries.back().Id());
+    auto caused = mCore->OnPersisted(aNow, aAction.mEntries.back().Id());
     std::move(caused.begin(), caused.end(), std::back_inserter(mActions));
   }
   return Ok();
@@ -171,8 +172,9 @@
   BOOST_OUTCOME_TRY(mStore->InstallSnapshot(*aAction.mSnapshot, aAction.mKeepSuffix));
   mChecker.Installed(mId, aAction.mSnapshot->mIndex, DigestIn(*aAction.mSnapshot));
   ++mSnapshotsInstalled;
-  Report(aNow, mProposals.SnapshotInstalled(aAction.mSnapshot->mIndex), nullptr);
-  std::move(aAction.mThenSend.begin(), aAction.mThenSend.end(), std::back_inserter(mSent));
+  Report(aNow, mProposals.OnSnapshotInstalled(aAction.mSnapshot->mIndex), nullptr);
+  std::move(aAction.mMessagesAfterSync.begin(), aAction.mMessagesAfterSync.end(),
+            std::back_inserter(mSent));
   return Ok();
 }
 
@@ -180,7 +182,7 @@
 {
   for (const LogEntry& entry : aAction.mEntries) {
     mChecker.Applied(mId, entry);
-    Report(aNow, mProposals.Applied(entry), &entry);
+    Report(aNow, mProposals.OnApplied(entry), &entry);
   }
   return Ok();
 }
@@ -191,7 +193,7 @@
   return Ok();
 }
 
-Status SimulatedReplica::Do(TimePoint /*aNow*/, RoleAction& aAction)
+Status SimulatedReplica::Do(TimePoint /*aNow*/, RoleChangedAction& aAction)
 {
   if (aAction.mRole == RaftRole::Leader) {
     mChecker.LeaderElected(aAction.mTerm, mId, [this](EntryId aId) {
--- a/unittests/Control/SimulatedReplica.h
+++ b/unittests/Control/SimulatedReplica.h
@@ -1,7 +1,7 @@
 // One control replica with a simulated disk, for runs in one process.
 #pragma once
 
-#include "Control/FakeFileLayer.h"
+#include "Control/FakeFileSystem.h"
 #include "Control/HistoryChecker.h"
 #include "dandelionslip/Control/ProposalTracker.h"
 #include "dandelionslip/Control/RaftCore.h"
@@ -24,7 +24,7 @@
   /// Starts the process on what the disk holds; false if the store refuses to open.
   bool Start(TimePoint aNow);
   /// Writes the first membership to the blank disk of a process that is not started.
-  void Bootstrap(const Membership& aMembers);
+  void Bootstrap(const RaftMembership& aMembers);
   /// Ends the process without notice.
   void Crash();
   bool Running() const { return mCore != nullptr; }
@@ -35,7 +35,7 @@
   void Receive(TimePoint aNow, const RaftMessage& aMessage);
   /// Proposes a unique command; its outcome goes to the checker.
   Result<EntryId> Propose(TimePoint aNow, const Bytes& aPayload);
-  Result<EntryId> Change(TimePoint aNow, const MembershipChange& aChange);
+  Result<EntryId> Change(TimePoint aNow, const RaftMembershipChange& aChange);
   Status Transfer(TimePoint aNow, const ReplicaId& aTarget = {});
   /// Stores a snapshot of the applied entries and compacts the log.
   void TakeSnapshot();
@@ -45,7 +45,7 @@
   const RaftCore& Core() const { return *mCore; }
   bool IsLeader() const { return Running() && mCore->Role() == RaftRole::Leader; }
   const ReplicaId& Id() const { return mId; }
-  FakeFileLayer& Files() { return mFiles; }
+  FakeFileSystem& Files() { return mFiles; }
   std::size_t PeersRefused() const { return mPeersRefused; }
   std::size_t SnapshotsInstalled() const { return mSnapshotsInstalled; }
 
@@ -55,7 +55,7 @@
   Status Do(TimePoint aNow, InstallSnapshotAction& aAction);
   Status Do(TimePoint aNow, ApplyAction& aAction);
   Status Do(TimePoint aNow, SendAction& aAction);
-  Status Do(TimePoint aNow, RoleAction& aAction);
+  Status Do(TimePoint aNow, RoleChangedAction& aAction);
   Status Do(TimePoint aNow, PeerRefusedAction& aAction);
   Status Do(TimePoint aNow, StopAction& aAction);
   void Report(TimePoint aNow, const std::vector<ProposalResult>& aResults, const LogEntry* aEntry);
@@ -64,7 +64,7 @@
   RaftSettings mSettings;
   Random mRandom;
   HistoryChecker& mChecker;
-  FakeFileLayer mFiles;
+  FakeFileSystem mFiles;
   std::unique_ptr<LogStore> mStore;
   std::unique_ptr<RaftCore> mCore;
   std::deque<RaftAction> mActions; ///< Not carried out yet.
