--- a/include/dandelionslip/Config/PacketSettings.h
+++ b/include/dandelionslip/Config/PacketSettings.h
@@ -31,10 +31,10 @@
 struct PacketAgentNodeSettings : PacketNodeSettings
 {
   std::string mService;
-  std::string mUpstreamEndpoint;         ///< UDP "address:port" of the upstream.
-  std::string mUpstreamOutboundEndpoint; ///< UDP "address:port" that the upstream sends to.
-  std::string mUpstreamReportEndpoint;   ///< TCP "address:port" for the upstream's heartbeats.
-  Milliseconds mHeartbeat{1'000};        ///< Interval of the upstream's heartbeats.
+  std::string mUpstreamEndpoint;          ///< UDP "address:port" of the upstream.
+  std::string mUpstreamOutboundEndpoint;  ///< UDP "address:port" that the upstream sends to.
+  std::string mUpstreamHeartbeatEndpoint; ///< TCP "address:port" for the upstream's heartbeats.
+  Milliseconds mHeartbeat{1'000};         ///< Interval of the upstream's heartbeats.
   Milliseconds mMaxFlowAge{60'000};
   double mColdExcessFactor = 1.0; ///< Multiplies the cold opens a second of the service.
   std::uint32_t mColdSlack = 0;   ///< Added to them.
--- a/include/dandelionslip/Daemon/PacketNodeCalls.h
+++ b/include/dandelionslip/Daemon/PacketNodeCalls.h
@@ -30,7 +30,7 @@
 class PacketAgentCalls : public PacketNodeCalls
 {
 public:
-  virtual ReportOutcome OnUpstreamReport(const UpstreamReport& aReport) = 0;
+  virtual HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport) = 0;
   virtual void OnUpstreamLeft(const std::string& aId) = 0;
 };
 
--- a/include/dandelionslip/Packet/FlowMessage.h
+++ b/include/dandelionslip/Packet/FlowMessage.h
@@ -11,7 +11,8 @@
 
 namespace dandelionslip {
 
-/// Flows and, where the kind of message needs it, the agent that holds them. Follows a HopHeader.
+/// Flows and, where the kind of message needs it, the agent that holds them. Follows a
+/// NodeMessageHeader.
 struct FlowMessage
 {
   /// Most flows in one message, so that it fits into a datagram of 1,200 bytes.
--- a/include/dandelionslip/Packet/HopHeader.h
+++ b/include/dandelionslip/Packet/NodeMessageHeader.h
@@ -9,7 +9,7 @@
 
 namespace dandelionslip {
 
-enum class HopKind : std::uint8_t
+enum class NodeMessageType : std::uint8_t
 {
   Deliver = 1,   ///< To an agent: deliver the packet to the upstream, or return it.
   DeliverIfHeld, ///< To an agent that was unsure: deliver the packet, to see if its flow is held.
@@ -22,7 +22,7 @@
   NotFound,     ///< To a balancer: the flow is not held here, or not known either.
   Unsure,       ///< To a balancer: only the upstream knows; it needs a packet of the flow.
   Register,     ///< To a home agent: flows that the sender holds.
-  Registered,   ///< To an agent: its flows are registered here.
+  RegisterAck,  ///< To an agent: its flows are registered here.
   Unregistered, ///< To a balancer: like NotFound, from a home whose directory is complete.
 };
 
@@ -45,16 +45,16 @@
 std::string_view ToString(ReturnReason aReason);
 
 /// Four bytes in front of every datagram between nodes.
-struct HopHeader
+struct NodeMessageHeader
 {
-  HopKind mKind = HopKind::Deliver;
+  NodeMessageType mKind = NodeMessageType::Deliver;
   ReturnReason mReason = ReturnReason::None;
 
   static constexpr std::size_t kBytes = 4;
 
   std::array<std::uint8_t, kBytes> Encode() const;
   /// InvalidInput: wrong magic, version, kind or reason, or too short.
-  static Result<HopHeader> Decode(std::span<const std::uint8_t> aBytes);
+  static Result<NodeMessageHeader> Decode(std::span<const std::uint8_t> aBytes);
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Packet/OpeningShares.h
+++ b/include/dandelionslip/Packet/OpeningShares.h
@@ -19,7 +19,7 @@
   std::vector<std::uint32_t> Split(std::uint32_t aAllowed, std::size_t aBalancers);
 
   /// The share of a balancer that becomes known during a round: one opening if one is left.
-  std::uint32_t ForNewcomer();
+  std::uint32_t ShareForNewBalancer();
 
 private:
   std::size_t mNext = 0;   ///< Whose turn it is in the next round.
--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -9,9 +9,9 @@
 #include "dandelionslip/Packet/FlowMessage.h"
 #include "dandelionslip/Packet/LoadReport.h"
 #include "dandelionslip/Packet/OpeningLimiter.h"
-#include "dandelionslip/Packet/PacketActions.h"
+#include "dandelionslip/Packet/PacketOutput.h"
 #include "dandelionslip/Packet/SpeedEstimator.h"
-#include "dandelionslip/Packet/UpstreamReport.h"
+#include "dandelionslip/Packet/UpstreamHeartbeat.h"
 #include "dandelionslip/Support/Metrics.h"
 
 #include <array>
@@ -35,7 +35,7 @@
 };
 
 /// Outcome of an upstream's heartbeat.
-enum class ReportOutcome
+enum class HeartbeatOutcome
 {
   Accepted,
   Late,         ///< Of an earlier start of the upstream, or overtaken by a newer one.
@@ -56,11 +56,11 @@
   void OnConfiguration(const Configuration& aConfiguration);
   /// aOwnIncarnation is the incarnation that this process announces.
   void OnView(const View& aView, std::uint64_t aOwnIncarnation);
-  ReportOutcome OnUpstreamReport(const UpstreamReport& aReport, TimePoint aNow);
+  HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport, TimePoint aNow);
   /// The upstream says that it exits.
   void OnUpstreamLeft(const std::string& aId);
   /// A datagram of a balancer after its hop header.
-  void OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
+  void OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                     std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   /// A packet that the upstream sent or gave back.
   void OnUpstreamPacket(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
@@ -78,7 +78,7 @@
   /// The newest heartbeat and what follows from it.
   struct Upstream
   {
-    UpstreamReport mReport;
+    UpstreamHeartbeat mReport;
     TimePoint mHeardAt;
     TimePoint mColdUntil;
     bool mLeft = false;
@@ -107,7 +107,7 @@
   {
     std::uint32_t mTag = 0;
     Endpoint mBalancer;
-    HopKind mKind = HopKind::Deliver;
+    NodeMessageType mKind = NodeMessageType::Deliver;
   };
 
   /// A packet that was delivered to see whether the upstream holds its flow.
@@ -132,16 +132,16 @@
   std::size_t ColdLimit() const;
   bool TableIsComplete(TimePoint aNow) const;
   bool UpstreamIsAbsent(TimePoint aNow) const;
-  void Deliver(const Endpoint& aBalancer, HopKind aKind, std::span<std::uint8_t> aPacket,
+  void Deliver(const Endpoint& aBalancer, NodeMessageType aKind, std::span<std::uint8_t> aPacket,
                PacketOutput& aOutput);
   void Return(const Endpoint& aBalancer, ReturnReason aReason,
               std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
   void OnOpening(const Endpoint& aFrom, const Segment& aSegment, std::span<std::uint8_t> aPacket,
                  PacketOutput& aOutput, TimePoint aNow);
   void LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const;
-  void OnMidFlow(const Endpoint& aFrom, HopKind aKind, const Segment& aSegment,
+  void OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
                  std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  void OnQuery(const Endpoint& aFrom, HopKind aKind, std::span<const std::uint8_t> aBytes,
+  void OnQuery(const Endpoint& aFrom, NodeMessageType aKind, std::span<const std::uint8_t> aBytes,
                PacketOutput& aOutput, TimePoint aNow);
   void OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
                   PacketOutput& aOutput, TimePoint aNow);
@@ -150,8 +150,8 @@
                 PacketOutput& aOutput, TimePoint aNow);
   static void SendRegistrations(const Registrations& aRegistrations, PacketOutput& aOutput);
   static bool AwaitsHomes(const Flow& aFlow);
-  HopKind Denial(HopKind aQuery, TimePoint aNow) const;
-  void SayWhere(const Endpoint& aBalancer, HopKind aKind, const FlowKey& aFlow,
+  NodeMessageType Denial(NodeMessageType aQuery, TimePoint aNow) const;
+  void SayWhere(const Endpoint& aBalancer, NodeMessageType aKind, const FlowKey& aFlow,
                 const Endpoint& aHolder, PacketOutput& aOutput);
   void DenyFlow(const Delivery& aDelivery, const Segment& aSegment,
                 std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
--- a/include/dandelionslip/Packet/PacketBalancer.h
+++ b/include/dandelionslip/Packet/PacketBalancer.h
@@ -7,7 +7,7 @@
 #include "dandelionslip/Packet/FlowMessage.h"
 #include "dandelionslip/Packet/LoadReport.h"
 #include "dandelionslip/Packet/OpeningQueue.h"
-#include "dandelionslip/Packet/PacketActions.h"
+#include "dandelionslip/Packet/PacketOutput.h"
 #include "dandelionslip/Packet/Placement.h"
 #include "dandelionslip/Packet/SearchBudget.h"
 #include "dandelionslip/Support/Metrics.h"
@@ -53,7 +53,7 @@
   /// A packet of a caller. The packet may be changed.
   void OnCallerPacket(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   /// A datagram of an agent after its hop header.
-  void OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
+  void OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                     std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   /// Forgets idle flows and gives up openings that waited too long; called every second.
   void OnTick(PacketOutput& aOutput, TimePoint aNow);
@@ -155,7 +155,7 @@
   void Continue(const Segment& aSegment, Flow& aFlow, std::span<const std::uint8_t> aPacket,
                 PacketOutput& aOutput, TimePoint aNow);
   void ForwardEarly(PacketOutput& aOutput, TimePoint aNow);
-  void Ask(const FlowKey& aKey, Search& aSearch, HopKind aKind, PacketOutput& aOutput,
+  void Ask(const FlowKey& aKey, Search& aSearch, NodeMessageType aKind, PacketOutput& aOutput,
            TimePoint aNow);
   void AskNext(const FlowKey& aKey, Search& aSearch, PacketOutput& aOutput, TimePoint aNow);
   void Probe(const Endpoint& aAgent, const Search& aSearch, PacketOutput& aOutput);
@@ -165,8 +165,8 @@
   bool HomesDeny(const FlowKey& aKey, const Search& aSearch, TimePoint aNow) const;
   std::vector<Endpoint> ChoicesFor(const std::string& aService, const FlowKey& aKey) const;
   bool IsSettled(TimePoint aNow) const;
-  void OnFlowMessage(const Endpoint& aFrom, HopKind aKind, std::span<const std::uint8_t> aBytes,
-                     PacketOutput& aOutput, TimePoint aNow);
+  void OnFlowMessage(const Endpoint& aFrom, NodeMessageType aKind,
+                     std::span<const std::uint8_t> aBytes, PacketOutput& aOutput, TimePoint aNow);
   void OnHeld(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder, PacketOutput& aOutput,
               TimePoint aNow);
   void OnDenied(const FlowKey& aKey, Search& aSearch, const Endpoint& aFrom, PacketOutput& aOutput,
--- a/include/dandelionslip/Packet/PacketActions.h
+++ b/include/dandelionslip/Packet/PacketOutput.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
-#include "dandelionslip/Packet/HopHeader.h"
+#include "dandelionslip/Packet/NodeMessageHeader.h"
 #include "dandelionslip/Packet/Segment.h"
 
 #include <cstdint>
@@ -18,7 +18,7 @@
   virtual ~PacketOutput() = default;
 
   /// Sends a packet to another node behind a hop header.
-  virtual void SendToNode(const Endpoint& aNode, const HopHeader& aHeader,
+  virtual void SendToNode(const Endpoint& aNode, const NodeMessageHeader& aHeader,
                           std::span<const std::uint8_t> aPacket) = 0;
   /// Sends a packet to the caller of the flow.
   virtual void SendToCaller(const FlowKey& aFlow, std::span<const std::uint8_t> aPacket) = 0;
--- a/include/dandelionslip/Packet/UpstreamReport.h
+++ b/include/dandelionslip/Packet/UpstreamHeartbeat.h
@@ -9,7 +9,7 @@
 namespace dandelionslip {
 
 /// One heartbeat of the upstream beside an agent.
-struct UpstreamReport
+struct UpstreamHeartbeat
 {
   std::string mId; ///< May be the same after a restart; mStartedMs then differs.
   std::string mService;
--- a/lib/Daemon/PacketAgentDaemon.cpp
+++ b/lib/Daemon/PacketAgentDaemon.cpp
@@ -80,10 +80,10 @@
   HttpResponse Metrics() override { return RenderMetrics(mNode.Registry()); }
   boost::asio::io_context& Loop() override { return mNode.Loop(); }
 
-  ReportOutcome OnUpstreamReport(const UpstreamReport& aReport) override
+  HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport) override
   {
     const MemberState before = mCore.State(RuntimeClock::now());
-    const ReportOutcome outcome = mCore.OnUpstreamReport(aReport, RuntimeClock::now());
+    const HeartbeatOutcome outcome = mCore.OnUpstreamHeartbeat(aReport, RuntimeClock::now());
     TellChange(before);
     return outcome;
   }
@@ -98,7 +98,7 @@
 private:
   Result<void> Open()
   {
-    auto nodes = mNode.BindNodes([this](const Endpoint& aFrom, const HopHeader& aHeader,
+    auto nodes = mNode.BindNodes([this](const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                                         auto aPacket) { OnNode(aFrom, aHeader, aPacket); });
     if (!nodes) {
       return nodes.as_failure();
@@ -123,10 +123,12 @@
     return Ok();
   }
 
-  void OnNode(const Endpoint& aFrom, const HopHeader& aHeader, std::span<std::uint8_t> aPacket)
+  void OnNode(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
+              std::span<std::uint8_t> aPacket)
   {
     // Only other agents register flows and confirm registrations.
-    if (aHeader.mKind != HopKind::Register && aHeader.mKind != HopKind::Registered) {
+    if (aHeader.mKind != NodeMessageType::Register &&
+        aHeader.mKind != NodeMessageType::RegisterAck) {
       NoteBalancer(aFrom);
     }
     mCore.OnNodePacket(aFrom, aHeader, aPacket, mOutput, RuntimeClock::now());
@@ -159,14 +161,14 @@
     item->second = RuntimeClock::now();
     if (isNew) {
       LoadReport report = mCore.Report(RuntimeClock::now());
-      report.mOpensAllowed = mShares.ForNewcomer();
+      report.mOpensAllowed = mShares.ShareForNewBalancer();
       SendReport(aBalancer, report.Encode());
     }
   }
 
   void SendReport(const Endpoint& aBalancer, const Bytes& aReport)
   {
-    mOutput.SendToNode(aBalancer, {HopKind::Load, ReturnReason::None}, aReport);
+    mOutput.SendToNode(aBalancer, {NodeMessageType::Load, ReturnReason::None}, aReport);
   }
 
   void SendReports()
--- a/lib/Daemon/PacketBalancerDaemon.cpp
+++ b/lib/Daemon/PacketBalancerDaemon.cpp
@@ -68,8 +68,8 @@
       return callers.as_failure();
     }
     mCallers = std::move(callers.value());
-    auto nodes =
-      mNode.BindNodes([this](const Endpoint& aFrom, const HopHeader& aHeader, auto aPacket) {
+    auto nodes = mNode.BindNodes(
+      [this](const Endpoint& aFrom, const NodeMessageHeader& aHeader, auto aPacket) {
         mCore.OnNodePacket(aFrom, aHeader, aPacket, mOutput, RuntimeClock::now());
       });
     if (!nodes) {
--- a/lib/Daemon/PacketNode.cpp
+++ b/lib/Daemon/PacketNode.cpp
@@ -110,12 +110,12 @@
   return UdpSocket::Bind(
     mPool.Loop(), Endpoint::Parse(mSettings.mDatagramEndpoint).value(),
     [this, handler = std::move(aHandler)](auto aBytes, const Endpoint& aFrom) {
-      const auto header = HopHeader::Decode(aBytes);
+      const auto header = NodeMessageHeader::Decode(aBytes);
       if (!header) {
         mRegistry.CounterFor("dandelionslip_packets_dropped_total", "reason=\"malformed\"").Add();
         return;
       }
-      handler(aFrom, header.value(), aBytes.subspan(HopHeader::kBytes));
+      handler(aFrom, header.value(), aBytes.subspan(NodeMessageHeader::kBytes));
     });
 }
 
@@ -141,7 +141,7 @@
   }
 }
 
-void SocketOutput::SendToNode(const Endpoint& aNode, const HopHeader& aHeader,
+void SocketOutput::SendToNode(const Endpoint& aNode, const NodeMessageHeader& aHeader,
                               std::span<const std::uint8_t> aPacket)
 {
   const auto header = aHeader.Encode();
--- a/lib/Daemon/PacketNode.h
+++ b/lib/Daemon/PacketNode.h
@@ -8,7 +8,7 @@
 #include "dandelionslip/Daemon/WorkerPool.h"
 #include "dandelionslip/Net/MetricsEndpoint.h"
 #include "dandelionslip/Net/UdpSocket.h"
-#include "dandelionslip/Packet/PacketActions.h"
+#include "dandelionslip/Packet/PacketOutput.h"
 
 #include <functional>
 #include <memory>
@@ -34,7 +34,7 @@
   void Start();
   /// Opens the socket towards other nodes; the handler gets the datagrams with a valid hop header.
   using NodeHandler =
-    std::function<void(const Endpoint&, const HopHeader&, std::span<std::uint8_t>)>;
+    std::function<void(const Endpoint&, const NodeMessageHeader&, std::span<std::uint8_t>)>;
   Result<std::unique_ptr<UdpSocket>> BindNodes(NodeHandler aHandler);
 
   /// Stops announcing after a last announcement.
@@ -83,7 +83,7 @@
 
   void SetSockets(const Sockets& aSockets) { mSockets = aSockets; }
 
-  void SendToNode(const Endpoint& aNode, const HopHeader& aHeader,
+  void SendToNode(const Endpoint& aNode, const NodeMessageHeader& aHeader,
                   std::span<const std::uint8_t> aPacket) override;
   void SendToCaller(const FlowKey& aFlow, std::span<const std::uint8_t> aPacket) override;
   void SendToUpstream(std::span<const std::uint8_t> aPacket) override;
--- a/lib/Packet/HopHeader.cpp
+++ b/lib/Packet/NodeMessageHeader.cpp
@@ -1,5 +1,5 @@
 // Codec of the hop header.
-#include "dandelionslip/Packet/HopHeader.h"
+#include "dandelionslip/Packet/NodeMessageHeader.h"
 
 #include <string>
 
@@ -20,12 +20,12 @@
   return kNames[static_cast<std::size_t>(aReason)];
 }
 
-std::array<std::uint8_t, HopHeader::kBytes> HopHeader::Encode() const
+std::array<std::uint8_t, NodeMessageHeader::kBytes> NodeMessageHeader::Encode() const
 {
   return {kMagic, kVersion, static_cast<std::uint8_t>(mKind), static_cast<std::uint8_t>(mReason)};
 }
 
-Result<HopHeader> HopHeader::Decode(std::span<const std::uint8_t> aBytes)
+Result<NodeMessageHeader> NodeMessageHeader::Decode(std::span<const std::uint8_t> aBytes)
 {
   const auto invalid = [](std::string aDetail) {
     return Fail(ErrorCode::InvalidInput, "hop.decode", "", std::move(aDetail));
@@ -36,13 +36,14 @@
   if (aBytes[0] != kMagic || aBytes[1] != kVersion) {
     return invalid("found another magic number or version");
   }
-  constexpr auto first = static_cast<std::uint8_t>(HopKind::Deliver);
-  constexpr auto last = static_cast<std::uint8_t>(HopKind::Unregistered);
+  constexpr auto first = static_cast<std::uint8_t>(NodeMessageType::Deliver);
+  constexpr auto last = static_cast<std::uint8_t>(NodeMessageType::Unregistered);
   if (aBytes[2] < first || aBytes[2] > last || aBytes[3] >= kReturnReasons) {
     return invalid("found kind " + std::to_string(aBytes[2]) + " with reason " +
                    std::to_string(aBytes[3]));
   }
-  return HopHeader{static_cast<HopKind>(aBytes[2]), static_cast<ReturnReason>(aBytes[3])};
+  return NodeMessageHeader{static_cast<NodeMessageType>(aBytes[2]),
+                           static_cast<ReturnReason>(aBytes[3])};
 }
 
 } // namespace dandelionslip
--- a/lib/Packet/OpeningShares.cpp
+++ b/lib/Packet/OpeningShares.cpp
@@ -13,7 +13,7 @@
   return shares;
 }
 
-std::uint32_t OpeningShares::ForNewcomer()
+std::uint32_t OpeningShares::ShareForNewBalancer()
 {
   if (mLeft == 0) {
     return 0;
--- a/lib/Packet/PacketAgent.cpp
+++ b/lib/Packet/PacketAgent.cpp
@@ -88,19 +88,19 @@
     .With("revision", aConfiguration.mRevision);
 }
 
-ReportOutcome PacketAgent::OnUpstreamReport(const UpstreamReport& aReport, TimePoint aNow)
+HeartbeatOutcome PacketAgent::OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport, TimePoint aNow)
 {
   if (aReport.mService != mSettings.mService) {
-    return ReportOutcome::WrongService;
+    return HeartbeatOutcome::WrongService;
   }
   if (mUpstream) {
-    const UpstreamReport& known = mUpstream->mReport;
+    const UpstreamHeartbeat& known = mUpstream->mReport;
     const bool sameStart = known.mId == aReport.mId && known.mStartedMs == aReport.mStartedMs;
     if (sameStart ? aReport.mSequence <= known.mSequence : aReport.mStartedMs < known.mStartedMs) {
-      return ReportOutcome::Late;
+      return HeartbeatOutcome::Late;
     }
     if (sameStart && mUpstream->mLeft) {
-      return ReportOutcome::Late;
+      return HeartbeatOutcome::Late;
     }
     mUpstreamStartSeen = mUpstreamStartSeen || !sameStart;
     if (!sameStart || known.mDraining != aReport.mDraining) {
@@ -125,7 +125,7 @@
   mUpstream = Upstream{aReport, aNow, aNow + aReport.mColdLeft, false};
   mReturnUnconfirmed = false;
   mUnansweredOpens = 0;
-  return ReportOutcome::Accepted;
+  return HeartbeatOutcome::Accepted;
 }
 
 void PacketAgent::OnUpstreamLeft(const std::string& aId)
--- a/lib/Packet/PacketAgentDirectory.cpp
+++ b/lib/Packet/PacketAgentDirectory.cpp
@@ -26,7 +26,7 @@
   });
 }
 
-void PacketAgent::SayWhere(const Endpoint& aBalancer, HopKind aKind, const FlowKey& aFlow,
+void PacketAgent::SayWhere(const Endpoint& aBalancer, NodeMessageType aKind, const FlowKey& aFlow,
                            const Endpoint& aHolder, PacketOutput& aOutput)
 {
   const FlowMessage message{aHolder, {aFlow}};
@@ -37,12 +37,12 @@
 void PacketAgent::AnswerProbe(const FlowKey& aFlow, PacketOutput& aOutput)
 {
   if (const auto probe = mProbes.find(aFlow); probe != mProbes.end()) {
-    SayWhere(probe->second.mBalancer, HopKind::Held, aFlow, mSettings.mEndpoint, aOutput);
+    SayWhere(probe->second.mBalancer, NodeMessageType::Held, aFlow, mSettings.mEndpoint, aOutput);
     mProbes.erase(probe);
   }
 }
 
-void PacketAgent::OnQuery(const Endpoint& aFrom, HopKind aKind,
+void PacketAgent::OnQuery(const Endpoint& aFrom, NodeMessageType aKind,
                           std::span<const std::uint8_t> aBytes, PacketOutput& aOutput,
                           TimePoint aNow)
 {
@@ -53,24 +53,25 @@
   }
   const FlowKey& key = message.value().mFlows.front();
   if (mFlows.contains(key)) {
-    SayWhere(aFrom, HopKind::Held, key, mSettings.mEndpoint, aOutput);
+    SayWhere(aFrom, NodeMessageType::Held, key, mSettings.mEndpoint, aOutput);
     return;
   }
-  if (aKind == HopKind::Query) {
+  if (aKind == NodeMessageType::Query) {
     if (const auto holder = mDirectory.Find(key)) {
-      SayWhere(aFrom, HopKind::Held, key, *holder, aOutput);
+      SayWhere(aFrom, NodeMessageType::Held, key, *holder, aOutput);
       return;
     }
   }
   SayWhere(aFrom, Denial(aKind, aNow), key, {}, aOutput);
 }
 
-HopKind PacketAgent::Denial(HopKind aQuery, TimePoint aNow) const
+NodeMessageType PacketAgent::Denial(NodeMessageType aQuery, TimePoint aNow) const
 {
   if (!TableIsComplete(aNow) && !UpstreamIsAbsent(aNow)) {
-    return HopKind::Unsure;
+    return NodeMessageType::Unsure;
   }
-  return aQuery == HopKind::Query && mIsHome ? HopKind::Unregistered : HopKind::NotFound;
+  return aQuery == NodeMessageType::Query && mIsHome ? NodeMessageType::Unregistered
+                                                     : NodeMessageType::NotFound;
 }
 
 void PacketAgent::OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
@@ -86,7 +87,7 @@
     stored = mDirectory.Register(flow, aFrom, aNow) && stored;
   }
   if (stored) {
-    aOutput.SendToNode(aFrom, {HopKind::Registered, ReturnReason::None}, aBytes);
+    aOutput.SendToNode(aFrom, {NodeMessageType::RegisterAck, ReturnReason::None}, aBytes);
   }
 }
 
@@ -139,7 +140,7 @@
 {
   for (const auto& [home, message] : aRegistrations) {
     if (!message.mFlows.empty()) {
-      aOutput.SendToNode(home, {HopKind::Register, ReturnReason::None}, message.Encode());
+      aOutput.SendToNode(home, {NodeMessageType::Register, ReturnReason::None}, message.Encode());
     }
   }
 }
--- a/lib/Packet/PacketAgentFlows.cpp
+++ b/lib/Packet/PacketAgentFlows.cpp
@@ -33,24 +33,25 @@
 
 } // namespace
 
-void PacketAgent::OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
+void PacketAgent::OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                                std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                TimePoint aNow)
 {
-  if (aHeader.mKind == HopKind::Query || aHeader.mKind == HopKind::QueryHeld) {
+  if (aHeader.mKind == NodeMessageType::Query || aHeader.mKind == NodeMessageType::QueryHeld) {
     OnQuery(aFrom, aHeader.mKind, aPacket, aOutput, aNow);
     return;
   }
-  if (aHeader.mKind == HopKind::Register) {
+  if (aHeader.mKind == NodeMessageType::Register) {
     OnRegister(aFrom, aPacket, aOutput, aNow);
     return;
   }
-  if (aHeader.mKind == HopKind::Registered) {
+  if (aHeader.mKind == NodeMessageType::RegisterAck) {
     OnRegistered(aFrom, aPacket);
     return;
   }
   const auto segment = mCodec.DecodeFromCaller(aPacket);
-  const bool known = aHeader.mKind == HopKind::Deliver || aHeader.mKind == HopKind::DeliverIfHeld;
+  const bool known =
+    aHeader.mKind == NodeMessageType::Deliver || aHeader.mKind == NodeMessageType::DeliverIfHeld;
   if (!segment || !known || segment->mBounced) {
     mMalformed.Add();
     return;
@@ -86,7 +87,7 @@
   if (mUnansweredOpens++ == 0) {
     mUnansweredSince = aNow;
   }
-  Deliver(aFrom, HopKind::Deliver, aPacket, aOutput);
+  Deliver(aFrom, NodeMessageType::Deliver, aPacket, aOutput);
 }
 
 void PacketAgent::LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const
@@ -105,7 +106,7 @@
     .With("routes", mRoutes.mVersion);
 }
 
-void PacketAgent::OnMidFlow(const Endpoint& aFrom, HopKind aKind, const Segment& aSegment,
+void PacketAgent::OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
                             std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow)
 {
   auto found = mFlows.find(aSegment.mFlow);
@@ -116,7 +117,7 @@
   }
   if (found == mFlows.end()) {
     if (!TableIsComplete(aNow)) {
-      if (aKind == HopKind::DeliverIfHeld && mProbes.size() < kMaxProbes) {
+      if (aKind == NodeMessageType::DeliverIfHeld && mProbes.size() < kMaxProbes) {
         mProbes[aSegment.mFlow] = {aFrom, aNow};
       }
       Deliver(aFrom, aKind, aPacket, aOutput);
@@ -128,8 +129,8 @@
   Flow& flow = found->second;
   flow.mUsedAt = aNow;
   NoteRequest(flow, aSegment, aNow);
-  if (aKind == HopKind::DeliverIfHeld) {
-    SayWhere(aFrom, HopKind::Held, aSegment.mFlow, mSettings.mEndpoint, aOutput);
+  if (aKind == NodeMessageType::DeliverIfHeld) {
+    SayWhere(aFrom, NodeMessageType::Held, aSegment.mFlow, mSettings.mEndpoint, aOutput);
   }
   Deliver(aFrom, aKind, aPacket, aOutput);
   if (aSegment.mResets) {
@@ -229,8 +230,8 @@
   DenyFlow(delivery, *segment, aPacket, aOutput);
 }
 
-void PacketAgent::Deliver(const Endpoint& aBalancer, HopKind aKind, std::span<std::uint8_t> aPacket,
-                          PacketOutput& aOutput)
+void PacketAgent::Deliver(const Endpoint& aBalancer, NodeMessageType aKind,
+                          std::span<std::uint8_t> aPacket, PacketOutput& aOutput)
 {
   mDelivered.Add();
   const std::uint32_t tag = mNextTag++;
@@ -243,14 +244,14 @@
                          std::span<const std::uint8_t> aPacket, PacketOutput& aOutput)
 {
   mReturned[static_cast<std::size_t>(aReason)]->Add();
-  aOutput.SendToNode(aBalancer, {HopKind::Returned, aReason}, aPacket);
+  aOutput.SendToNode(aBalancer, {NodeMessageType::Returned, aReason}, aPacket);
 }
 
 void PacketAgent::DenyFlow(const Delivery& aDelivery, const Segment& aSegment,
                            std::span<const std::uint8_t> aPacket, PacketOutput& aOutput)
 {
-  if (aDelivery.mKind == HopKind::DeliverIfHeld) {
-    SayWhere(aDelivery.mBalancer, HopKind::NotFound, aSegment.mFlow, {}, aOutput);
+  if (aDelivery.mKind == NodeMessageType::DeliverIfHeld) {
+    SayWhere(aDelivery.mBalancer, NodeMessageType::NotFound, aSegment.mFlow, {}, aOutput);
   } else {
     Return(aDelivery.mBalancer, ReturnReason::NotHeld, aPacket, aOutput);
   }
--- a/lib/Packet/PacketBalancer.cpp
+++ b/lib/Packet/PacketBalancer.cpp
@@ -208,7 +208,7 @@
     return;
   }
   mForwarded.Add();
-  aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
+  aOutput.SendToNode(*flow.mHolder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
 }
 
 // Packets of open flows that came before the balancer was ready: their callers send them again only
@@ -240,7 +240,7 @@
   Flow& flow = FlowOf(aSegment.mFlow, aNow);
   if (aSegment.mCopyNumber > 0 && flow.mHolder) {
     mForwarded.Add();
-    aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
+    aOutput.SendToNode(*flow.mHolder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
     return;
   }
   flow = Flow{};
@@ -274,7 +274,7 @@
   mPlaced.Add();
   LogPlacement(aSegment, *holder, aNow);
   ++mAgents[*holder].mPlaced;
-  aOutput.SendToNode(*holder, {HopKind::Deliver, ReturnReason::None}, aPacket);
+  aOutput.SendToNode(*holder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
 }
 
 void PacketBalancer::LogPlacement(const Segment& aSegment, const Endpoint& aHolder, TimePoint aNow)
@@ -378,21 +378,21 @@
   return ChooseAmong(all, aFlow, aNow);
 }
 
-void PacketBalancer::OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
+void PacketBalancer::OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                                   std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                   TimePoint aNow)
 {
   switch (aHeader.mKind) {
-    case HopKind::Load:
+    case NodeMessageType::Load:
       OnLoad(aFrom, aPacket, aOutput, aNow);
       return;
-    case HopKind::Returned:
+    case NodeMessageType::Returned:
       OnReturned(aFrom, aHeader.mReason, aPacket, aOutput, aNow);
       return;
-    case HopKind::Held:
-    case HopKind::NotFound:
-    case HopKind::Unregistered:
-    case HopKind::Unsure:
+    case NodeMessageType::Held:
+    case NodeMessageType::NotFound:
+    case NodeMessageType::Unregistered:
+    case NodeMessageType::Unsure:
       OnFlowMessage(aFrom, aHeader.mKind, aPacket, aOutput, aNow);
       return;
     default:
@@ -417,7 +417,7 @@
   Flow& flow = FlowOf(segment->mFlow, aNow);
   if (flow.mHolder && *flow.mHolder != aFrom) {
     // The flow was found or placed elsewhere meanwhile.
-    aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
+    aOutput.SendToNode(*flow.mHolder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
     return;
   }
   flow.mHolder.reset();
--- a/lib/Packet/PacketBalancerSearch.cpp
+++ b/lib/Packet/PacketBalancerSearch.cpp
@@ -28,8 +28,8 @@
 
 } // namespace
 
-void PacketBalancer::Ask(const FlowKey& aKey, Search& aSearch, HopKind aKind, PacketOutput& aOutput,
-                         TimePoint aNow)
+void PacketBalancer::Ask(const FlowKey& aKey, Search& aSearch, NodeMessageType aKind,
+                         PacketOutput& aOutput, TimePoint aNow)
 {
   const bool rationed = aSearch.mStage == SearchStage::Everywhere;
   const auto message = FlowMessage{{}, {aKey}}.Encode();
@@ -89,7 +89,7 @@
       }
     }
   }
-  Ask(aKey, aSearch, HopKind::QueryHeld, aOutput, aNow);
+  Ask(aKey, aSearch, NodeMessageType::QueryHeld, aOutput, aNow);
 }
 
 // The homes of the flow are asked first. When they do not answer, or named an agent that does not
@@ -112,7 +112,7 @@
   if (search.mAsked.empty() || !aFlow.mTried.empty()) {
     AskNext(aSegment.mFlow, search, aOutput, aNow);
   } else {
-    Ask(aSegment.mFlow, search, HopKind::Query, aOutput, aNow);
+    Ask(aSegment.mFlow, search, NodeMessageType::Query, aOutput, aNow);
   }
   EndFruitless(aSegment.mFlow, search, aOutput, aNow);
 }
@@ -136,7 +136,7 @@
   }
   search.mSince = aNow;
   if (search.mStage == SearchStage::Everywhere) {
-    Ask(aSegment.mFlow, search, HopKind::QueryHeld, aOutput, aNow);
+    Ask(aSegment.mFlow, search, NodeMessageType::QueryHeld, aOutput, aNow);
   } else {
     AskNext(aSegment.mFlow, search, aOutput, aNow);
   }
@@ -148,7 +148,7 @@
   return mFirstAgentAt && aNow - *mFirstAgentAt >= mSettings.mSettleTime;
 }
 
-void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, HopKind aKind,
+void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, NodeMessageType aKind,
                                    std::span<const std::uint8_t> aBytes, PacketOutput& aOutput,
                                    TimePoint aNow)
 {
@@ -163,12 +163,12 @@
     return;
   }
   Flow& flow = found->second;
-  if (aKind == HopKind::Unsure) {
+  if (aKind == NodeMessageType::Unsure) {
     Probe(aFrom, *flow.mSearch, aOutput);
-  } else if (aKind == HopKind::Held) {
+  } else if (aKind == NodeMessageType::Held) {
     OnHeld(key, flow, message.value().mHolder, aOutput, aNow);
   } else {
-    if (aKind == HopKind::Unregistered) {
+    if (aKind == NodeMessageType::Unregistered) {
       flow.mSearch->mUnregistered.push_back(aFrom);
     }
     OnDenied(key, *flow.mSearch, aFrom, aOutput, aNow);
@@ -183,7 +183,8 @@
     return;
   }
   mProbesLeft -= rationed ? 1 : 0;
-  aOutput.SendToNode(aAgent, {HopKind::DeliverIfHeld, ReturnReason::None}, aSearch.mPackets.back());
+  aOutput.SendToNode(aAgent, {NodeMessageType::DeliverIfHeld, ReturnReason::None},
+                     aSearch.mPackets.back());
 }
 
 void PacketBalancer::OnHeld(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
@@ -206,7 +207,7 @@
     .With("view", mViewRevision);
   for (const auto& packet : search->mPackets) {
     mForwarded.Add();
-    aOutput.SendToNode(aHolder, {HopKind::Deliver, ReturnReason::None}, packet);
+    aOutput.SendToNode(aHolder, {NodeMessageType::Deliver, ReturnReason::None}, packet);
   }
 }
 
--- a/unittests/Packet/OpeningQueueTest.cpp
+++ b/unittests/Packet/OpeningQueueTest.cpp
@@ -139,9 +139,9 @@
   {
     OpeningShares shares;
     CPPUNIT_ASSERT(shares.Split(2, 0).empty());
-    CPPUNIT_ASSERT_EQUAL(1U, shares.ForNewcomer());
-    CPPUNIT_ASSERT_EQUAL(1U, shares.ForNewcomer());
-    CPPUNIT_ASSERT_EQUAL(0U, shares.ForNewcomer());
+    CPPUNIT_ASSERT_EQUAL(1U, shares.ShareForNewBalancer());
+    CPPUNIT_ASSERT_EQUAL(1U, shares.ShareForNewBalancer());
+    CPPUNIT_ASSERT_EQUAL(0U, shares.ShareForNewBalancer());
   }
 };
 
--- a/unittests/Packet/PacketAgentTest.cpp
+++ b/unittests/Packet/PacketAgentTest.cpp
@@ -64,10 +64,11 @@
     return settings;
   }
 
-  ReportOutcome Heartbeat(std::uint64_t aSequence, bool aDraining = false,
-                          Milliseconds aCold = Milliseconds{0}, std::int64_t aStarted = 1'000)
+  HeartbeatOutcome Heartbeat(std::uint64_t aSequence, bool aDraining = false,
+                             Milliseconds aCold = Milliseconds{0}, std::int64_t aStarted = 1'000)
   {
-    return mAgent.OnUpstreamReport({"i-1", "web", aDraining, aCold, 4, aStarted, aSequence}, mNow);
+    return mAgent.OnUpstreamHeartbeat({"i-1", "web", aDraining, aCold, 4, aStarted, aSequence},
+                                      mNow);
   }
 
   void Prepare(std::uint64_t aSequence = 1, Milliseconds aCold = Milliseconds{0})
@@ -76,7 +77,7 @@
     Heartbeat(aSequence, false, aCold);
   }
 
-  void FromBalancer(PacketBytes aPacket, HopKind aKind = HopKind::Deliver)
+  void FromBalancer(PacketBytes aPacket, NodeMessageType aKind = NodeMessageType::Deliver)
   {
     mAgent.OnNodePacket(NodeEndpoint(9), {aKind, ReturnReason::None}, aPacket, mOutput, mNow);
   }
@@ -107,13 +108,13 @@
   void AssertReturned(ReturnReason aReason)
   {
     CPPUNIT_ASSERT(!mOutput.mToNodes.empty());
-    const HopHeader& header = mOutput.mToNodes.back().mHeader;
-    CPPUNIT_ASSERT(header.mKind == HopKind::Returned);
+    const NodeMessageHeader& header = mOutput.mToNodes.back().mHeader;
+    CPPUNIT_ASSERT(header.mKind == NodeMessageType::Returned);
     CPPUNIT_ASSERT_EQUAL(std::string(ToString(aReason)), std::string(ToString(header.mReason)));
   }
 
   // The kind of answer to a query, and the holder it names.
-  Endpoint AssertAnswer(HopKind aExpected, HopKind aQuery, const FlowKey& aFlow)
+  Endpoint AssertAnswer(NodeMessageType aExpected, NodeMessageType aQuery, const FlowKey& aFlow)
   {
     FromBalancer(FlowMessage{{}, {aFlow}}.Encode(), aQuery);
     const auto& sent = mOutput.mToNodes.back();
@@ -148,18 +149,20 @@
     mAgent.OnView(TestView(2, members), 1);
     mAgent.RegisterFlows(mOutput, mNow);
     CPPUNIT_ASSERT_EQUAL(FlowHomes::kHomes, Registrations());
-    FromBalancer(FlowMessage{{}, {TestFlow(3)}}.Encode(), HopKind::Register);
-    CPPUNIT_ASSERT(AssertAnswer(HopKind::Held, HopKind::Query, TestFlow(3)) == NodeEndpoint(9));
-    AssertAnswer(HopKind::NotFound, HopKind::QueryHeld, TestFlow(3));
-    CPPUNIT_ASSERT(AssertAnswer(HopKind::Held, HopKind::QueryHeld, TestFlow(1)) ==
+    FromBalancer(FlowMessage{{}, {TestFlow(3)}}.Encode(), NodeMessageType::Register);
+    CPPUNIT_ASSERT(AssertAnswer(NodeMessageType::Held, NodeMessageType::Query, TestFlow(3)) ==
+                   NodeEndpoint(9));
+    AssertAnswer(NodeMessageType::NotFound, NodeMessageType::QueryHeld, TestFlow(3));
+    CPPUNIT_ASSERT(AssertAnswer(NodeMessageType::Held, NodeMessageType::QueryHeld, TestFlow(1)) ==
                    NodeEndpoint(kSelf));
   }
 
   std::size_t Registrations() const
   {
     return static_cast<std::size_t>(
-      std::count_if(mOutput.mToNodes.begin(), mOutput.mToNodes.end(),
-                    [](const auto& aSent) { return aSent.mHeader.mKind == HopKind::Register; }));
+      std::count_if(mOutput.mToNodes.begin(), mOutput.mToNodes.end(), [](const auto& aSent) {
+        return aSent.mHeader.mKind == NodeMessageType::Register;
+      }));
   }
 
   // The homes confirm all registrations that were sent to them.
@@ -167,8 +170,8 @@
   {
     auto sent = std::exchange(mOutput.mToNodes, {});
     for (auto& message : sent) {
-      if (message.mHeader.mKind == HopKind::Register) {
-        mAgent.OnNodePacket(message.mNode, {HopKind::Registered, ReturnReason::None},
+      if (message.mHeader.mKind == NodeMessageType::Register) {
+        mAgent.OnNodePacket(message.mNode, {NodeMessageType::RegisterAck, ReturnReason::None},
                             message.mPacket, mOutput, mNow);
       }
     }
@@ -219,14 +222,14 @@
     Prepare();
     const std::vector<Member> members{TestAgent(kSelf, "web"), TestAgent(20, "web")};
     mAgent.OnView(TestView(1, members), 2);
-    AssertAnswer(HopKind::NotFound, HopKind::Query, TestFlow(1));
+    AssertAnswer(NodeMessageType::NotFound, NodeMessageType::Query, TestFlow(1));
     mAgent.OnView(TestView(2, members), 1);
-    AssertAnswer(HopKind::Unregistered, HopKind::Query, TestFlow(1));
-    AssertAnswer(HopKind::NotFound, HopKind::QueryHeld, TestFlow(1));
+    AssertAnswer(NodeMessageType::Unregistered, NodeMessageType::Query, TestFlow(1));
+    AssertAnswer(NodeMessageType::NotFound, NodeMessageType::QueryHeld, TestFlow(1));
     PacketAgent restarted(Settings(), mCodec, mRegistry, kStart);
     restarted.OnView(TestView(1, members), 1);
     restarted.RegisterFlows(mOutput, mNow);
-    restarted.OnUpstreamReport({"i-1", "web", false, {}, 4, 1'000, 7}, mNow);
+    restarted.OnUpstreamHeartbeat({"i-1", "web", false, {}, 4, 1'000, 7}, mNow);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, restarted.Report(mNow).mRegisteredWith);
   }
 
@@ -339,23 +342,23 @@
   {
     Prepare(7);
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5, 10));
-    FromBalancer(CallerPacket(TestFlow(2), FlagAck, 5, 5, 10), HopKind::DeliverIfHeld);
+    FromBalancer(CallerPacket(TestFlow(2), FlagAck, 5, 5, 10), NodeMessageType::DeliverIfHeld);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, mOutput.mToUpstream.size());
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck));
     // The balancer learns at once that the probe has found the flow.
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::Held);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::Held);
     mOutput.mToNodes.clear();
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck, 2, 100));
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
-    FromBalancer(CallerPacket(TestFlow(2), FlagAck, 15, 5, 10), HopKind::DeliverIfHeld);
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::Held);
+    FromBalancer(CallerPacket(TestFlow(2), FlagAck, 15, 5, 10), NodeMessageType::DeliverIfHeld);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::Held);
   }
 
   // Guards against a search that never ends.
   void CompleteTablesDenyUnknownFlows()
   {
     Prepare(1);
-    AssertAnswer(HopKind::NotFound, HopKind::QueryHeld, TestFlow(1));
+    AssertAnswer(NodeMessageType::NotFound, NodeMessageType::QueryHeld, TestFlow(1));
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5));
     AssertReturned(ReturnReason::NotHeld);
     CPPUNIT_ASSERT(mOutput.mToUpstream.empty());
@@ -401,11 +404,11 @@
   // flows that are not found until the upstream's next heartbeat.
   void AgentsBeforeTheFirstHeartbeatAreUnsure()
   {
-    AssertAnswer(HopKind::Unsure, HopKind::Query, TestFlow(1));
-    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5, 10), HopKind::DeliverIfHeld);
+    AssertAnswer(NodeMessageType::Unsure, NodeMessageType::Query, TestFlow(1));
+    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5, 10), NodeMessageType::DeliverIfHeld);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToUpstream.size());
     Heartbeat(7);
-    AssertAnswer(HopKind::Unsure, HopKind::Query, TestFlow(1));
+    AssertAnswer(NodeMessageType::Unsure, NodeMessageType::Query, TestFlow(1));
   }
 
   // Guards against searches that never end: the machine of a removed upstream lost power and
@@ -413,18 +416,18 @@
   void AgentsWhoseUpstreamNeverCameDenyFlows()
   {
     mNow += std::chrono::seconds(4);
-    AssertAnswer(HopKind::NotFound, HopKind::Query, TestFlow(1));
-    AssertAnswer(HopKind::NotFound, HopKind::QueryHeld, TestFlow(1));
+    AssertAnswer(NodeMessageType::NotFound, NodeMessageType::Query, TestFlow(1));
+    AssertAnswer(NodeMessageType::NotFound, NodeMessageType::QueryHeld, TestFlow(1));
     // A sign of life: the upstream may hold flows of before the agent's start.
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck));
-    AssertAnswer(HopKind::Unsure, HopKind::QueryHeld, TestFlow(1));
+    AssertAnswer(NodeMessageType::Unsure, NodeMessageType::QueryHeld, TestFlow(1));
   }
 
   // Guards against the reset of a flow by an upstream that only saw a probe of it.
   void ResetsOfUnknownFlowsStayHere()
   {
     Prepare(7);
-    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), HopKind::DeliverIfHeld);
+    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), NodeMessageType::DeliverIfHeld);
     FromUpstream(UpstreamPacket(TestFlow(1), FlagRst));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     Establish(2);
@@ -436,10 +439,10 @@
   void BouncedProbesAreDenied()
   {
     Prepare(7);
-    AssertAnswer(HopKind::Unsure, HopKind::Query, TestFlow(1));
-    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), HopKind::DeliverIfHeld);
+    AssertAnswer(NodeMessageType::Unsure, NodeMessageType::Query, TestFlow(1));
+    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), NodeMessageType::DeliverIfHeld);
     Bounce();
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::NotFound);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::NotFound);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
@@ -447,13 +450,13 @@
   void LateHeartbeatsChangeNothing()
   {
     Prepare(5);
-    CPPUNIT_ASSERT(Heartbeat(4, true) == ReportOutcome::Late);
-    CPPUNIT_ASSERT(Heartbeat(9, true, Milliseconds{0}, 500) == ReportOutcome::Late);
+    CPPUNIT_ASSERT(Heartbeat(4, true) == HeartbeatOutcome::Late);
+    CPPUNIT_ASSERT(Heartbeat(9, true, Milliseconds{0}, 500) == HeartbeatOutcome::Late);
     CPPUNIT_ASSERT(mAgent.Report(mNow).mAccepts);
     // The same id after a restart: its counts start anew.
-    CPPUNIT_ASSERT(Heartbeat(1, false, Milliseconds{0}, 2'000) == ReportOutcome::Accepted);
-    CPPUNIT_ASSERT(mAgent.OnUpstreamReport({"i-2", "other", false, {}, 4, 9'000, 1}, mNow) ==
-                   ReportOutcome::WrongService);
+    CPPUNIT_ASSERT(Heartbeat(1, false, Milliseconds{0}, 2'000) == HeartbeatOutcome::Accepted);
+    CPPUNIT_ASSERT(mAgent.OnUpstreamHeartbeat({"i-2", "other", false, {}, 4, 9'000, 1}, mNow) ==
+                   HeartbeatOutcome::WrongService);
   }
 
   // Guards against a load report that drifts: closed flows and answered requests must not count.
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -56,8 +56,8 @@
       aReport.mService = "web";
     }
     Bytes bytes = aReport.Encode();
-    mBalancer.OnNodePacket(NodeEndpoint(aNode), {HopKind::Load, ReturnReason::None}, bytes, mOutput,
-                           mNow);
+    mBalancer.OnNodePacket(NodeEndpoint(aNode), {NodeMessageType::Load, ReturnReason::None}, bytes,
+                           mOutput, mNow);
   }
 
   static LoadReport Accepting()
@@ -80,18 +80,19 @@
 
   void Return(unsigned aNode, ReturnReason aReason, PacketBytes aPacket)
   {
-    mBalancer.OnNodePacket(NodeEndpoint(aNode), {HopKind::Returned, aReason}, aPacket, mOutput,
-                           mNow);
+    mBalancer.OnNodePacket(NodeEndpoint(aNode), {NodeMessageType::Returned, aReason}, aPacket,
+                           mOutput, mNow);
   }
 
   // An agent's answer to a query for a flow.
-  void Answer(unsigned aNode, HopKind aKind, const FlowKey& aFlow, const Endpoint& aHolder = {})
+  void Answer(unsigned aNode, NodeMessageType aKind, const FlowKey& aFlow,
+              const Endpoint& aHolder = {})
   {
     auto bytes = FlowMessage{aHolder, {aFlow}}.Encode();
     mBalancer.OnNodePacket(NodeEndpoint(aNode), {aKind, ReturnReason::None}, bytes, mOutput, mNow);
   }
 
-  std::size_t Sent(HopKind aKind) const
+  std::size_t Sent(NodeMessageType aKind) const
   {
     return static_cast<std::size_t>(
       std::count_if(mOutput.mToNodes.begin(), mOutput.mToNodes.end(),
@@ -132,15 +133,15 @@
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Sent(HopKind::Query));
-    Answer(1, HopKind::Held, TestFlow(1), NodeEndpoint(2));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Sent(NodeMessageType::Query));
+    Answer(1, NodeMessageType::Held, TestFlow(1), NodeEndpoint(2));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(2));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
     mOutput.Clear();
     Send(packet);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToNodes.size());
     CPPUNIT_ASSERT(mOutput.mToNodes[0].mNode == NodeEndpoint(2));
-    CPPUNIT_ASSERT(mOutput.mToNodes[0].mHeader.mKind == HopKind::Deliver);
+    CPPUNIT_ASSERT(mOutput.mToNodes[0].mHeader.mKind == NodeMessageType::Deliver);
   }
 
   // Guards against callers that wait for their deadline on a flow that ended with its upstream.
@@ -149,11 +150,11 @@
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    Answer(2, HopKind::NotFound, TestFlow(1));
+    Answer(2, NodeMessageType::NotFound, TestFlow(1));
     // Both homes have denied it themselves, and there are no other agents.
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryHeld));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
     const auto reset = mCodec.DecodeFromUpstream(mOutput.mToCallers[0]);
     CPPUNIT_ASSERT(reset && reset->mFlow == TestFlow(1) && reset->mSequence == 9);
@@ -183,7 +184,7 @@
     }
   }
 
-  void HomesAnswer(HopKind aKind, const FlowKey& aFlow)
+  void HomesAnswer(NodeMessageType aKind, const FlowKey& aFlow)
   {
     for (const Endpoint& home : mHomes.Of(aFlow)) {
       auto bytes = FlowMessage{{}, {aFlow}}.Encode();
@@ -197,9 +198,9 @@
   {
     SettleMany(60);
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::Unregistered, TestFlow(1));
+    HomesAnswer(NodeMessageType::Unregistered, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryHeld));
 
     // An agent that has restarted does not know its flows: only it is asked.
     unsigned restarted = 1;
@@ -210,11 +211,11 @@
     Report(restarted, Accepting());
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::Unregistered, TestFlow(2));
+    HomesAnswer(NodeMessageType::Unregistered, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryHeld));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(restarted));
-    Answer(restarted, HopKind::NotFound, TestFlow(2));
+    Answer(restarted, NodeMessageType::NotFound, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
@@ -225,18 +226,18 @@
     SettleMany(60);
     ReportRegistered(60, mHomes.Digest() + 1);
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::Unregistered, TestFlow(1));
+    HomesAnswer(NodeMessageType::Unregistered, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT(Sent(HopKind::QueryHeld) > 0);
+    CPPUNIT_ASSERT(Sent(NodeMessageType::QueryHeld) > 0);
 
     ReportRegistered(60, mHomes.Digest());
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::NotFound, TestFlow(2));
+    HomesAnswer(NodeMessageType::NotFound, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
 
     mNow += Milliseconds{1'100};
     Send(CallerPacket(TestFlow(3), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::Unregistered, TestFlow(3));
+    HomesAnswer(NodeMessageType::Unregistered, TestFlow(3));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
@@ -251,17 +252,17 @@
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
     for (unsigned node = 1; node <= 2; ++node) {
-      Answer(node, HopKind::NotFound, TestFlow(1));
+      Answer(node, NodeMessageType::NotFound, TestFlow(1));
     }
     for (int i = 0; i < 4; ++i) {
       mOutput.Clear();
       mNow += Milliseconds{200};
       Send(packet);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryHeld));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryHeld));
       CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(3));
       CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     }
-    Answer(3, HopKind::NotFound, TestFlow(1));
+    Answer(3, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
@@ -275,7 +276,7 @@
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
     mNow += Milliseconds{300};
     mBalancer.OnState(TestRoutes(1, {"web"}), TestView(1, {TestAgent(1, "web")}), mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::Query));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::Query));
     const auto asked = FlowMessage::Decode(mOutput.mToNodes.at(0).mPacket);
     CPPUNIT_ASSERT(asked && asked.value().mFlows.front() == TestFlow(2));
   }
@@ -304,7 +305,7 @@
     }
     constexpr std::size_t kStaged = FlowHomes::kHomes + kPlacementChoices;
     const std::size_t wide =
-      Sent(HopKind::QueryHeld) - std::min(Sent(HopKind::QueryHeld), 200 * kStaged);
+      Sent(NodeMessageType::QueryHeld) - std::min(Sent(NodeMessageType::QueryHeld), 200 * kStaged);
     CPPUNIT_ASSERT(wide * 50 * 8 <= kSeconds * 2'500'000 / 4);
   }
 
@@ -315,7 +316,7 @@
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     for (int i = 0; i < 5; ++i) {
       Send(packet);
-      Answer(1, HopKind::NotFound, TestFlow(1));
+      Answer(1, NodeMessageType::NotFound, TestFlow(1));
       mNow += Milliseconds{300};
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
@@ -332,10 +333,10 @@
     mNow += kSettled;
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::NotFound, TestFlow(1));
-    Answer(1, HopKind::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryHeld));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(2));
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagSyn));
@@ -345,8 +346,8 @@
     Report(1, Accepting());
     mBalancer.OnTick(mOutput, mNow);
     Send(packet);
-    Answer(1, HopKind::NotFound, TestFlow(1));
-    Answer(1, HopKind::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
@@ -356,8 +357,8 @@
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::Unsure, TestFlow(1));
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::DeliverIfHeld);
+    Answer(1, NodeMessageType::Unsure, TestFlow(1));
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::DeliverIfHeld);
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
   }
 
@@ -367,11 +368,11 @@
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::Held, TestFlow(1), NodeEndpoint(2));
+    Answer(1, NodeMessageType::Held, TestFlow(1), NodeEndpoint(2));
     Return(2, ReturnReason::NotHeld, packet);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryHeld));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(1));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::Deliver));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::Deliver));
   }
 
   // Guards against a flood of probes when all processes restart at once and no agent knows its
@@ -399,17 +400,18 @@
       restarted.OnCallerPacket(packet, mOutput, mNow);
       for (std::size_t at = 0; at < mOutput.mToNodes.size(); ++at) {
         const auto sent = mOutput.mToNodes[at];
-        const bool probe = sent.mHeader.mKind == HopKind::DeliverIfHeld;
+        const bool probe = sent.mHeader.mKind == NodeMessageType::DeliverIfHeld;
         const bool holds = probe && sent.mNode == holder;
         foundAmongChoices += holds ? 1 : 0;
-        if (!holds && sent.mHeader.mKind != HopKind::Deliver) {
+        if (!holds && sent.mHeader.mKind != NodeMessageType::Deliver) {
           auto bytes = FlowMessage{{}, {TestFlow(i)}}.Encode();
-          restarted.OnNodePacket(sent.mNode,
-                                 {probe ? HopKind::NotFound : HopKind::Unsure, ReturnReason::None},
-                                 bytes, mOutput, mNow);
+          restarted.OnNodePacket(
+            sent.mNode,
+            {probe ? NodeMessageType::NotFound : NodeMessageType::Unsure, ReturnReason::None},
+            bytes, mOutput, mNow);
         }
       }
-      CPPUNIT_ASSERT(Sent(HopKind::DeliverIfHeld) <= FlowHomes::kHomes + kPlacementChoices);
+      CPPUNIT_ASSERT(Sent(NodeMessageType::DeliverIfHeld) <= FlowHomes::kHomes + kPlacementChoices);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongChoices);
   }
--- a/unittests/Packet/PacketCodecsTest.cpp
+++ b/unittests/Packet/PacketCodecsTest.cpp
@@ -36,9 +36,9 @@
   // Guards against fields that are lost or change places.
   void MessagesComeBackWhole()
   {
-    const HopHeader header{HopKind::Returned, ReturnReason::Cold};
-    const auto back = HopHeader::Decode(header.Encode());
-    CPPUNIT_ASSERT(back && back.value().mKind == HopKind::Returned);
+    const NodeMessageHeader header{NodeMessageType::Returned, ReturnReason::Cold};
+    const auto back = NodeMessageHeader::Decode(header.Encode());
+    CPPUNIT_ASSERT(back && back.value().mKind == NodeMessageType::Returned);
     CPPUNIT_ASSERT(back.value().mReason == ReturnReason::Cold);
     const FlowMessage message{NodeEndpoint(3), {TestFlow(1), TestFlow(2)}};
     const auto decoded = FlowMessage::Decode(message.Encode());
@@ -68,11 +68,12 @@
         CPPUNIT_ASSERT(LoadReport::Decode(decoded.value().Encode()).has_value());
       }
     }
-    for (const HopHeader& header : {HopHeader{HopKind::Deliver, ReturnReason::None}}) {
+    for (const NodeMessageHeader& header :
+         {NodeMessageHeader{NodeMessageType::Deliver, ReturnReason::None}}) {
       auto bytes = header.Encode();
       for (auto& byte : bytes) {
         const auto kept = std::exchange(byte, std::uint8_t{0xee});
-        CPPUNIT_ASSERT(!HopHeader::Decode(bytes));
+        CPPUNIT_ASSERT(!NodeMessageHeader::Decode(bytes));
         byte = kept;
       }
     }
@@ -86,7 +87,7 @@
     constexpr double kReportsPerSecond = 63 * 5;
     constexpr double kPacketHeaders = 28;
     const double bytes =
-      static_cast<double>(Report().Encode().size() + HopHeader::kBytes) + kPacketHeaders;
+      static_cast<double>(Report().Encode().size() + NodeMessageHeader::kBytes) + kPacketHeaders;
     CPPUNIT_ASSERT(bytes * kReportsPerSecond <= kLinkBytesPerSecond / 10);
   }
 
--- a/unittests/Packet/PacketFixtures.h
+++ b/unittests/Packet/PacketFixtures.h
@@ -6,7 +6,7 @@
 #include "dandelionslip/Model/Configuration.h"
 #include "dandelionslip/Model/View.h"
 #include "dandelionslip/Packet/LoadReport.h"
-#include "dandelionslip/Packet/PacketActions.h"
+#include "dandelionslip/Packet/PacketOutput.h"
 
 #include <string>
 #include <vector>
@@ -54,11 +54,11 @@
   struct ToNode
   {
     Endpoint mNode;
-    HopHeader mHeader;
+    NodeMessageHeader mHeader;
     PacketBytes mPacket;
   };
 
-  void SendToNode(const Endpoint& aNode, const HopHeader& aHeader,
+  void SendToNode(const Endpoint& aNode, const NodeMessageHeader& aHeader,
                   std::span<const std::uint8_t> aPacket) override
   {
     mToNodes.push_back({aNode, aHeader, {aPacket.begin(), aPacket.end()}});
