--- a/include/dandelionslip/Daemon/HomeRecords.h
+++ b/include/dandelionslip/Daemon/RequestRecordTransfer.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "dandelionslip/Agent/BucketRecords.h"
-#include "dandelionslip/Request/HomeCore.h"
+#include "dandelionslip/Request/AgentRequestCore.h"
 
 #include <functional>
 
@@ -14,14 +14,14 @@
 /// Every transfer raises the bucket's number by one, so that a record table recognises outdated
 /// messages. After a loss the number starts from the wall clock, because the lost owner's is not
 /// known; if it turns out too low for a later owner, that owner starts without records.
-class HomeRecords : public BucketRecords
+class RequestRecordTransfer : public BucketRecords
 {
 public:
   /// aClock gives the time of each event.
-  explicit HomeRecords(std::function<RequestTime()> aClock);
+  explicit RequestRecordTransfer(std::function<RequestTime()> aClock);
 
   /// Sets the request core; call before any other function. aHome must outlive this object.
-  void Attach(HomeCore& aHome) { mHome = &aHome; }
+  void Attach(AgentRequestCore& aHome) { mHome = &aHome; }
 
   Json Export(std::span<const std::uint32_t> aBuckets, const std::string& aNewOwner) override;
   void Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords) override;
@@ -29,15 +29,15 @@
   void StartWithoutRecords(std::span<const std::uint32_t> aBuckets) override;
 
   /// The request actions that the calls since the last one have caused.
-  HomeActions TakeActions();
+  AgentRequestActions TakeActions();
 
 private:
   void TakeOver(const Json& aTable);
-  void Append(HomeActions aActions);
+  void Append(AgentRequestActions aActions);
 
   std::function<RequestTime()> mClock;
-  HomeCore* mHome = nullptr;
-  HomeActions mActions;
+  AgentRequestCore* mHome = nullptr;
+  AgentRequestActions mActions;
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/HomeActions.h
+++ b/include/dandelionslip/Request/AgentRequestActions.h
@@ -1,15 +1,15 @@
-// What HomeCore asks its glue to do.
+// What AgentRequestCore asks its glue to do.
 #pragma once
 
-#include "dandelionslip/Request/HomeEvents.h"
+#include "dandelionslip/Request/ReceivedRequest.h"
 
 #include <variant>
 #include <vector>
 
 namespace dandelionslip {
 
-/// Pass a request to the upstream. Every run ends with exactly one of HomeCore::OnUpstreamAnswer,
-/// OnUpstreamShed and OnUpstreamFailed, also after CancelRun.
+/// Pass a request to the upstream. Every run ends with exactly one of
+/// AgentRequestCore::OnUpstreamAnswer, OnUpstreamShed and OnUpstreamFailed, also after CancelRun.
 struct RunAtUpstream
 {
   RunId mRun = 0;
@@ -19,8 +19,8 @@
   Bytes mBody;
 };
 
-/// Pass a request to the alternate's agent with ArrivedRequest::mRelayed set. Ends with exactly one
-/// of HomeCore::OnAlternateAnswer and OnAlternateFailed, also after CancelRun.
+/// Pass a request to the alternate's agent with ReceivedRequest::mRelayed set. Ends with exactly
+/// one of AgentRequestCore::OnAlternateAnswer and OnAlternateLinkFailed, also after CancelRun.
 struct RelayToAlternate
 {
   RunId mRun = 0;
@@ -36,10 +36,10 @@
 };
 
 /// Send the outcome to whoever sent the message with this handle.
-struct AnswerSender
+struct ReplyToSender
 {
   ReplyHandle mHandle = 0;
-  RequestAnswer mAnswer;
+  RequestReply mReply;
 };
 
 /// Cancel a run at the upstream or at the alternate (RST_STREAM).
@@ -49,15 +49,15 @@
 };
 
 /// Send a record that ended after its bucket was handed off to the bucket's new owner, which passes
-/// it to HomeCore::OnRecordUpdate.
+/// it to AgentRequestCore::OnRecordUpdate.
 struct SendRecord
 {
   std::string mAgent;
   Json mRecord;
 };
 
-using HomeAction =
-  std::variant<RunAtUpstream, RelayToAlternate, AnswerSender, CancelRun, SendRecord>;
-using HomeActions = std::vector<HomeAction>;
+using AgentRequestAction =
+  std::variant<RunAtUpstream, RelayToAlternate, ReplyToSender, CancelRun, SendRecord>;
+using AgentRequestActions = std::vector<AgentRequestAction>;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/RelayActions.h
+++ b/include/dandelionslip/Request/BalancerRequestActions.h
@@ -1,8 +1,8 @@
-// Inputs and outputs of RelayCore.
+// Inputs and outputs of BalancerRequestCore.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
-#include "dandelionslip/Request/HomeEvents.h"
+#include "dandelionslip/Request/ReceivedRequest.h"
 
 #include <variant>
 #include <vector>
@@ -32,8 +32,8 @@
   bool operator==(const AttemptKey&) const = default;
 };
 
-/// Send a request to an agent. Ends with at most one of RelayCore::OnAgentAnswer and
-/// OnAgentUnreachable.
+/// Send a request to an agent. Ends with at most one of BalancerRequestCore::OnAgentAnswer and
+/// OnAgentLinkFailed.
 struct SendToAgent
 {
   std::string mAgent;
@@ -55,14 +55,14 @@
 };
 
 /// Send the outcome to the caller.
-struct AnswerCaller
+struct ReplyToCaller
 {
   ReplyHandle mHandle = 0;
   RequestId mId; ///< The id to resend with.
-  RequestAnswer mAnswer;
+  RequestReply mReply;
 };
 
-using RelayAction = std::variant<SendToAgent, CancelAtAgent, AnswerCaller>;
-using RelayActions = std::vector<RelayAction>;
+using BalancerRequestAction = std::variant<SendToAgent, CancelAtAgent, ReplyToCaller>;
+using BalancerRequestActions = std::vector<BalancerRequestAction>;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/RelayCore.h
+++ b/include/dandelionslip/Request/BalancerRequestCore.h
@@ -1,7 +1,7 @@
 // The balancer's side of a request: attempts, retries, deadlines and answers.
 #pragma once
 
-#include "dandelionslip/Request/RelayActions.h"
+#include "dandelionslip/Request/BalancerRequestActions.h"
 #include "dandelionslip/Request/RequestCounters.h"
 #include "dandelionslip/Request/RequestTargets.h"
 #include "dandelionslip/Request/RequestTime.h"
@@ -13,7 +13,7 @@
 namespace dandelionslip {
 
 /// Settings of a balancer's request handling.
-struct RelaySettings
+struct BalancerRequestSettings
 {
   std::uint32_t mMaxTries = 8;   ///< Attempts for each request of a caller; at most kMaxTries.
   Milliseconds mHopAllowance{2}; ///< Taken off the remaining time before a request is sent.
@@ -23,29 +23,30 @@
 
 /// Decision core of the balancer. Not thread-safe; every event returns the actions to perform in
 /// order.
-class RelayCore
+class BalancerRequestCore
 {
 public:
   /// aTargets and aRegistry outlive the core.
-  RelayCore(RelaySettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
-            MetricsRegistry& aRegistry);
-  ~RelayCore();
+  BalancerRequestCore(BalancerRequestSettings aSettings, const RequestTargets& aTargets,
+                      std::uint64_t aSeed, MetricsRegistry& aRegistry);
+  ~BalancerRequestCore();
 
   /// A caller sent a request.
-  RelayActions OnRequest(CallerRequest aRequest, const RequestTime& aTime);
+  BalancerRequestActions OnRequest(CallerRequest aRequest, const RequestTime& aTime);
   /// The caller withdrew the request or its link was lost.
-  RelayActions OnCallerCancelled(ReplyHandle aHandle, const RequestTime& aTime);
+  BalancerRequestActions OnCallerCancelled(ReplyHandle aHandle, const RequestTime& aTime);
 
   /// An agent answered an attempt. aReceived is checked for completeness when the outcome is
   /// Answered.
-  RelayActions OnAgentAnswer(const AttemptKey& aKey, RequestOutcome aOutcome,
-                             const std::optional<Refusal>& aRefusal, ReceivedAnswer aReceived,
-                             const RequestTime& aTime);
+  BalancerRequestActions OnAgentAnswer(const AttemptKey& aKey, RequestOutcome aOutcome,
+                                       const std::optional<Refusal>& aRefusal,
+                                       ReceivedAnswer aReceived, const RequestTime& aTime);
   /// The link to the agent failed; aSent tells whether any of the attempt was sent.
-  RelayActions OnAgentUnreachable(const AttemptKey& aKey, bool aSent, const RequestTime& aTime);
+  BalancerRequestActions OnAgentLinkFailed(const AttemptKey& aKey, bool aSent,
+                                           const RequestTime& aTime);
 
   /// Makes due retries and ends what is overdue. Call at least every 10 ms while Active() is true.
-  RelayActions OnTick(const RequestTime& aTime);
+  BalancerRequestActions OnTick(const RequestTime& aTime);
 
   /// Whether any request is open.
   bool Active() const;
--- a/include/dandelionslip/Request/HomeEvents.h
+++ b/include/dandelionslip/Request/ReceivedRequest.h
@@ -1,4 +1,4 @@
-// Inputs of HomeCore that carry more than an identifier.
+// Inputs of AgentRequestCore that carry more than an identifier.
 #pragma once
 
 #include "dandelionslip/Request/Attempt.h"
@@ -16,7 +16,7 @@
 using RunId = std::uint64_t;
 
 /// A request as it arrived at an agent.
-struct ArrivedRequest
+struct ReceivedRequest
 {
   ReplyHandle mHandle = 0;
   std::optional<RequestId> mId; ///< Empty when the id is not a UUID of version 7.
--- a/include/dandelionslip/Request/RequestOutcome.h
+++ b/include/dandelionslip/Request/RequestOutcome.h
@@ -16,7 +16,7 @@
   NotRun,    ///< This attempt and all lower ones have not run and never will.
   Unknown,   ///< The request may have run.
   Cancelled, ///< Removed from the queue before it ran, at the caller's wish.
-  NotHome,   ///< The agent does not decide about this id now; never passed on to a caller.
+  NotOwner,  ///< The agent does not decide about this id now; never passed on to a caller.
 };
 
 std::span<const EnumName<RequestOutcome>> EnumNames(RequestOutcome);
@@ -58,7 +58,7 @@
 };
 
 /// The outcome of a request as told to whoever sent it.
-struct RequestAnswer
+struct RequestReply
 {
   RequestOutcome mOutcome = RequestOutcome::Unknown;
   UpstreamAnswer mAnswer;          ///< Set when answered.
@@ -66,14 +66,14 @@
   std::optional<AnswerDigest>
     mDigest; ///< Outcome unknown to this caller: it ran, with this answer.
 
-  bool operator==(const RequestAnswer&) const = default;
+  bool operator==(const RequestReply&) const = default;
 };
 
 /// Builders for the outcomes without a body.
-RequestAnswer AnsweredWith(UpstreamAnswer aAnswer);
-RequestAnswer NotRunBecause(Refusal aRefusal);
-RequestAnswer UnknownOutcome(std::optional<Refusal> aRefusal = {});
-RequestAnswer CancelledOutcome();
-RequestAnswer NotHomeBecause(RefusalReason aReason);
+RequestReply AnsweredWith(UpstreamAnswer aAnswer);
+RequestReply NotRunReply(Refusal aRefusal);
+RequestReply UnknownOutcome(std::optional<Refusal> aRefusal = {});
+RequestReply CancelledOutcome();
+RequestReply NotOwnerReply(RefusalReason aReason);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/HandedRecords.h
+++ b/include/dandelionslip/Request/TransferredBuckets.h
@@ -11,13 +11,14 @@
 namespace dandelionslip {
 
 /// One bucket of a hand-off message.
-struct HandedBucket
+struct TransferredBucket
 {
   std::uint32_t mBucket = 0;
   std::uint32_t mGeneration = 0;
 };
 
-/// Lists the buckets of a message made by HomeCore::FreezeAndExport. Error: InvalidInput.
-Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aHandoff, std::string_view aPeer);
+/// Lists the buckets of a message made by AgentRequestCore::FreezeAndExport. Error: InvalidInput.
+Result<std::vector<TransferredBucket>> ListTransferredBuckets(const Json& aHandoff,
+                                                              std::string_view aPeer);
 
 } // namespace dandelionslip
--- a/lib/Daemon/AgentDaemon.cpp
+++ b/lib/Daemon/AgentDaemon.cpp
@@ -8,10 +8,10 @@
 
 #include "dandelionslip/Agent/FlowCore.h"
 #include "dandelionslip/Agent/UpstreamAdmission.h"
-#include "dandelionslip/Daemon/HomeRecords.h"
+#include "dandelionslip/Daemon/RequestRecordTransfer.h"
 #include "dandelionslip/Daemon/WorkerPool.h"
 #include "dandelionslip/Net/MetricsEndpoint.h"
-#include "dandelionslip/Request/HomeCore.h"
+#include "dandelionslip/Request/AgentRequestCore.h"
 #include "dandelionslip/Support/Log.h"
 
 #include <array>
@@ -58,7 +58,7 @@
   UpstreamAdmission& mAdmission;
 };
 
-void AppendTo(HomeActions& aActions, HomeActions aMore)
+void AppendTo(AgentRequestActions& aActions, AgentRequestActions aMore)
 {
   std::move(aMore.begin(), aMore.end(), std::back_inserter(aActions));
 }
@@ -178,7 +178,7 @@
     mServiceId = aEntry.mId;
     mAdmission = std::make_unique<UpstreamAdmission>(mSpec, aNow);
     mSlots = std::make_unique<AdmissionSlots>(*mAdmission);
-    HomeSettings home;
+    AgentRequestSettings home;
     home.mSelf = mSettings.mNode;
     home.mIncarnation = mIncarnation;
     home.mBuckets = mSpec.mBuckets;
@@ -186,7 +186,7 @@
     home.mRecords.mMaxRecords = mSettings.mMaxRecords;
     home.mRecords.mMaxBytes = std::size_t{mSettings.mMaxRecordMebibytes} << 20U;
     home.mRecords.mRetention = mSettings.mRecordRetention;
-    mHome = std::make_unique<HomeCore>(
+    mHome = std::make_unique<AgentRequestCore>(
       home, *mSlots, [this](std::uint32_t aBucket) { return AlternateOf(aBucket); }, mRegistry);
     mRecords.Attach(*mHome);
     FlowSettings flows;
@@ -250,7 +250,7 @@
     }
     const TimePoint now = RuntimeClock::now();
     FlowActions flowActions;
-    HomeActions homeActions;
+    AgentRequestActions homeActions;
     {
       const std::lock_guard lock(mMutex);
       if (aAnswer.mLease.count() > 0) {
@@ -271,7 +271,7 @@
   }
 
   void ApplyState(const NodeState& aState, TimePoint aNow, FlowActions& aFlowActions,
-                  HomeActions& aHomeActions)
+                  AgentRequestActions& aHomeActions)
   {
     const Configuration& configuration = aState.CurrentConfiguration();
     const View& view = aState.CurrentView();
@@ -294,7 +294,7 @@
   }
 
   // Requests that a lost agent was still running for this one have an unknown outcome.
-  void NoteLostAgents(const View& aView, HomeActions& aHomeActions)
+  void NoteLostAgents(const View& aView, AgentRequestActions& aHomeActions)
   {
     for (const auto& [name, member] : aView.mMembers) {
       const Member* before = mLastView.FindMember(name);
@@ -311,7 +311,7 @@
   void WithFlows(Event aEvent)
   {
     FlowActions flowActions;
-    HomeActions homeActions;
+    AgentRequestActions homeActions;
     {
       const std::lock_guard lock(mMutex);
       if (!mFlows) {
@@ -327,7 +327,7 @@
   template <typename Event>
   void WithHome(Event aEvent)
   {
-    HomeActions actions;
+    AgentRequestActions actions;
     {
       const std::lock_guard lock(mMutex);
       if (!mHome) {
@@ -522,9 +522,9 @@
     if (!record) {
       return;
     }
-    WithHome([&](HomeCore& aCore) {
+    WithHome([&](AgentRequestCore& aCore) {
       auto actions = aCore.OnRecordUpdate(record.value(), aExchange->Peer(), Now());
-      return actions ? std::move(actions.value()) : HomeActions{};
+      return actions ? std::move(actions.value()) : AgentRequestActions{};
     });
   }
 
@@ -561,19 +561,20 @@
     }
     if (!known) {
       mRegistry.CounterFor("dandelionslip_agent_refusals_total", "reason=\"wrong_service\"").Add();
-      aExchange->Respond(ToResponse(NotHomeBecause(RefusalReason::WrongService)));
+      aExchange->Respond(ToResponse(NotOwnerReply(RefusalReason::WrongService)));
       return;
     }
-    ArrivedRequest request = DecodeRequest(*aExchange, handle);
-    WithHome([&](HomeCore& aCore) { return aCore.OnRequest(std::move(request), Now()); });
-    aExchange->OnCancel(
-      [this, handle] { WithHome([&](HomeCore& aCore) { return aCore.OnCancel(handle, Now()); }); });
+    ReceivedRequest request = DecodeRequest(*aExchange, handle);
+    WithHome([&](AgentRequestCore& aCore) { return aCore.OnRequest(std::move(request), Now()); });
+    aExchange->OnCancel([this, handle] {
+      WithHome([&](AgentRequestCore& aCore) { return aCore.OnCancel(handle, Now()); });
+    });
   }
 
-  static ArrivedRequest DecodeRequest(const HttpExchange& aExchange, ReplyHandle aHandle)
+  static ReceivedRequest DecodeRequest(const HttpExchange& aExchange, ReplyHandle aHandle)
   {
     const auto& headers = aExchange.Request().mHeaders;
-    ArrivedRequest request;
+    ReceivedRequest request;
     request.mHandle = aHandle;
     if (const auto id = RequestId::Parse(FindHeader(headers, kHeaderRequestId))) {
       request.mId = id.value();
@@ -596,14 +597,14 @@
 
   void OnRequestTick()
   {
-    WithHome([this](HomeCore& aCore) {
-      HomeActions actions = aCore.OnLease(RuntimeClock::now() < mLeaseEnd, Now());
+    WithHome([this](AgentRequestCore& aCore) {
+      AgentRequestActions actions = aCore.OnLease(RuntimeClock::now() < mLeaseEnd, Now());
       AppendTo(actions, aCore.OnTick(Now()));
       return actions;
     });
   }
 
-  void Perform(HomeActions aActions)
+  void Perform(AgentRequestActions aActions)
   {
     for (auto& action : aActions) {
       std::visit([this](auto& aAction) { this->Do(aAction); }, action);
@@ -636,7 +637,7 @@
 
   void OnUpstreamResult(RunId aRun, Result<HttpResponse> aResult)
   {
-    WithHome([&](HomeCore& aCore) {
+    WithHome([&](AgentRequestCore& aCore) {
       if (!aResult) {
         const bool sent = aResult.error().mCode != ErrorCode::Unavailable;
         const Refusal unreachable{RefusalReason::NoUpstream, kUpstreamRetryAfter};
@@ -663,7 +664,8 @@
     const RunId run = aAction.mRun;
     const auto client = mPeers.For(endpoint);
     if (!client) {
-      WithHome([run](HomeCore& aCore) { return aCore.OnAlternateFailed(run, false, Now()); });
+      WithHome(
+        [run](AgentRequestCore& aCore) { return aCore.OnAlternateLinkFailed(run, false, Now()); });
       return;
     }
     HttpRequest request;
@@ -690,10 +692,10 @@
 
   void OnAlternateResult(RunId aRun, Result<HttpResponse> aResult)
   {
-    WithHome([&](HomeCore& aCore) {
+    WithHome([&](AgentRequestCore& aCore) {
       if (!aResult) {
         const bool sent = aResult.error().mCode != ErrorCode::Unavailable;
-        return aCore.OnAlternateFailed(aRun, sent, Now());
+        return aCore.OnAlternateLinkFailed(aRun, sent, Now());
       }
       auto response = FromResponse(std::move(aResult.value()));
       return aCore.OnAlternateAnswer(aRun, response.mOutcome, response.mRefusal.value_or(Refusal{}),
@@ -701,7 +703,7 @@
     });
   }
 
-  void Do(AnswerSender& aAction)
+  void Do(ReplyToSender& aAction)
   {
     std::shared_ptr<HttpExchange> exchange;
     {
@@ -711,7 +713,7 @@
       }
     }
     if (exchange) {
-      exchange->Respond(ToResponse(aAction.mAnswer));
+      exchange->Respond(ToResponse(aAction.mReply));
     }
   }
 
@@ -780,7 +782,7 @@
     }
     mLink.AnnounceNow();
     CallAfter(mPool.Loop(), kDrainTime, [this] {
-      WithHome([](HomeCore& aCore) { return aCore.OnPlannedStop(Now()); });
+      WithHome([](AgentRequestCore& aCore) { return aCore.OnPlannedStop(Now()); });
       AwaitRequests();
     });
   }
@@ -857,8 +859,8 @@
   ServiceId mServiceId = 0;
   std::unique_ptr<UpstreamAdmission> mAdmission;
   std::unique_ptr<AdmissionSlots> mSlots;
-  std::unique_ptr<HomeCore> mHome;
-  HomeRecords mRecords{&Now};
+  std::unique_ptr<AgentRequestCore> mHome;
+  RequestRecordTransfer mRecords{&Now};
   std::unique_ptr<FlowCore> mFlows;
   std::map<ReplyHandle, std::shared_ptr<HttpExchange>> mExchanges;
   std::unordered_map<FlowId, TimePoint> mSentToUpstream; ///< Oldest unanswered datagram of a flow.
--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -9,7 +9,7 @@
 #include "dandelionslip/Net/CallerDatagram.h"
 #include "dandelionslip/Net/MetricsEndpoint.h"
 #include "dandelionslip/Net/UdpSocket.h"
-#include "dandelionslip/Request/RelayCore.h"
+#include "dandelionslip/Request/BalancerRequestCore.h"
 #include "dandelionslip/Route/RoutingCore.h"
 #include "dandelionslip/Support/Hash.h"
 #include "dandelionslip/Support/Log.h"
@@ -43,7 +43,7 @@
     }
   }
 
-  std::optional<std::string> HomeOf(ServiceId aService, const RequestId& aId) const override
+  std::optional<std::string> OwnerOf(ServiceId aService, const RequestId& aId) const override
   {
     const auto name = mNames.find(aService);
     if (name == mNames.end()) {
@@ -102,7 +102,7 @@
              }})
     , mSelf(Endpoint::Parse(aSettings.mDatagramEndpoint).value())
     , mRouting(RoutingSettings{mSelf})
-    , mRelay(RelaySettings{}, mTargets, SystemSeed(), mRegistry)
+    , mRelay(BalancerRequestSettings{}, mTargets, SystemSeed(), mRegistry)
     , mIncarnation(static_cast<std::uint64_t>(WallClockMs()))
   {
   }
@@ -379,7 +379,7 @@
     const ServiceEntry* entry = FindByAddress(*configuration, aService);
     if (entry == nullptr) {
       aExchange->Respond(
-        ToResponse(NotRunBecause({RefusalReason::NoService, kBalancerRetryAfterMs})));
+        ToResponse(NotRunReply({RefusalReason::NoService, kBalancerRetryAfterMs})));
       return;
     }
     CallerRequest request = DecodeRequest(*entry, *aExchange);
@@ -388,11 +388,11 @@
       const std::lock_guard lock(mRelayMutex);
       mExchanges[handle] = aExchange;
     }
-    PerformRelay([&](RelayCore& aCore, const RequestTime& aTime) {
+    PerformRelay([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
       return aCore.OnRequest(std::move(request), aTime);
     });
     aExchange->OnCancel([this, handle] {
-      PerformRelay([handle](RelayCore& aCore, const RequestTime& aTime) {
+      PerformRelay([handle](BalancerRequestCore& aCore, const RequestTime& aTime) {
         return aCore.OnCallerCancelled(handle, aTime);
       });
     });
@@ -437,7 +437,7 @@
   template <typename Event>
   void PerformRelay(Event aEvent)
   {
-    RelayActions actions;
+    BalancerRequestActions actions;
     {
       const std::lock_guard lock(mRelayMutex);
       actions = aEvent(mRelay, RequestTime{RuntimeClock::now(), WallClockMs()});
@@ -449,7 +449,8 @@
 
   void OnRelayTick()
   {
-    PerformRelay([](RelayCore& aCore, const RequestTime& aTime) { return aCore.OnTick(aTime); });
+    PerformRelay(
+      [](BalancerRequestCore& aCore, const RequestTime& aTime) { return aCore.OnTick(aTime); });
   }
 
   void Do(SendToAgent& aAction)
@@ -485,13 +486,13 @@
     }
     if (!aResult) {
       const bool sent = aResult.error().mCode != ErrorCode::Unavailable;
-      PerformRelay([&](RelayCore& aCore, const RequestTime& aTime) {
-        return aCore.OnAgentUnreachable(aKey, sent, aTime);
+      PerformRelay([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
+        return aCore.OnAgentLinkFailed(aKey, sent, aTime);
       });
       return;
     }
     auto response = FromResponse(std::move(aResult.value()));
-    PerformRelay([&](RelayCore& aCore, const RequestTime& aTime) {
+    PerformRelay([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
       return aCore.OnAgentAnswer(aKey, response.mOutcome, response.mRefusal,
                                  std::move(response.mReceived), aTime);
     });
@@ -511,7 +512,7 @@
     }
   }
 
-  void Do(AnswerCaller& aAction)
+  void Do(ReplyToCaller& aAction)
   {
     std::shared_ptr<HttpExchange> exchange;
     {
@@ -523,7 +524,7 @@
     if (!exchange) {
       return;
     }
-    HttpResponse response = ToResponse(aAction.mAnswer);
+    HttpResponse response = ToResponse(aAction.mReply);
     response.mHeaders.push_back({kHeaderRequestId, aAction.mId.ToString()});
     exchange->Respond(std::move(response));
   }
@@ -601,7 +602,7 @@
   std::shared_ptr<const Configuration> mConfiguration = std::make_shared<Configuration>();
   std::mutex mRelayMutex; ///< Guards the members below up to mAttempts.
   SnapshotTargets mTargets;
-  RelayCore mRelay;
+  BalancerRequestCore mRelay;
   std::map<ReplyHandle, std::shared_ptr<HttpExchange>> mExchanges;
   std::map<std::pair<std::string, Attempt>, std::uint64_t> mAttempts; ///< Client's request ids.
   std::atomic<ReplyHandle> mNextHandle{1};
--- a/lib/Daemon/RequestHeaders.cpp
+++ b/lib/Daemon/RequestHeaders.cpp
@@ -37,7 +37,7 @@
   return number;
 }
 
-HttpResponse ToResponse(const RequestAnswer& aAnswer)
+HttpResponse ToResponse(const RequestReply& aAnswer)
 {
   HttpResponse response;
   response.mStatus = kStatusByOutcome[static_cast<std::size_t>(aAnswer.mOutcome)];
--- a/lib/Daemon/RequestHeaders.h
+++ b/lib/Daemon/RequestHeaders.h
@@ -32,7 +32,7 @@
                                           std::string_view aName);
 
 /// The answer as an HTTP response: 200 answered, 503 not run, 502 unknown, 499 cancelled.
-HttpResponse ToResponse(const RequestAnswer& aAnswer);
+HttpResponse ToResponse(const RequestReply& aAnswer);
 
 /// A response of an agent or balancer as outcome, refusal and received answer.
 struct AgentResponse
--- a/lib/Daemon/HomeRecords.cpp
+++ b/lib/Daemon/RequestRecordTransfer.cpp
@@ -1,7 +1,7 @@
 // Bucket hand-off of request records.
-#include "dandelionslip/Daemon/HomeRecords.h"
+#include "dandelionslip/Daemon/RequestRecordTransfer.h"
 
-#include "dandelionslip/Request/HandedRecords.h"
+#include "dandelionslip/Request/TransferredBuckets.h"
 #include "dandelionslip/Support/Log.h"
 
 #include <algorithm>
@@ -18,12 +18,13 @@
 
 } // namespace
 
-HomeRecords::HomeRecords(std::function<RequestTime()> aClock)
+RequestRecordTransfer::RequestRecordTransfer(std::function<RequestTime()> aClock)
   : mClock(std::move(aClock))
 {
 }
 
-Json HomeRecords::Export(std::span<const std::uint32_t> aBuckets, const std::string& aNewOwner)
+Json RequestRecordTransfer::Export(std::span<const std::uint32_t> aBuckets,
+                                   const std::string& aNewOwner)
 {
   const RequestRecords& records = mHome->Records();
   std::map<std::uint32_t, std::set<std::uint32_t>> byNumber;
@@ -48,7 +49,7 @@
   return tables;
 }
 
-void HomeRecords::Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords)
+void RequestRecordTransfer::Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords)
 {
   if (aRecords.is_array()) {
     for (const Json& table : aRecords) {
@@ -64,9 +65,9 @@
   StartWithoutRecords(missing);
 }
 
-void HomeRecords::TakeOver(const Json& aTable)
+void RequestRecordTransfer::TakeOver(const Json& aTable)
 {
-  const auto buckets = ListHandedBuckets(aTable, kPeer);
+  const auto buckets = ListTransferredBuckets(aTable, kPeer);
   if (!buckets) {
     LogEvent(LogLevel::Warning, "records_not_imported").With(buckets.error());
     return;
@@ -83,7 +84,7 @@
   Append(std::move(actions.value()));
 }
 
-void HomeRecords::StartAsFirstOwner(std::span<const std::uint32_t> aBuckets)
+void RequestRecordTransfer::StartAsFirstOwner(std::span<const std::uint32_t> aBuckets)
 {
   const RequestTime now = mClock();
   for (const std::uint32_t bucket : aBuckets) {
@@ -91,7 +92,7 @@
   }
 }
 
-void HomeRecords::StartWithoutRecords(std::span<const std::uint32_t> aBuckets)
+void RequestRecordTransfer::StartWithoutRecords(std::span<const std::uint32_t> aBuckets)
 {
   if (aBuckets.empty()) {
     return;
@@ -106,12 +107,12 @@
   }
 }
 
-HomeActions HomeRecords::TakeActions()
+AgentRequestActions RequestRecordTransfer::TakeActions()
 {
   return std::exchange(mActions, {});
 }
 
-void HomeRecords::Append(HomeActions aActions)
+void RequestRecordTransfer::Append(AgentRequestActions aActions)
 {
   std::move(aActions.begin(), aActions.end(), std::back_inserter(mActions));
 }
--- a/lib/Request/HomeCore.cpp
+++ b/lib/Request/AgentRequestCore.cpp
@@ -1,4 +1,4 @@
-// Entry points of HomeCore.
+// Entry points of AgentRequestCore.
 #include "HomeInternals.h"
 
 namespace dandelionslip {
@@ -12,8 +12,8 @@
 
 } // namespace
 
-HomeCore::Internals::Internals(HomeSettings aSettings, SlotAdmission& aSlots,
-                               AlternateLookup aAlternate, MetricsRegistry& aRegistry)
+AgentRequestCore::Internals::Internals(AgentRequestSettings aSettings, SlotAdmission& aSlots,
+                                       AlternateLookup aAlternate, MetricsRegistry& aRegistry)
   : mSettings(std::move(aSettings))
   , mSlots(aSlots)
   , mAlternate(std::move(aAlternate))
@@ -27,14 +27,14 @@
   mGuests.CompleteFirst(0, 1);
 }
 
-HomeJob* HomeCore::Internals::FindJob(std::uint64_t aToken)
+HomeJob* AgentRequestCore::Internals::FindJob(std::uint64_t aToken)
 {
   const auto found = mJobs.find(aToken);
   return found == mJobs.end() ? nullptr : &found->second;
 }
 
 // Jobs end while they are visited, so visits go through a copy of the keys.
-std::vector<std::uint64_t> HomeCore::Internals::Tokens() const
+std::vector<std::uint64_t> AgentRequestCore::Internals::Tokens() const
 {
   std::vector<std::uint64_t> tokens;
   tokens.reserve(mJobs.size());
@@ -44,30 +44,30 @@
   return tokens;
 }
 
-HomeCore::HomeCore(HomeSettings aSettings, SlotAdmission& aSlots, AlternateLookup aAlternate,
-                   MetricsRegistry& aRegistry)
+AgentRequestCore::AgentRequestCore(AgentRequestSettings aSettings, SlotAdmission& aSlots,
+                                   AlternateLookup aAlternate, MetricsRegistry& aRegistry)
   : mInternals(
       std::make_unique<Internals>(std::move(aSettings), aSlots, std::move(aAlternate), aRegistry))
 {
 }
 
-HomeCore::~HomeCore() = default;
+AgentRequestCore::~AgentRequestCore() = default;
 
-HomeActions HomeCore::OnRequest(ArrivedRequest aRequest, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnRequest(ReceivedRequest aRequest, const RequestTime& aTime)
 {
   const TimePoint deadline = aTime.mNow + aRequest.mRemaining;
   mInternals->Arrive(std::move(aRequest), deadline, aTime);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnCancel(ReplyHandle aHandle, const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnCancel(ReplyHandle aHandle, const RequestTime& /*aTime*/)
 {
   mInternals->Withdraw(aHandle);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer,
-                                       const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer,
+                                                       const RequestTime& aTime)
 {
   if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     const bool whole = aAnswer.IsWhole();
@@ -84,7 +84,8 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnUpstreamShed(RunId aRun, const Refusal& aRefusal, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnUpstreamShed(RunId aRun, const Refusal& aRefusal,
+                                                     const RequestTime& aTime)
 {
   if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     mInternals->ReleaseSlot(*job, RunResult::Shed, aTime);
@@ -98,7 +99,7 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnUpstreamFailed(RunId aRun, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnUpstreamFailed(RunId aRun, const RequestTime& aTime)
 {
   if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     mInternals->ReleaseSlot(*job, job->mCancelSent ? RunResult::Cancelled : RunResult::Failed,
@@ -109,9 +110,10 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome,
-                                        const Refusal& aRefusal, const ReceivedAnswer& aReceived,
-                                        const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome,
+                                                        const Refusal& aRefusal,
+                                                        const ReceivedAnswer& aReceived,
+                                                        const RequestTime& /*aTime*/)
 {
   HomeJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate);
   if (job == nullptr) {
@@ -133,7 +135,8 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnAlternateFailed(RunId aRun, bool aSent, const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnAlternateLinkFailed(RunId aRun, bool aSent,
+                                                            const RequestTime& /*aTime*/)
 {
   if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate)) {
     if (aSent) {
@@ -145,7 +148,7 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnLease(bool aValid, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnLease(bool aValid, const RequestTime& aTime)
 {
   mInternals->mLeaseValid = aValid;
   if (!aValid) {
@@ -155,14 +158,14 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnPlannedStop(const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnPlannedStop(const RequestTime& aTime)
 {
   mInternals->mStopping = true;
   mInternals->PumpQueue(aTime);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnTick(const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnTick(const RequestTime& aTime)
 {
   mInternals->PumpQueue(aTime);
   mInternals->EndOverdueWaiters(aTime);
@@ -172,22 +175,22 @@
   return mInternals->TakeActions();
 }
 
-bool HomeCore::Active() const
+bool AgentRequestCore::Active() const
 {
   return !mInternals->mJobs.empty() || !mInternals->mHeld.empty();
 }
 
-std::size_t HomeCore::Running() const
+std::size_t AgentRequestCore::Running() const
 {
   return mInternals->mRunning;
 }
 
-std::size_t HomeCore::Queued() const
+std::size_t AgentRequestCore::Queued() const
 {
   return mInternals->mQueue.Size();
 }
 
-const RequestRecords& HomeCore::Records() const
+const RequestRecords& AgentRequestCore::Records() const
 {
   return mInternals->mRecords;
 }
--- a/lib/Request/RelayCore.cpp
+++ b/lib/Request/BalancerRequestCore.cpp
@@ -1,12 +1,13 @@
-// Entry points of RelayCore; how requests begin and end.
+// Entry points of BalancerRequestCore; how requests begin and end.
 #include "RelayInternals.h"
 
 #include <algorithm>
 
 namespace dandelionslip {
 
-RelayCore::Internals::Internals(RelaySettings aSettings, const RequestTargets& aTargets,
-                                std::uint64_t aSeed, MetricsRegistry& aRegistry)
+BalancerRequestCore::Internals::Internals(BalancerRequestSettings aSettings,
+                                          const RequestTargets& aTargets, std::uint64_t aSeed,
+                                          MetricsRegistry& aRegistry)
   : mSettings(aSettings)
   , mTargets(aTargets)
   , mRandom(aSeed)
@@ -16,7 +17,7 @@
   mSettings.mMaxTries = std::min(mSettings.mMaxTries, kMaxTries);
 }
 
-void RelayCore::Internals::Accept(CallerRequest aRequest, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Accept(CallerRequest aRequest, const RequestTime& aTime)
 {
   std::optional<RequestId> id;
   if (aRequest.mIdText) {
@@ -26,7 +27,7 @@
     const bool valid = id && aRequest.mCallerAttempt <= kMaxCallerAttempt;
     if (!valid && !aRequest.mIdempotent) {
       mCounters.CountRefusal(RefusalReason::BadRequestId);
-      Reply(aRequest.mHandle, {}, NotRunBecause({RefusalReason::BadRequestId, Milliseconds(0)}));
+      Reply(aRequest.mHandle, {}, NotRunReply({RefusalReason::BadRequestId, Milliseconds(0)}));
       return;
     }
   }
@@ -54,7 +55,7 @@
   Send(exchange, aTime);
 }
 
-void RelayCore::Internals::Withdraw(RelayExchange& aExchange)
+void BalancerRequestCore::Internals::Withdraw(RelayExchange& aExchange)
 {
   aExchange.mCancelled = true;
   if (!aExchange.mInFlight) {
@@ -64,7 +65,7 @@
   mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
 }
 
-void RelayCore::Internals::Finish(RelayExchange& aExchange, RequestAnswer aAnswer)
+void BalancerRequestCore::Internals::Finish(RelayExchange& aExchange, RequestReply aAnswer)
 {
   if (aExchange.mInFlight) {
     --mInFlight[aExchange.mAgent];
@@ -77,10 +78,10 @@
 }
 
 // The most that can be said truthfully when no answer was received.
-void RelayCore::Internals::FinishWithoutAnswer(RelayExchange& aExchange)
+void BalancerRequestCore::Internals::FinishWithoutAnswer(RelayExchange& aExchange)
 {
   if (aExchange.mMayHaveRun) {
-    RequestAnswer answer = UnknownOutcome(aExchange.mLastRefusal);
+    RequestReply answer = UnknownOutcome(aExchange.mLastRefusal);
     answer.mDigest = aExchange.mDigest;
     Finish(aExchange, std::move(answer));
     return;
@@ -92,10 +93,10 @@
   const Refusal refusal =
     aExchange.mLastRefusal.value_or(Refusal{RefusalReason::NoUpstream, Milliseconds(0)});
   mCounters.CountRefusal(refusal.mReason);
-  Finish(aExchange, NotRunBecause(refusal));
+  Finish(aExchange, NotRunReply(refusal));
 }
 
-void RelayCore::Internals::EndOverdue(RelayExchange& aExchange)
+void BalancerRequestCore::Internals::EndOverdue(RelayExchange& aExchange)
 {
   if (aExchange.mInFlight) {
     mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
@@ -106,40 +107,44 @@
   FinishWithoutAnswer(aExchange);
 }
 
-void RelayCore::Internals::Reply(ReplyHandle aHandle, const RequestId& aId, RequestAnswer aAnswer)
+void BalancerRequestCore::Internals::Reply(ReplyHandle aHandle, const RequestId& aId,
+                                           RequestReply aAnswer)
 {
   mCounters.CountOutcome(aAnswer.mOutcome);
-  mActions.emplace_back(AnswerCaller{aHandle, aId, std::move(aAnswer)});
+  mActions.emplace_back(ReplyToCaller{aHandle, aId, std::move(aAnswer)});
 }
 
-RelayExchange* RelayCore::Internals::FindByHandle(ReplyHandle aHandle)
+RelayExchange* BalancerRequestCore::Internals::FindByHandle(ReplyHandle aHandle)
 {
   const auto found = mByHandle.find(aHandle);
   return found == mByHandle.end() ? nullptr : &mExchanges.at(found->second);
 }
 
-void RelayCore::Internals::WakeAt(RelayExchange& aExchange, TimePoint aWhen)
+void BalancerRequestCore::Internals::WakeAt(RelayExchange& aExchange, TimePoint aWhen)
 {
   mWakeUps.erase({aExchange.mWakeAt, aExchange.mToken});
   aExchange.mWakeAt = aWhen;
   mWakeUps.emplace(aWhen, aExchange.mToken);
 }
 
-RelayCore::RelayCore(RelaySettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
-                     MetricsRegistry& aRegistry)
+BalancerRequestCore::BalancerRequestCore(BalancerRequestSettings aSettings,
+                                         const RequestTargets& aTargets, std::uint64_t aSeed,
+                                         MetricsRegistry& aRegistry)
   : mInternals(std::make_unique<Internals>(aSettings, aTargets, aSeed, aRegistry))
 {
 }
 
-RelayCore::~RelayCore() = default;
+BalancerRequestCore::~BalancerRequestCore() = default;
 
-RelayActions RelayCore::OnRequest(CallerRequest aRequest, const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnRequest(CallerRequest aRequest,
+                                                      const RequestTime& aTime)
 {
   mInternals->Accept(std::move(aRequest), aTime);
   return mInternals->TakeActions();
 }
 
-RelayActions RelayCore::OnCallerCancelled(ReplyHandle aHandle, const RequestTime& /*aTime*/)
+BalancerRequestActions BalancerRequestCore::OnCallerCancelled(ReplyHandle aHandle,
+                                                              const RequestTime& /*aTime*/)
 {
   if (RelayExchange* exchange = mInternals->FindByHandle(aHandle);
       exchange != nullptr && !exchange->mCancelled) {
@@ -148,9 +153,11 @@
   return mInternals->TakeActions();
 }
 
-RelayActions RelayCore::OnAgentAnswer(const AttemptKey& aKey, RequestOutcome aOutcome,
-                                      const std::optional<Refusal>& aRefusal,
-                                      ReceivedAnswer aReceived, const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnAgentAnswer(const AttemptKey& aKey,
+                                                          RequestOutcome aOutcome,
+                                                          const std::optional<Refusal>& aRefusal,
+                                                          ReceivedAnswer aReceived,
+                                                          const RequestTime& aTime)
 {
   RelayExchange* exchange = mInternals->TakeAttempt(aKey);
   if (exchange == nullptr) {
@@ -168,16 +175,16 @@
     case RequestOutcome::Unknown:
       mInternals->HandleUnknown(*exchange, aRefusal, aTime);
       break;
-    case RequestOutcome::NotHome:
+    case RequestOutcome::NotOwner:
       exchange->mMayHaveRun = exchange->mMayHaveRunBefore;
-      mInternals->Retry(*exchange, RetryReason::NotHome, refusal.mRetryAfter, aTime);
+      mInternals->Retry(*exchange, RetryReason::NotOwner, refusal.mRetryAfter, aTime);
       break;
   }
   return mInternals->TakeActions();
 }
 
-RelayActions RelayCore::OnAgentUnreachable(const AttemptKey& aKey, bool aSent,
-                                           const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnAgentLinkFailed(const AttemptKey& aKey, bool aSent,
+                                                              const RequestTime& aTime)
 {
   if (RelayExchange* exchange = mInternals->TakeAttempt(aKey)) {
     if (!aSent) {
@@ -189,7 +196,7 @@
   return mInternals->TakeActions();
 }
 
-RelayActions RelayCore::OnTick(const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnTick(const RequestTime& aTime)
 {
   // Each step ends the exchange or moves its wake-up into the future.
   auto& wakeUps = mInternals->mWakeUps;
@@ -204,7 +211,7 @@
   return mInternals->TakeActions();
 }
 
-bool RelayCore::Active() const
+bool BalancerRequestCore::Active() const
 {
   return !mInternals->mExchanges.empty();
 }
--- a/lib/Request/HomeArrival.cpp
+++ b/lib/Request/HomeArrival.cpp
@@ -5,8 +5,8 @@
 
 namespace dandelionslip {
 
-void HomeCore::Internals::Arrive(ArrivedRequest aRequest, TimePoint aDeadline,
-                                 const RequestTime& aTime)
+void AgentRequestCore::Internals::Arrive(ReceivedRequest aRequest, TimePoint aDeadline,
+                                         const RequestTime& aTime)
 {
   if (!aRequest.mIdempotent) {
     ArriveRecorded(std::move(aRequest), aDeadline, aTime);
@@ -19,12 +19,12 @@
   Dispatch(AddJob(std::move(aRequest), aDeadline), aTime);
 }
 
-void HomeCore::Internals::ArriveRecorded(ArrivedRequest aRequest, TimePoint aDeadline,
-                                         const RequestTime& aTime)
+void AgentRequestCore::Internals::ArriveRecorded(ReceivedRequest aRequest, TimePoint aDeadline,
+                                                 const RequestTime& aTime)
 {
   if (!aRequest.mId) {
     mCounters.CountRefusal(RefusalReason::BadRequestId);
-    Reply(aRequest.mHandle, NotRunBecause({RefusalReason::BadRequestId, Milliseconds(0)}));
+    Reply(aRequest.mHandle, NotRunReply({RefusalReason::BadRequestId, Milliseconds(0)}));
     return;
   }
   // A message for an earlier process may have reached that process too.
@@ -42,12 +42,12 @@
       return;
     }
     if (state != RecordBucketState::Complete) {
-      Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::HandoffPending));
+      Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::HandoffPending));
       return;
     }
     // Another agent may own the bucket by now, so nothing may be recorded about a new attempt.
     if (!mLeaseValid) {
-      Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::NoControl));
+      Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::NoControl));
       return;
     }
   }
@@ -63,7 +63,8 @@
 }
 
 // Handles a resend. A refused record lets a higher attempt pass.
-bool HomeCore::Internals::ServeFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline)
+bool AgentRequestCore::Internals::ServeFromRecord(const ReceivedRequest& aRequest,
+                                                  TimePoint aDeadline)
 {
   const RequestRecord* record = TableFor(aRequest.mRelayed).Find(*aRequest.mId);
   if (record == nullptr) {
@@ -81,7 +82,7 @@
   return true;
 }
 
-void HomeCore::Internals::JoinPending(const ArrivedRequest& aRequest, TimePoint aDeadline)
+void AgentRequestCore::Internals::JoinPending(const ReceivedRequest& aRequest, TimePoint aDeadline)
 {
   TableFor(aRequest.mRelayed).Join(*aRequest.mId, aRequest.mAttempt);
   auto& index = IndexFor(aRequest.mRelayed);
@@ -102,7 +103,8 @@
 }
 
 // Decides about an attempt without looking at the upstream; true when that settled it.
-bool HomeCore::Internals::DecideUnknownId(const ArrivedRequest& aRequest, const RequestTime& aTime)
+bool AgentRequestCore::Internals::DecideUnknownId(const ReceivedRequest& aRequest,
+                                                  const RequestTime& aTime)
 {
   RequestRecords& table = TableFor(aRequest.mRelayed);
   const bool known = table.Find(*aRequest.mId) != nullptr;
@@ -132,10 +134,10 @@
   return false;
 }
 
-void HomeCore::Internals::Hold(ArrivedRequest aRequest, TimePoint aDeadline)
+void AgentRequestCore::Internals::Hold(ReceivedRequest aRequest, TimePoint aDeadline)
 {
   if (mHeld.size() >= mSettings.mMaxHeld) {
-    Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::HandoffPending));
+    Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::HandoffPending));
     return;
   }
   mHeld.push_back({std::move(aRequest), aDeadline});
@@ -143,16 +145,17 @@
 
 // Refuses an attempt that has no pending record. Without room to remember the refusal, a late copy
 // of the attempt could still run, so the outcome is then unknown.
-void HomeCore::Internals::RefuseNew(const ArrivedRequest& aRequest, const Refusal& aRefusal)
+void AgentRequestCore::Internals::RefuseNew(const ReceivedRequest& aRequest,
+                                            const Refusal& aRefusal)
 {
   mCounters.CountRefusal(aRefusal.mReason);
   const bool remembered =
     aRequest.mIdempotent ||
     TableFor(aRequest.mRelayed).TryRefuse(*aRequest.mId, aRequest.mAttempt, aRefusal);
-  Reply(aRequest.mHandle, remembered ? NotRunBecause(aRefusal) : UnknownOutcome(aRefusal));
+  Reply(aRequest.mHandle, remembered ? NotRunReply(aRefusal) : UnknownOutcome(aRefusal));
 }
 
-HomeJob& HomeCore::Internals::AddJob(ArrivedRequest aRequest, TimePoint aDeadline)
+HomeJob& AgentRequestCore::Internals::AddJob(ReceivedRequest aRequest, TimePoint aDeadline)
 {
   const std::uint64_t token = mNextToken++;
   HomeJob& job = mJobs[token];
--- a/lib/Request/HomeBuckets.cpp
+++ b/lib/Request/HomeBuckets.cpp
@@ -4,7 +4,7 @@
 namespace dandelionslip {
 
 // Handles the held requests again; those whose bucket is still incomplete are held again.
-void HomeCore::Internals::ReleaseHeld(const RequestTime& aTime)
+void AgentRequestCore::Internals::ReleaseHeld(const RequestTime& aTime)
 {
   std::list<HeldRequest> held;
   held.swap(mHeld);
@@ -14,7 +14,7 @@
 }
 
 // Answers resends of a request that ran at the bucket's previous owner.
-void HomeCore::Internals::ResolveElsewhere(const RequestId& aId)
+void AgentRequestCore::Internals::ResolveElsewhere(const RequestId& aId)
 {
   const auto found = mHomeJobs.find(aId);
   const RequestRecord* record = mRecords.Find(aId);
@@ -26,23 +26,26 @@
   }
 }
 
-HomeActions HomeCore::OnBucketAcquired(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                       const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnBucketAcquired(std::uint32_t aBucket,
+                                                       std::uint32_t aGeneration,
+                                                       const RequestTime& /*aTime*/)
 {
   mInternals->mRecords.Acquire(aBucket, aGeneration);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnBucketFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                         const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnBucketFirstOwner(std::uint32_t aBucket,
+                                                         std::uint32_t aGeneration,
+                                                         const RequestTime& aTime)
 {
   mInternals->mRecords.CompleteFirst(aBucket, aGeneration);
   mInternals->ReleaseHeld(aTime);
   return mInternals->TakeActions();
 }
 
-Result<HomeActions> HomeCore::OnHandoff(const Json& aHandoff, std::string_view aPeer,
-                                        const RequestTime& aTime)
+Result<AgentRequestActions> AgentRequestCore::OnHandoff(const Json& aHandoff,
+                                                        std::string_view aPeer,
+                                                        const RequestTime& aTime)
 {
   const auto taken = mInternals->mRecords.Import(aHandoff, aPeer);
   if (!taken) {
@@ -52,30 +55,33 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnPreviousOwnerLost(std::uint32_t aBucket, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnPreviousOwnerLost(std::uint32_t aBucket,
+                                                          const RequestTime& aTime)
 {
   mInternals->mRecords.CompleteAfterLoss(aBucket, aTime.mWallMs);
   mInternals->ReleaseHeld(aTime);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnBucketDropped(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                      const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnBucketDropped(std::uint32_t aBucket,
+                                                      std::uint32_t aGeneration,
+                                                      const RequestTime& aTime)
 {
   mInternals->mRecords.Drop(aBucket, aGeneration);
   mInternals->ReleaseHeld(aTime);
   return mInternals->TakeActions();
 }
 
-Result<Json> HomeCore::FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
-                                       const std::string& aNewOwner, std::uint32_t aGeneration,
-                                       const RequestTime& aTime)
+Result<Json> AgentRequestCore::FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
+                                               const std::string& aNewOwner,
+                                               std::uint32_t aGeneration, const RequestTime& aTime)
 {
   return mInternals->mRecords.FreezeAndExport(aBuckets, aNewOwner, aGeneration, aTime.mWallMs);
 }
 
-Result<HomeActions> HomeCore::OnRecordUpdate(const Json& aRecord, std::string_view aPeer,
-                                             const RequestTime& /*aTime*/)
+Result<AgentRequestActions> AgentRequestCore::OnRecordUpdate(const Json& aRecord,
+                                                             std::string_view aPeer,
+                                                             const RequestTime& /*aTime*/)
 {
   const auto id = mInternals->mRecords.MergeRecord(aRecord, aPeer);
   if (!id) {
@@ -86,7 +92,8 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnAgentLost(const std::string& aAgent, const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnAgentLost(const std::string& aAgent,
+                                                  const RequestTime& /*aTime*/)
 {
   for (const RequestId& id : mInternals->mRecords.LoseHolder(aAgent)) {
     mInternals->ResolveElsewhere(id);
@@ -95,12 +102,12 @@
   return mInternals->TakeActions();
 }
 
-Json HomeCore::ExportAll(const RequestTime& aTime)
+Json AgentRequestCore::ExportAll(const RequestTime& aTime)
 {
   return mInternals->mRecords.ExportAll(aTime.mWallMs);
 }
 
-Result<void> HomeCore::ImportAll(const Json& aTable, std::string_view aPeer)
+Result<void> AgentRequestCore::ImportAll(const Json& aTable, std::string_view aPeer)
 {
   return mInternals->mRecords.ImportAll(aTable, aPeer);
 }
--- a/lib/Request/HomeEnds.cpp
+++ b/lib/Request/HomeEnds.cpp
@@ -3,7 +3,7 @@
 
 namespace dandelionslip {
 
-void HomeCore::Internals::EndAnswered(HomeJob& aJob, const UpstreamAnswer& aAnswer)
+void AgentRequestCore::Internals::EndAnswered(HomeJob& aJob, const UpstreamAnswer& aAnswer)
 {
   if (aJob.IsRecorded()) {
     TableFor(aJob.mRequest.mRelayed).Complete(aJob.mId, aAnswer);
@@ -13,7 +13,8 @@
 
 // Without room to remember the refusal the request is recorded as unknown: it did not run, but a
 // record of its own would have to stay.
-void HomeCore::Internals::EndRefused(HomeJob& aJob, const Refusal& aRefusal, bool aCancelled)
+void AgentRequestCore::Internals::EndRefused(HomeJob& aJob, const Refusal& aRefusal,
+                                             bool aCancelled)
 {
   RequestRecords& table = TableFor(aJob.mRequest.mRelayed);
   if (aJob.IsRecorded() && !table.TryRefuse(aJob.mId, aJob.mRequest.mAttempt, aRefusal)) {
@@ -23,10 +24,10 @@
   if (!aCancelled) {
     mCounters.CountRefusal(aRefusal.mReason);
   }
-  FinishJob(aJob, aCancelled ? CancelledOutcome() : NotRunBecause(aRefusal));
+  FinishJob(aJob, aCancelled ? CancelledOutcome() : NotRunReply(aRefusal));
 }
 
-void HomeCore::Internals::EndUnknown(HomeJob& aJob)
+void AgentRequestCore::Internals::EndUnknown(HomeJob& aJob)
 {
   if (aJob.IsRecorded()) {
     TableFor(aJob.mRequest.mRelayed).MarkUnknown(aJob.mId);
@@ -35,13 +36,13 @@
 }
 
 // Ends a request that ran elsewhere with what its record now says.
-void HomeCore::Internals::EndFromRecord(HomeJob& aJob)
+void AgentRequestCore::Internals::EndFromRecord(HomeJob& aJob)
 {
   const RequestRecord* record = mRecords.Find(aJob.mId);
   FinishJob(aJob, record == nullptr ? UnknownOutcome() : AnswerFromRecord(*record));
 }
 
-void HomeCore::Internals::FinishJob(HomeJob& aJob, const RequestAnswer& aAnswer)
+void AgentRequestCore::Internals::FinishJob(HomeJob& aJob, const RequestReply& aAnswer)
 {
   for (const JobWaiter& waiter : aJob.mWaiters) {
     mWaiting.erase(waiter.mHandle);
@@ -59,7 +60,7 @@
   }
 }
 
-RequestAnswer HomeCore::Internals::AnswerFromRecord(const RequestRecord& aRecord) const
+RequestReply AgentRequestCore::Internals::AnswerFromRecord(const RequestRecord& aRecord) const
 {
   switch (aRecord.mState) {
     case RecordState::Done:
@@ -68,7 +69,7 @@
       }
       return {RequestOutcome::Unknown, {}, {}, aRecord.mDigest};
     case RecordState::Refused:
-      return NotRunBecause(aRecord.mRefusal);
+      return NotRunReply(aRecord.mRefusal);
     case RecordState::Pending:
     case RecordState::Unknown:
       return UnknownOutcome();
@@ -76,13 +77,13 @@
   return UnknownOutcome();
 }
 
-void HomeCore::Internals::Reply(ReplyHandle aHandle, RequestAnswer aAnswer)
+void AgentRequestCore::Internals::Reply(ReplyHandle aHandle, RequestReply aAnswer)
 {
   mCounters.CountOutcome(aAnswer.mOutcome);
-  mActions.emplace_back(AnswerSender{aHandle, std::move(aAnswer)});
+  mActions.emplace_back(ReplyToSender{aHandle, std::move(aAnswer)});
 }
 
-void HomeCore::Internals::ReportToNewOwner(const RequestId& aId)
+void AgentRequestCore::Internals::ReportToNewOwner(const RequestId& aId)
 {
   const std::uint32_t bucket = mRecords.BucketFor(aId);
   if (mRecords.StateOf(bucket) == RecordBucketState::Frozen) {
--- a/lib/Request/HomeInternals.h
+++ b/lib/Request/HomeInternals.h
@@ -1,9 +1,9 @@
-// State and steps of HomeCore.
+// State and steps of AgentRequestCore.
 #pragma once
 
 #include "HomeJob.h"
 
-#include "dandelionslip/Request/HomeCore.h"
+#include "dandelionslip/Request/AgentRequestCore.h"
 
 #include <list>
 #include <map>
@@ -14,24 +14,24 @@
 /// A request that waits until its bucket's history is settled.
 struct HeldRequest
 {
-  ArrivedRequest mRequest;
+  ReceivedRequest mRequest;
   TimePoint mDeadline;
 };
 
-struct HomeCore::Internals
+struct AgentRequestCore::Internals
 {
-  Internals(HomeSettings aSettings, SlotAdmission& aSlots, AlternateLookup aAlternate,
+  Internals(AgentRequestSettings aSettings, SlotAdmission& aSlots, AlternateLookup aAlternate,
             MetricsRegistry& aRegistry);
 
   // Arrival (HomeArrival.cpp).
-  void Arrive(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
-  void ArriveRecorded(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
-  bool ServeFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline);
-  void JoinPending(const ArrivedRequest& aRequest, TimePoint aDeadline);
-  bool DecideUnknownId(const ArrivedRequest& aRequest, const RequestTime& aTime);
-  void Hold(ArrivedRequest aRequest, TimePoint aDeadline);
-  void RefuseNew(const ArrivedRequest& aRequest, const Refusal& aRefusal);
-  HomeJob& AddJob(ArrivedRequest aRequest, TimePoint aDeadline);
+  void Arrive(ReceivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
+  void ArriveRecorded(ReceivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
+  bool ServeFromRecord(const ReceivedRequest& aRequest, TimePoint aDeadline);
+  void JoinPending(const ReceivedRequest& aRequest, TimePoint aDeadline);
+  bool DecideUnknownId(const ReceivedRequest& aRequest, const RequestTime& aTime);
+  void Hold(ReceivedRequest aRequest, TimePoint aDeadline);
+  void RefuseNew(const ReceivedRequest& aRequest, const Refusal& aRefusal);
+  HomeJob& AddJob(ReceivedRequest aRequest, TimePoint aDeadline);
 
   // Runs (HomeRuns.cpp).
   void Dispatch(HomeJob& aJob, const RequestTime& aTime);
@@ -48,9 +48,9 @@
   void EndRefused(HomeJob& aJob, const Refusal& aRefusal, bool aCancelled = false);
   void EndUnknown(HomeJob& aJob);
   void EndFromRecord(HomeJob& aJob);
-  void FinishJob(HomeJob& aJob, const RequestAnswer& aAnswer);
-  RequestAnswer AnswerFromRecord(const RequestRecord& aRecord) const;
-  void Reply(ReplyHandle aHandle, RequestAnswer aAnswer);
+  void FinishJob(HomeJob& aJob, const RequestReply& aAnswer);
+  RequestReply AnswerFromRecord(const RequestRecord& aRecord) const;
+  void Reply(ReplyHandle aHandle, RequestReply aAnswer);
   void ReportToNewOwner(const RequestId& aId);
 
   // Time and withdrawal (HomeTime.cpp).
@@ -71,9 +71,9 @@
   }
   HomeJob* FindJob(std::uint64_t aToken);
   std::vector<std::uint64_t> Tokens() const;
-  HomeActions TakeActions() { return std::exchange(mActions, {}); }
+  AgentRequestActions TakeActions() { return std::exchange(mActions, {}); }
 
-  HomeSettings mSettings;
+  AgentRequestSettings mSettings;
   SlotAdmission& mSlots;
   AlternateLookup mAlternate;
   RequestCounters mCounters;
@@ -91,7 +91,7 @@
   std::size_t mRunning = 0;
   bool mLeaseValid = false;
   bool mStopping = false;
-  HomeActions mActions;
+  AgentRequestActions mActions;
 };
 
 } // namespace dandelionslip
--- a/lib/Request/HomeJob.h
+++ b/lib/Request/HomeJob.h
@@ -1,7 +1,7 @@
 // One request in progress at an agent.
 #pragma once
 
-#include "dandelionslip/Request/HomeActions.h"
+#include "dandelionslip/Request/AgentRequestActions.h"
 
 namespace dandelionslip {
 
@@ -24,7 +24,7 @@
 struct HomeJob
 {
   std::uint64_t mToken = 0;
-  ArrivedRequest mRequest;
+  ReceivedRequest mRequest;
   RequestId mId; ///< Nil for an idempotent request without an id.
   JobPhase mPhase = JobPhase::Queued;
   RunId mRun = 0;
--- a/lib/Request/HomeRuns.cpp
+++ b/lib/Request/HomeRuns.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void HomeCore::Internals::Dispatch(HomeJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::Dispatch(HomeJob& aJob, const RequestTime& aTime)
 {
   if (aJob.mRequest.mRelayed && aJob.IsRecorded() && !mLeaseValid) {
     EndRefused(aJob, {RefusalReason::NoControl, Milliseconds(0)});
@@ -43,7 +43,7 @@
   Enqueue(aJob, aTime);
 }
 
-void HomeCore::Internals::Enqueue(HomeJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::Enqueue(HomeJob& aJob, const RequestTime& aTime)
 {
   const std::uint64_t token = aJob.mToken;
   const QueueEntry entry{token, aJob.mRequest.mCaller, aJob.mRequest.mClass, aJob.mDeadline};
@@ -60,7 +60,7 @@
   }
 }
 
-void HomeCore::Internals::StartRun(HomeJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::StartRun(HomeJob& aJob, const RequestTime& aTime)
 {
   aJob.mPhase = JobPhase::Running;
   aJob.mStarted = aTime.mNow;
@@ -73,8 +73,8 @@
 }
 
 // Passes a request that cannot run here to the alternate, once; the record stays here.
-void HomeCore::Internals::RelayOrRefuse(HomeJob& aJob, const Refusal& aRefusal,
-                                        const RequestTime& aTime)
+void AgentRequestCore::Internals::RelayOrRefuse(HomeJob& aJob, const Refusal& aRefusal,
+                                                const RequestTime& aTime)
 {
   const bool allowed = !aJob.mRequest.mRelayed && !aJob.mTriedAlternate &&
                        (mLeaseValid || !aJob.IsRecorded()) && aTime.mNow < aJob.mDeadline;
@@ -88,14 +88,14 @@
   aJob.mTriedAlternate = true;
   aJob.mRun = mNextRun++;
   mRuns[aJob.mRun] = aJob.mToken;
-  const ArrivedRequest& request = aJob.mRequest;
+  const ReceivedRequest& request = aJob.mRequest;
   mActions.emplace_back(RelayToAlternate{aJob.mRun, alternate->mName, alternate->mIncarnation,
                                          aJob.mId, request.mAttempt, request.mIdempotent,
                                          RemainingFor(aJob, aTime, mSettings.mHopAllowance),
                                          request.mCaller, request.mClass, request.mBody});
 }
 
-void HomeCore::Internals::PumpQueue(const RequestTime& aTime)
+void AgentRequestCore::Internals::PumpQueue(const RequestTime& aTime)
 {
   for (const QueueEntry& overdue : mQueue.TakeOverdue(aTime.mNow)) {
     EndRefused(mJobs.at(overdue.mToken), {RefusalReason::Deadline, Milliseconds(0)});
@@ -111,7 +111,7 @@
 }
 
 // Ends the bookkeeping of a run; null when no run of this phase has the id.
-HomeJob* HomeCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
+HomeJob* AgentRequestCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
 {
   const auto found = mRuns.find(aRun);
   HomeJob* job = found == mRuns.end() ? nullptr : FindJob(found->second);
@@ -126,8 +126,8 @@
   return job;
 }
 
-void HomeCore::Internals::ReleaseSlot(const HomeJob& aJob, RunResult aResult,
-                                      const RequestTime& aTime)
+void AgentRequestCore::Internals::ReleaseSlot(const HomeJob& aJob, RunResult aResult,
+                                              const RequestTime& aTime)
 {
   --mRunning;
   const RuntimeClock::duration latency = aTime.mNow - aJob.mStarted;
@@ -138,7 +138,7 @@
 }
 
 // Asks for the end of a run that nobody waits for; the record stays pending until the run ends.
-void HomeCore::Internals::CancelJob(HomeJob& aJob)
+void AgentRequestCore::Internals::CancelJob(HomeJob& aJob)
 {
   if (!aJob.mCancelSent) {
     aJob.mCancelSent = true;
--- a/lib/Request/HomeTime.cpp
+++ b/lib/Request/HomeTime.cpp
@@ -5,7 +5,7 @@
 
 namespace dandelionslip {
 
-void HomeCore::Internals::Withdraw(ReplyHandle aHandle)
+void AgentRequestCore::Internals::Withdraw(ReplyHandle aHandle)
 {
   if (const auto found = mWaiting.find(aHandle); found != mWaiting.end()) {
     WithdrawFromJob(mJobs.at(found->second), aHandle);
@@ -21,7 +21,7 @@
   }
 }
 
-void HomeCore::Internals::WithdrawFromJob(HomeJob& aJob, ReplyHandle aHandle)
+void AgentRequestCore::Internals::WithdrawFromJob(HomeJob& aJob, ReplyHandle aHandle)
 {
   const bool last = aJob.mWaiters.size() == 1;
   if (last && aJob.mPhase == JobPhase::Queued) {
@@ -45,7 +45,7 @@
   CancelJob(aJob);
 }
 
-void HomeCore::Internals::EndOverdueWaiters(const RequestTime& aTime)
+void AgentRequestCore::Internals::EndOverdueWaiters(const RequestTime& aTime)
 {
   for (const std::uint64_t token : Tokens()) {
     HomeJob& job = mJobs.at(token);
@@ -65,7 +65,7 @@
   }
 }
 
-void HomeCore::Internals::EndOverdueHeld(const RequestTime& aTime)
+void AgentRequestCore::Internals::EndOverdueHeld(const RequestTime& aTime)
 {
   for (auto held = mHeld.begin(); held != mHeld.end();) {
     if (aTime.mNow < held->mDeadline) {
@@ -80,7 +80,7 @@
 
 // A queued request has not run and, without a lease, must not. Another owner that takes the bucket
 // over answers "unknown" for ids of this age, so the refusal stays true.
-void HomeCore::Internals::RefuseQueuedRecorded(const Refusal& aRefusal)
+void AgentRequestCore::Internals::RefuseQueuedRecorded(const Refusal& aRefusal)
 {
   for (const std::uint64_t token : Tokens()) {
     HomeJob& job = mJobs.at(token);
--- a/lib/Request/RelayAttempts.cpp
+++ b/lib/Request/RelayAttempts.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-void RelayCore::Internals::Send(RelayExchange& aExchange, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Send(RelayExchange& aExchange, const RequestTime& aTime)
 {
   const auto remaining =
     std::chrono::floor<Milliseconds>(aExchange.mDeadline - aTime.mNow) - mSettings.mHopAllowance;
@@ -54,11 +54,12 @@
                                     request.mClass, request.mBody});
 }
 
-std::optional<std::string> RelayCore::Internals::ChooseAgent(const RelayExchange& aExchange)
+std::optional<std::string> BalancerRequestCore::Internals::ChooseAgent(
+  const RelayExchange& aExchange)
 {
   const ServiceId service = aExchange.mRequest.mService;
   if (!aExchange.mRequest.mIdempotent || (aExchange.mFixedHome && aExchange.mTries == 0)) {
-    return mTargets.HomeOf(service, aExchange.mId);
+    return mTargets.OwnerOf(service, aExchange.mId);
   }
   std::vector<std::string> candidates = mTargets.CandidatesOf(service);
   if (candidates.size() > 1) {
@@ -70,7 +71,7 @@
   return BetterOfTwo(candidates);
 }
 
-std::string RelayCore::Internals::BetterOfTwo(const std::vector<std::string>& aCandidates)
+std::string BalancerRequestCore::Internals::BetterOfTwo(const std::vector<std::string>& aCandidates)
 {
   const std::size_t first = mRandom.Below(aCandidates.size());
   if (aCandidates.size() == 1) {
@@ -83,7 +84,7 @@
 }
 
 // Ends the newest attempt of a request; null when the key is not that of an attempt in flight.
-RelayExchange* RelayCore::Internals::TakeAttempt(const AttemptKey& aKey)
+RelayExchange* BalancerRequestCore::Internals::TakeAttempt(const AttemptKey& aKey)
 {
   const auto found = mByCallerAttempt.find({aKey.mId, aKey.mAttempt >> kTryBits});
   RelayExchange* exchange =
@@ -98,8 +99,9 @@
   return exchange;
 }
 
-void RelayCore::Internals::HandleAnswered(RelayExchange& aExchange, ReceivedAnswer aReceived,
-                                          const RequestTime& aTime)
+void BalancerRequestCore::Internals::HandleAnswered(RelayExchange& aExchange,
+                                                    ReceivedAnswer aReceived,
+                                                    const RequestTime& aTime)
 {
   if (aReceived.IsWhole()) {
     mBudget.OnSuccess(aExchange.mRequest.mService, aExchange.mRequest.mCaller, aTime.mNow);
@@ -110,8 +112,8 @@
   Retry(aExchange, RetryReason::LinkLost, Milliseconds(0), aTime);
 }
 
-void RelayCore::Internals::HandleNotRun(RelayExchange& aExchange, const Refusal& aRefusal,
-                                        const RequestTime& aTime)
+void BalancerRequestCore::Internals::HandleNotRun(RelayExchange& aExchange, const Refusal& aRefusal,
+                                                  const RequestTime& aTime)
 {
   // The home agent's record covers all lower attempts. Attempts of an idempotent request have no
   // record, so the refusal says nothing about earlier ones.
@@ -124,9 +126,9 @@
   Retry(aExchange, RetryReason::Refused, aRefusal.mRetryAfter, aTime);
 }
 
-void RelayCore::Internals::HandleUnknown(RelayExchange& aExchange,
-                                         const std::optional<Refusal>& aRefusal,
-                                         const RequestTime& aTime)
+void BalancerRequestCore::Internals::HandleUnknown(RelayExchange& aExchange,
+                                                   const std::optional<Refusal>& aRefusal,
+                                                   const RequestTime& aTime)
 {
   aExchange.mLastRefusal = aRefusal;
   if (!aExchange.mRequest.mIdempotent) {
@@ -136,8 +138,8 @@
   Retry(aExchange, RetryReason::Failed, Milliseconds(0), aTime);
 }
 
-void RelayCore::Internals::Retry(RelayExchange& aExchange, RetryReason aReason,
-                                 Milliseconds aAtLeast, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Retry(RelayExchange& aExchange, RetryReason aReason,
+                                           Milliseconds aAtLeast, const RequestTime& aTime)
 {
   if (aExchange.mCancelled) {
     FinishWithoutAnswer(aExchange);
@@ -155,7 +157,7 @@
   }
   // Going on to the right agent adds no load to an upstream and is not charged.
   const CallerRequest& request = aExchange.mRequest;
-  if (aReason != RetryReason::NotHome &&
+  if (aReason != RetryReason::NotOwner &&
       !mBudget.TryRetry(request.mService, request.mCaller, aTime.mNow)) {
     Deny(aExchange, RetryDenial::Budget);
     return;
@@ -165,7 +167,7 @@
   WakeAt(aExchange, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
 }
 
-void RelayCore::Internals::Deny(RelayExchange& aExchange, RetryDenial aReason)
+void BalancerRequestCore::Internals::Deny(RelayExchange& aExchange, RetryDenial aReason)
 {
   mCounters.CountDenial(aReason);
   FinishWithoutAnswer(aExchange);
--- a/lib/Request/RelayInternals.h
+++ b/lib/Request/RelayInternals.h
@@ -1,7 +1,7 @@
-// State and steps of RelayCore.
+// State and steps of BalancerRequestCore.
 #pragma once
 
-#include "dandelionslip/Request/RelayCore.h"
+#include "dandelionslip/Request/BalancerRequestCore.h"
 
 #include <map>
 #include <set>
@@ -31,18 +31,18 @@
   std::optional<AnswerDigest> mDigest;
 };
 
-struct RelayCore::Internals
+struct BalancerRequestCore::Internals
 {
-  Internals(RelaySettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
+  Internals(BalancerRequestSettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
             MetricsRegistry& aRegistry);
 
-  // Requests and their ends (RelayCore.cpp).
+  // Requests and their ends (BalancerRequestCore.cpp).
   void Accept(CallerRequest aRequest, const RequestTime& aTime);
   void Withdraw(RelayExchange& aExchange);
-  void Finish(RelayExchange& aExchange, RequestAnswer aAnswer);
+  void Finish(RelayExchange& aExchange, RequestReply aAnswer);
   void FinishWithoutAnswer(RelayExchange& aExchange);
   void EndOverdue(RelayExchange& aExchange);
-  void Reply(ReplyHandle aHandle, const RequestId& aId, RequestAnswer aAnswer);
+  void Reply(ReplyHandle aHandle, const RequestId& aId, RequestReply aAnswer);
 
   // Attempts (RelayAttempts.cpp).
   void Send(RelayExchange& aExchange, const RequestTime& aTime);
@@ -59,11 +59,11 @@
 
   RelayExchange* FindByHandle(ReplyHandle aHandle);
   void WakeAt(RelayExchange& aExchange, TimePoint aWhen);
-  RelayActions TakeActions() { return std::exchange(mActions, {}); }
+  BalancerRequestActions TakeActions() { return std::exchange(mActions, {}); }
 
   using CallerAttempt = std::pair<RequestId, std::uint32_t>;
 
-  RelaySettings mSettings;
+  BalancerRequestSettings mSettings;
   const RequestTargets& mTargets;
   Random mRandom;
   RetryBudget mBudget;
@@ -74,7 +74,7 @@
   std::set<std::pair<TimePoint, std::uint64_t>> mWakeUps; ///< One for each exchange.
   std::map<std::string, std::uint32_t> mInFlight;         ///< Attempts in flight by agent.
   std::uint64_t mNextToken = 1;
-  RelayActions mActions;
+  BalancerRequestActions mActions;
 };
 
 } // namespace dandelionslip
--- a/lib/Request/RequestCounters.cpp
+++ b/lib/Request/RequestCounters.cpp
@@ -27,7 +27,7 @@
 {
   static constexpr std::array<EnumName<RetryReason>, 5> kNames{{
     {RetryReason::Refused, "refused"},
-    {RetryReason::NotHome, "not_home"},
+    {RetryReason::NotOwner, "not_home"},
     {RetryReason::Unreachable, "unreachable"},
     {RetryReason::LinkLost, "link_lost"},
     {RetryReason::Failed, "failed"},
--- a/lib/Request/RequestOutcome.cpp
+++ b/lib/Request/RequestOutcome.cpp
@@ -12,7 +12,7 @@
     {RequestOutcome::NotRun, "not_run"},
     {RequestOutcome::Unknown, "unknown"},
     {RequestOutcome::Cancelled, "cancelled"},
-    {RequestOutcome::NotHome, "not_home"},
+    {RequestOutcome::NotOwner, "not_home"},
   }};
   return kNames;
 }
@@ -22,29 +22,29 @@
   return EnumNames(aOutcome)[static_cast<std::size_t>(aOutcome)].mName;
 }
 
-RequestAnswer AnsweredWith(UpstreamAnswer aAnswer)
+RequestReply AnsweredWith(UpstreamAnswer aAnswer)
 {
   return {RequestOutcome::Answered, std::move(aAnswer), {}, {}};
 }
 
-RequestAnswer NotRunBecause(Refusal aRefusal)
+RequestReply NotRunReply(Refusal aRefusal)
 {
   return {RequestOutcome::NotRun, {}, aRefusal, {}};
 }
 
-RequestAnswer UnknownOutcome(std::optional<Refusal> aRefusal)
+RequestReply UnknownOutcome(std::optional<Refusal> aRefusal)
 {
   return {RequestOutcome::Unknown, {}, aRefusal, {}};
 }
 
-RequestAnswer CancelledOutcome()
+RequestReply CancelledOutcome()
 {
   return {RequestOutcome::Cancelled, {}, {}, {}};
 }
 
-RequestAnswer NotHomeBecause(RefusalReason aReason)
+RequestReply NotOwnerReply(RefusalReason aReason)
 {
-  return {RequestOutcome::NotHome, {}, Refusal{aReason, Milliseconds(0)}, {}};
+  return {RequestOutcome::NotOwner, {}, Refusal{aReason, Milliseconds(0)}, {}};
 }
 
 } // namespace dandelionslip
--- a/lib/Request/HandedRecords.cpp
+++ b/lib/Request/TransferredBuckets.cpp
@@ -1,5 +1,5 @@
 // Reads the bucket list of hand-off messages.
-#include "dandelionslip/Request/HandedRecords.h"
+#include "dandelionslip/Request/TransferredBuckets.h"
 
 #include "RecordWire.h"
 
@@ -7,13 +7,14 @@
 
 namespace dandelionslip {
 
-Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aHandoff, std::string_view aPeer)
+Result<std::vector<TransferredBucket>> ListTransferredBuckets(const Json& aHandoff,
+                                                              std::string_view aPeer)
 {
   const auto table = FromJson<TableWire>(aHandoff, aPeer);
   if (!table) {
     return table.as_failure();
   }
-  std::vector<HandedBucket> buckets;
+  std::vector<TransferredBucket> buckets;
   buckets.reserve(table.value().mBuckets.size());
   for (const BucketWire& wire : table.value().mBuckets) {
     buckets.push_back({wire.mBucket, wire.mGeneration});
--- a/unittests/Daemon/HomeRecordsTest.cpp
+++ b/unittests/Daemon/RequestRecordTransferTest.cpp
@@ -1,5 +1,5 @@
 // Tests of request records that move with their buckets between agents.
-#include "dandelionslip/Daemon/HomeRecords.h"
+#include "dandelionslip/Daemon/RequestRecordTransfer.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -33,9 +33,9 @@
     mHome.OnLease(true, {RuntimeClock::now(), aWallMs});
   }
 
-  static HomeSettings SettingsFor(const std::string& aName)
+  static AgentRequestSettings SettingsFor(const std::string& aName)
   {
-    HomeSettings settings;
+    AgentRequestSettings settings;
     settings.mSelf = aName;
     settings.mIncarnation = 1;
     settings.mBuckets = kBuckets;
@@ -44,13 +44,13 @@
 
   OpenSlots mSlots;
   MetricsRegistry mRegistry;
-  HomeCore mHome;
-  HomeRecords mRecords;
+  AgentRequestCore mHome;
+  RequestRecordTransfer mRecords;
 };
 
-class HomeRecordsTest : public CppUnit::TestFixture
+class RequestRecordTransferTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(HomeRecordsTest);
+  CPPUNIT_TEST_SUITE(RequestRecordTransferTest);
   CPPUNIT_TEST(ResendAtTheNewOwnerGetsTheFirstAnswer);
   CPPUNIT_TEST(OldOwnerDecidesNothingAfterTheExport);
   CPPUNIT_TEST(RepeatedExportGivesTheSameRecords);
@@ -67,9 +67,9 @@
 
   RequestTime Now() const { return {RuntimeClock::now(), mWallMs}; }
 
-  HomeActions Send(Agent& aAgent, const RequestId& aId, std::uint32_t aCallerAttempt)
+  AgentRequestActions Send(Agent& aAgent, const RequestId& aId, std::uint32_t aCallerAttempt)
   {
-    ArrivedRequest request;
+    ReceivedRequest request;
     request.mHandle = ++mHandle;
     request.mId = aId;
     request.mAttempt = MakeAttempt(aCallerAttempt, 0);
@@ -79,7 +79,7 @@
   }
 
   template <typename Action>
-  static const Action* Find(const HomeActions& aActions)
+  static const Action* Find(const AgentRequestActions& aActions)
   {
     for (const auto& action : aActions) {
       if (const auto* found = std::get_if<Action>(&action)) {
@@ -93,7 +93,7 @@
   RequestId RunAt(Agent& aAgent, const std::string& aAnswer)
   {
     const RequestId id = RequestId::Make(mWallMs, mRandom);
-    const HomeActions actions = Send(aAgent, id, 1);
+    const AgentRequestActions actions = Send(aAgent, id, 1);
     const auto* run = Find<RunAtUpstream>(actions);
     CPPUNIT_ASSERT(run != nullptr);
     ReceivedAnswer answer;
@@ -105,21 +105,21 @@
 
   void CheckResendIsAnswered(Agent& aAgent, const RequestId& aId, const std::string& aAnswer)
   {
-    const HomeActions actions = Send(aAgent, aId, 2);
+    const AgentRequestActions actions = Send(aAgent, aId, 2);
     CPPUNIT_ASSERT(Find<RunAtUpstream>(actions) == nullptr);
-    const auto* answer = Find<AnswerSender>(actions);
+    const auto* answer = Find<ReplyToSender>(actions);
     CPPUNIT_ASSERT(answer != nullptr);
-    CPPUNIT_ASSERT(answer->mAnswer.mOutcome == RequestOutcome::Answered);
-    CPPUNIT_ASSERT(answer->mAnswer.mAnswer.mBody == Bytes(aAnswer.begin(), aAnswer.end()));
+    CPPUNIT_ASSERT(answer->mReply.mOutcome == RequestOutcome::Answered);
+    CPPUNIT_ASSERT(answer->mReply.mAnswer.mBody == Bytes(aAnswer.begin(), aAnswer.end()));
   }
 
   void CheckResendIsUnknown(Agent& aAgent, const RequestId& aId)
   {
-    const HomeActions actions = Send(aAgent, aId, 2);
+    const AgentRequestActions actions = Send(aAgent, aId, 2);
     CPPUNIT_ASSERT(Find<RunAtUpstream>(actions) == nullptr);
-    const auto* answer = Find<AnswerSender>(actions);
+    const auto* answer = Find<ReplyToSender>(actions);
     CPPUNIT_ASSERT(answer != nullptr);
-    CPPUNIT_ASSERT(answer->mAnswer.mOutcome == RequestOutcome::Unknown);
+    CPPUNIT_ASSERT(answer->mReply.mOutcome == RequestOutcome::Unknown);
   }
 
 public:
@@ -143,11 +143,11 @@
     Agent first("a", mWallMs);
     first.mRecords.StartAsFirstOwner(mAll);
     first.mRecords.Export(mAll, "b");
-    const HomeActions actions = Send(first, RequestId::Make(mWallMs, mRandom), 1);
+    const AgentRequestActions actions = Send(first, RequestId::Make(mWallMs, mRandom), 1);
     CPPUNIT_ASSERT(Find<RunAtUpstream>(actions) == nullptr);
-    const auto* answer = Find<AnswerSender>(actions);
+    const auto* answer = Find<ReplyToSender>(actions);
     CPPUNIT_ASSERT(answer != nullptr);
-    CPPUNIT_ASSERT(answer->mAnswer.mOutcome == RequestOutcome::NotHome);
+    CPPUNIT_ASSERT(answer->mReply.mOutcome == RequestOutcome::NotOwner);
   }
 
   // Guards against records that are lost with the first answer to a transfer request.
@@ -194,7 +194,7 @@
   {
     Agent agent("a", mWallMs);
     agent.mRecords.StartWithoutRecords(mAll);
-    ArrivedRequest request;
+    ReceivedRequest request;
     request.mHandle = ++mHandle;
     request.mId = RequestId::Make(mWallMs, mRandom);
     request.mAttempt = MakeAttempt(1, 0);
@@ -222,7 +222,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(HomeRecordsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RequestRecordTransferTest);
 
 } // namespace
 
--- a/unittests/Request/HomeCoreTest.cpp
+++ b/unittests/Request/AgentRequestCoreTest.cpp
@@ -9,9 +9,9 @@
 
 using namespace requesttest;
 
-class HomeCoreTest : public CppUnit::TestFixture
+class AgentRequestCoreTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(HomeCoreTest);
+  CPPUNIT_TEST_SUITE(AgentRequestCoreTest);
   CPPUNIT_TEST(WholeAnswerIsGivenToEveryResend);
   CPPUNIT_TEST(RefusedAttemptNeverRuns);
   CPPUNIT_TEST(FailedRunIsUnknownForever);
@@ -36,7 +36,7 @@
   // A core with one slot, a valid lease and all buckets.
   void Reset(RecordLimits aLimits)
   {
-    HomeSettings settings;
+    AgentRequestSettings settings;
     settings.mSelf = "u1";
     settings.mIncarnation = 7;
     settings.mBuckets = 16;
@@ -45,7 +45,7 @@
     mSlots = std::make_unique<FixedSlots>(1);
     mRegistry = std::make_unique<MetricsRegistry>();
     const auto alternate = [this](std::uint32_t) { return mAlternate; };
-    mCore = std::make_unique<HomeCore>(settings, *mSlots, alternate, *mRegistry);
+    mCore = std::make_unique<AgentRequestCore>(settings, *mSlots, alternate, *mRegistry);
     mAlternate.reset();
     for (std::uint32_t bucket = 0; bucket < settings.mBuckets; ++bucket) {
       mCore->OnBucketFirstOwner(bucket, 1, At(0));
@@ -55,9 +55,9 @@
 
   RequestId NewId(std::int64_t aMs = 0) { return RequestId::Make(kWallStartMs + aMs, mRandom); }
 
-  HomeActions Send(const RequestId& aId, Attempt aAttempt = 1, std::int64_t aMs = 0)
+  AgentRequestActions Send(const RequestId& aId, Attempt aAttempt = 1, std::int64_t aMs = 0)
   {
-    ArrivedRequest request;
+    ReceivedRequest request;
     request.mHandle = ++mHandle;
     request.mId = aId;
     request.mAttempt = aAttempt;
@@ -71,14 +71,14 @@
   RunId Start(const RequestId& aId) { return Only<RunAtUpstream>(Send(aId)).mRun; }
 
   // The outcome of the only reply among the actions.
-  static std::string Outcome(const HomeActions& aActions)
+  static std::string Outcome(const AgentRequestActions& aActions)
   {
-    return OutcomeName(Only<AnswerSender>(aActions).mAnswer);
+    return OutcomeName(Only<ReplyToSender>(aActions).mReply);
   }
 
-  static RefusalReason Reason(const HomeActions& aActions)
+  static RefusalReason Reason(const AgentRequestActions& aActions)
   {
-    return Only<AnswerSender>(aActions).mAnswer.mRefusal.value().mReason;
+    return Only<ReplyToSender>(aActions).mReply.mRefusal.value().mReason;
   }
 
   std::uint64_t Refusals(RefusalReason aReason)
@@ -100,17 +100,17 @@
     const RequestId id = NewId();
     const RunId run = Start(id);
     CPPUNIT_ASSERT(Send(id, 2).empty());
-    const HomeActions ended = mCore->OnUpstreamAnswer(run, Whole("paid"), At(5));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), All<AnswerSender>(ended).size());
+    const AgentRequestActions ended = mCore->OnUpstreamAnswer(run, Whole("paid"), At(5));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), All<ReplyToSender>(ended).size());
     for (const Attempt attempt : {1, 2, 3}) {
-      const HomeActions resent = Send(id, attempt, 10);
-      CPPUNIT_ASSERT(Only<AnswerSender>(resent).mAnswer.mAnswer.mBody == BytesOf("paid"));
+      const AgentRequestActions resent = Send(id, attempt, 10);
+      CPPUNIT_ASSERT(Only<ReplyToSender>(resent).mReply.mAnswer.mBody == BytesOf("paid"));
       CPPUNIT_ASSERT_EQUAL(std::size_t(1), resent.size());
     }
     const RequestId large = NewId();
     const std::string body(kMaxKeptAnswerBytes + 1, 'x');
     mCore->OnUpstreamAnswer(Start(large), Whole(body), At(20));
-    const RequestAnswer later = Only<AnswerSender>(Send(large, 2, 21)).mAnswer;
+    const RequestReply later = Only<ReplyToSender>(Send(large, 2, 21)).mReply;
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), OutcomeName(later));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(body.size()), later.mDigest.value().mLength);
   }
@@ -120,7 +120,7 @@
   {
     const RequestId id = NewId();
     const RunId run = Start(id);
-    const HomeActions refused =
+    const AgentRequestActions refused =
       mCore->OnUpstreamShed(run, {RefusalReason::UpstreamShed, Milliseconds(7)}, At(1));
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(refused));
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Send(id, 1, 2)));
@@ -155,7 +155,7 @@
     const RequestId queued = NewId();
     CPPUNIT_ASSERT(Send(queued).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("cancelled"), Outcome(mCore->OnCancel(mHandle, At(1))));
-    const HomeActions cancelled = mCore->OnCancel(mHandle - 1, At(1));
+    const AgentRequestActions cancelled = mCore->OnCancel(mHandle - 1, At(1));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(cancelled));
     CPPUNIT_ASSERT_EQUAL(run, Only<CancelRun>(cancelled).mRun);
     mCore->OnUpstreamFailed(run, At(2));
@@ -182,15 +182,15 @@
     const RunId run = Start(running);
     const RequestId queued = NewId();
     Send(queued);
-    const auto replies = All<AnswerSender>(mCore->OnTick(At(1000)));
+    const auto replies = All<ReplyToSender>(mCore->OnTick(At(1000)));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), replies.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("not_run"), OutcomeName(replies[0].mAnswer));
-    CPPUNIT_ASSERT_EQUAL(std::string("unknown"), OutcomeName(replies[1].mAnswer));
+    CPPUNIT_ASSERT_EQUAL(std::string("not_run"), OutcomeName(replies[0].mReply));
+    CPPUNIT_ASSERT_EQUAL(std::string("unknown"), OutcomeName(replies[1].mReply));
     CPPUNIT_ASSERT(All<RunAtUpstream>(mCore->OnUpstreamFailed(run, At(1001))).empty());
     // A run that takes 900 ms makes a request with 800 ms left hopeless.
     const RunId slow = Only<RunAtUpstream>(Send(NewId(2000), 1, 2000)).mRun;
     mCore->OnUpstreamAnswer(slow, Whole("slow"), At(2900));
-    ArrivedRequest late;
+    ReceivedRequest late;
     late.mId = NewId(3000);
     late.mRemaining = Milliseconds(800);
     CPPUNIT_ASSERT(RefusalReason::Deadline == Reason(mCore->OnRequest(late, At(3000))));
@@ -204,9 +204,9 @@
     const RequestId far = NewId(700'000);
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(Send(far)));
     CPPUNIT_ASSERT(RefusalReason::BadRequestId == Reason(Send(far)));
-    ArrivedRequest none;
+    ReceivedRequest none;
     none.mRemaining = Milliseconds(100);
-    const HomeActions refused = mCore->OnRequest(none, At(0));
+    const AgentRequestActions refused = mCore->OnRequest(none, At(0));
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(refused));
     CPPUNIT_ASSERT(RefusalReason::BadRequestId == Reason(refused));
     // The refused attempt stays refused when its timestamp is no longer ahead.
@@ -222,7 +222,7 @@
     const RunId run = Start(running);
     const RequestId queued = NewId();
     Send(queued);
-    const HomeActions lost = mCore->OnLease(false, At(1));
+    const AgentRequestActions lost = mCore->OnLease(false, At(1));
     CPPUNIT_ASSERT(RefusalReason::NoControl == Reason(lost));
     CPPUNIT_ASSERT_EQUAL(std::string("not_home"), Outcome(Send(NewId())));
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
@@ -251,11 +251,11 @@
     }
     const auto answer = [&](std::size_t aIndex, RequestOutcome aOutcome,
                             const ReceivedAnswer& aReceived) {
-      const auto replies = All<AnswerSender>(mCore->OnAlternateAnswer(
+      const auto replies = All<ReplyToSender>(mCore->OnAlternateAnswer(
         runs[aIndex], aOutcome, {RefusalReason::Cold, {}}, aReceived, At(2)));
       CPPUNIT_ASSERT_EQUAL(std::size_t(2), replies.size());
-      CPPUNIT_ASSERT(replies[0].mAnswer == replies[1].mAnswer);
-      return OutcomeName(replies[0].mAnswer);
+      CPPUNIT_ASSERT(replies[0].mReply == replies[1].mReply);
+      return OutcomeName(replies[0].mReply);
     };
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), answer(0, RequestOutcome::Answered, Whole("a")));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
@@ -264,7 +264,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), answer(3, RequestOutcome::Unknown, {}));
     CPPUNIT_ASSERT_EQUAL(
       std::string("unknown"),
-      OutcomeName(All<AnswerSender>(mCore->OnAlternateFailed(runs[4], true, At(2)))[0].mAnswer));
+      OutcomeName(
+        All<ReplyToSender>(mCore->OnAlternateLinkFailed(runs[4], true, At(2)))[0].mReply));
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Send(ids[2], 2, 3)));
   }
 
@@ -276,13 +277,13 @@
     const auto relayed =
       Only<RelayToAlternate>(mCore->OnUpstreamShed(run, {RefusalReason::UpstreamShed, {}}, At(1)));
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"),
-                         Outcome(mCore->OnAlternateFailed(relayed.mRun, false, At(2))));
+                         Outcome(mCore->OnAlternateLinkFailed(relayed.mRun, false, At(2))));
   }
 
   // Guards against a second run of a relayed request after the alternate's agent restarted.
   void MessageForEarlierProcessNeverRuns()
   {
-    ArrivedRequest request;
+    ReceivedRequest request;
     request.mHandle = 500;
     request.mId = NewId();
     request.mRelayed = true;
@@ -294,8 +295,8 @@
     const RunId run = Only<RunAtUpstream>(mCore->OnRequest(request, At(0))).mRun;
     request.mHandle = 502;
     CPPUNIT_ASSERT(mCore->OnRequest(request, At(0)).empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2),
-                         All<AnswerSender>(mCore->OnUpstreamAnswer(run, Whole("a"), At(1))).size());
+    CPPUNIT_ASSERT_EQUAL(
+      std::size_t(2), All<ReplyToSender>(mCore->OnUpstreamAnswer(run, Whole("a"), At(1))).size());
   }
 
   // Guards against an answer given to another request.
@@ -338,8 +339,8 @@
     Send(NewId());
     mCore->OnPlannedStop(At(1));
     CPPUNIT_ASSERT(RefusalReason::Draining == Reason(Send(NewId(), 1, 2)));
-    const HomeActions next = mCore->OnUpstreamAnswer(run, Whole("a"), At(3));
-    const HomeActions last =
+    const AgentRequestActions next = mCore->OnUpstreamAnswer(run, Whole("a"), At(3));
+    const AgentRequestActions last =
       mCore->OnUpstreamAnswer(Only<RunAtUpstream>(next).mRun, Whole("b"), At(4));
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), Outcome(last));
     CPPUNIT_ASSERT(!mCore->Active());
@@ -348,7 +349,7 @@
   // Guards against idempotent requests filling the record table or waiting for a bucket.
   void IdempotentRequestsNeedNoRecord()
   {
-    ArrivedRequest request;
+    ReceivedRequest request;
     request.mIdempotent = true;
     request.mRemaining = Milliseconds(100);
     mCore->OnLease(false, At(0));
@@ -363,10 +364,10 @@
   std::unique_ptr<FixedSlots> mSlots;
   std::unique_ptr<MetricsRegistry> mRegistry;
   std::optional<AlternateAgent> mAlternate;
-  std::unique_ptr<HomeCore> mCore;
+  std::unique_ptr<AgentRequestCore> mCore;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(HomeCoreTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(AgentRequestCoreTest);
 
 } // namespace
 
--- a/unittests/Request/RelayCoreTest.cpp
+++ b/unittests/Request/BalancerRequestCoreTest.cpp
@@ -12,7 +12,8 @@
 class FixedTargets : public RequestTargets
 {
 public:
-  std::optional<std::string> HomeOf(ServiceId /*aService*/, const RequestId& /*aId*/) const override
+  std::optional<std::string> OwnerOf(ServiceId /*aService*/,
+                                     const RequestId& /*aId*/) const override
   {
     return mHome;
   }
@@ -22,9 +23,9 @@
   std::vector<std::string> mAll{"u1", "u2", "u3"};
 };
 
-class RelayCoreTest : public CppUnit::TestFixture
+class BalancerRequestCoreTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(RelayCoreTest);
+  CPPUNIT_TEST_SUITE(BalancerRequestCoreTest);
   CPPUNIT_TEST(OnlyWholeMatchingAnswersAreDelivered);
   CPPUNIT_TEST(NotRunNeedsProof);
   CPPUNIT_TEST(UnknownOutcomeIsNeverRetried);
@@ -41,14 +42,14 @@
   {
     mTargets = {};
     mRegistry = std::make_unique<MetricsRegistry>();
-    RelaySettings settings;
+    BalancerRequestSettings settings;
     settings.mBudget.mTokensPerSecond = 1000;
-    mCore = std::make_unique<RelayCore>(settings, mTargets, 61, *mRegistry);
+    mCore = std::make_unique<BalancerRequestCore>(settings, mTargets, 61, *mRegistry);
   }
 
 private:
-  RelayActions Send(bool aIdempotent = false, std::uint32_t aAttempt = 1,
-                    std::optional<std::string> aId = {}, std::int64_t aMs = 0)
+  BalancerRequestActions Send(bool aIdempotent = false, std::uint32_t aAttempt = 1,
+                              std::optional<std::string> aId = {}, std::int64_t aMs = 0)
   {
     CallerRequest request;
     request.mHandle = ++mHandle;
@@ -62,9 +63,10 @@
 
   SendToAgent Sent(bool aIdempotent = false) { return Only<SendToAgent>(Send(aIdempotent)); }
 
-  RelayActions Answer(const AttemptKey& aKey, RequestOutcome aOutcome,
-                      ReceivedAnswer aReceived = {},
-                      RefusalReason aReason = RefusalReason::SlotsFull, std::int64_t aMs = 1)
+  BalancerRequestActions Answer(const AttemptKey& aKey, RequestOutcome aOutcome,
+                                ReceivedAnswer aReceived = {},
+                                RefusalReason aReason = RefusalReason::SlotsFull,
+                                std::int64_t aMs = 1)
   {
     return mCore->OnAgentAnswer(aKey, aOutcome, Refusal{aReason, Milliseconds(0)},
                                 std::move(aReceived), At(aMs));
@@ -73,9 +75,9 @@
   // The attempt that follows within the next second.
   SendToAgent Next(std::int64_t aMs = 1001) { return Only<SendToAgent>(mCore->OnTick(At(aMs))); }
 
-  static std::string Outcome(const RelayActions& aActions)
+  static std::string Outcome(const BalancerRequestActions& aActions)
   {
-    return OutcomeName(Only<AnswerCaller>(aActions).mAnswer);
+    return OutcomeName(Only<ReplyToCaller>(aActions).mReply);
   }
 
   std::uint64_t Count(const char* aName, const char* aReason)
@@ -94,8 +96,8 @@
     CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, Whole("late")).empty());
     CPPUNIT_ASSERT(
       Answer({key.mId, second.mAttempt + 1}, RequestOutcome::Answered, Whole("x")).empty());
-    const auto answer = Only<AnswerCaller>(Answer(second, RequestOutcome::Answered, Whole("a")));
-    CPPUNIT_ASSERT(answer.mId == key.mId && answer.mAnswer.mAnswer.mBody == BytesOf("a"));
+    const auto answer = Only<ReplyToCaller>(Answer(second, RequestOutcome::Answered, Whole("a")));
+    CPPUNIT_ASSERT(answer.mId == key.mId && answer.mReply.mAnswer.mBody == BytesOf("a"));
     CPPUNIT_ASSERT(Answer(second, RequestOutcome::Answered, Whole("a")).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
                          Outcome(Answer(other, RequestOutcome::Answered, Whole("b"))));
@@ -115,9 +117,9 @@
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(mCore->OnTick(At(2000))));
     mTargets.mHome = "u1";
     const AttemptKey unsent = Only<SendToAgent>(Send(false, 1, {}, 2001)).mKey;
-    mCore->OnAgentUnreachable(unsent, false, At(2002));
+    mCore->OnAgentLinkFailed(unsent, false, At(2002));
     const AttemptKey lost = Next(2500).mKey;
-    mCore->OnAgentUnreachable(lost, true, At(2501));
+    mCore->OnAgentLinkFailed(lost, true, At(2501));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(mCore->OnTick(At(4001))));
     // An earlier attempt of the caller may run although this balancer never sent one.
     mTargets.mHome.reset();
@@ -137,7 +139,7 @@
   void LostLinkAsksTheRecordAgain()
   {
     const SendToAgent first = Sent();
-    CPPUNIT_ASSERT(mCore->OnAgentUnreachable(first.mKey, true, At(1)).empty());
+    CPPUNIT_ASSERT(mCore->OnAgentLinkFailed(first.mKey, true, At(1)).empty());
     mTargets.mHome = "u2";
     const SendToAgent second = Next();
     CPPUNIT_ASSERT(second.mKey.mId == first.mKey.mId);
@@ -145,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("u2"), second.mAgent);
     CPPUNIT_ASSERT(second.mRemaining < first.mRemaining);
     CPPUNIT_ASSERT(
-      Answer(second.mKey, RequestOutcome::NotHome, {}, RefusalReason::HandoffPending, 1002)
+      Answer(second.mKey, RequestOutcome::NotOwner, {}, RefusalReason::HandoffPending, 1002)
         .empty());
     const SendToAgent third = Next(1900);
     CPPUNIT_ASSERT_EQUAL(
@@ -158,7 +160,7 @@
   {
     const SendToAgent sent = Sent();
     CPPUNIT_ASSERT(sent.mRemaining < Milliseconds(2000));
-    const RelayActions ended = mCore->OnTick(At(3'600'000));
+    const BalancerRequestActions ended = mCore->OnTick(At(3'600'000));
     CPPUNIT_ASSERT(Only<CancelAtAgent>(ended).mKey == sent.mKey);
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(ended));
     const SendToAgent refused = Sent();
@@ -183,8 +185,8 @@
     const SendToAgent lost = Sent();
     mCore->OnCallerCancelled(mHandle, At(1));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
-                         Outcome(mCore->OnAgentUnreachable(lost.mKey, true, At(2))));
-    mCore->OnAgentUnreachable(Sent().mKey, false, At(2));
+                         Outcome(mCore->OnAgentLinkFailed(lost.mKey, true, At(2))));
+    mCore->OnAgentLinkFailed(Sent().mKey, false, At(2));
     CPPUNIT_ASSERT_EQUAL(std::string("cancelled"),
                          Outcome(mCore->OnCallerCancelled(mHandle, At(3))));
   }
@@ -192,9 +194,9 @@
   // Guards against running a request at most once under an id that cannot be remembered.
   void BadIdsAreRefused()
   {
-    const auto refused = Only<AnswerCaller>(Send(false, 1, "not an id"));
-    CPPUNIT_ASSERT(refused.mAnswer.mRefusal.value().mReason == RefusalReason::BadRequestId);
-    CPPUNIT_ASSERT_EQUAL(std::string("not_run"), OutcomeName(refused.mAnswer));
+    const auto refused = Only<ReplyToCaller>(Send(false, 1, "not an id"));
+    CPPUNIT_ASSERT(refused.mReply.mRefusal.value().mReason == RefusalReason::BadRequestId);
+    CPPUNIT_ASSERT_EQUAL(std::string("not_run"), OutcomeName(refused.mReply));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Send(true, 1, "not an id").size());
     const std::string id = "01ba60d3-4f94-7fe5-a827-585279c8b01e";
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendToAgent>(Send(false, 1, id)).size());
@@ -225,9 +227,9 @@
   // Guards against retries beyond the caller's budget.
   void BudgetEndsRetries()
   {
-    RelaySettings settings;
+    BalancerRequestSettings settings;
     settings.mBudget.mTokensPerSecond = 0;
-    mCore = std::make_unique<RelayCore>(settings, mTargets, 62, *mRegistry);
+    mCore = std::make_unique<BalancerRequestCore>(settings, mTargets, 62, *mRegistry);
     CPPUNIT_ASSERT(Answer(Sent().mKey, RequestOutcome::NotRun).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"),
                          Outcome(Answer(Next().mKey, RequestOutcome::NotRun)));
@@ -237,10 +239,10 @@
   FixedTargets mTargets;
   ReplyHandle mHandle = 0;
   std::unique_ptr<MetricsRegistry> mRegistry;
-  std::unique_ptr<RelayCore> mCore;
+  std::unique_ptr<BalancerRequestCore> mCore;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RelayCoreTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(BalancerRequestCoreTest);
 
 } // namespace
 
--- a/unittests/Request/RequestHistory.cpp
+++ b/unittests/Request/RequestHistory.cpp
@@ -55,7 +55,7 @@
   mIds[aId].mRuns.at(aRun).mProduced = std::move(aBody);
 }
 
-void RequestHistory::Claimed(const RequestId& aId, Attempt aCovers, const RequestAnswer& aAnswer)
+void RequestHistory::Claimed(const RequestId& aId, Attempt aCovers, const RequestReply& aAnswer)
 {
   mIds[aId].mClaims.push_back({aCovers, aAnswer.mOutcome, aAnswer.mAnswer.mBody});
 }
--- a/unittests/Request/RequestHistory.h
+++ b/unittests/Request/RequestHistory.h
@@ -39,7 +39,7 @@
   std::size_t Started(const RequestId& aId, Attempt aAttempt);
   void Produced(const RequestId& aId, std::size_t aRun, Bytes aBody);
   /// Someone stated an outcome for all attempts up to aCovers.
-  void Claimed(const RequestId& aId, Attempt aCovers, const RequestAnswer& aAnswer);
+  void Claimed(const RequestId& aId, Attempt aCovers, const RequestReply& aAnswer);
 
   /// The violations found, one text each.
   std::vector<std::string> Check() const;
--- a/unittests/Request/RequestHistoryTest.cpp
+++ b/unittests/Request/RequestHistoryTest.cpp
@@ -36,7 +36,7 @@
   void CorrectHistoryIsAccepted()
   {
     const RequestId id = Id();
-    mHistory.Claimed(id, MakeAttempt(1, 0), NotRunBecause({}));
+    mHistory.Claimed(id, MakeAttempt(1, 0), NotRunReply({}));
     Run(id, MakeAttempt(1, 1), "a");
     mHistory.Claimed(id, MakeAttempt(1, 1), AnsweredWith({200, "", BytesOf("a")}));
     mHistory.Claimed(id, MakeAttempt(2, 0), UnknownOutcome());
@@ -77,7 +77,7 @@
   void RunOfRefusedAttemptIsRefused()
   {
     const RequestId later = Id();
-    mHistory.Claimed(later, 3, NotRunBecause({}));
+    mHistory.Claimed(later, 3, NotRunReply({}));
     Run(later, 3, "a");
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
     const RequestId earlier = Id();
@@ -91,9 +91,9 @@
   {
     const RequestId id = Id(true);
     Run(id, MakeAttempt(1, 3), "a");
-    mHistory.Claimed(id, MakeAttempt(2, 255), NotRunBecause({}));
+    mHistory.Claimed(id, MakeAttempt(2, 255), NotRunReply({}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Violations());
-    mHistory.Claimed(id, MakeAttempt(1, 255), NotRunBecause({}));
+    mHistory.Claimed(id, MakeAttempt(1, 255), NotRunReply({}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
   }
 
--- a/unittests/Request/RequestTestSupport.h
+++ b/unittests/Request/RequestTestSupport.h
@@ -1,8 +1,8 @@
 // Shared helpers of the request tests.
 #pragma once
 
-#include "dandelionslip/Request/HomeCore.h"
-#include "dandelionslip/Request/RelayCore.h"
+#include "dandelionslip/Request/AgentRequestCore.h"
+#include "dandelionslip/Request/BalancerRequestCore.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -83,7 +83,7 @@
   return found.front();
 }
 
-inline std::string OutcomeName(const RequestAnswer& aAnswer)
+inline std::string OutcomeName(const RequestReply& aAnswer)
 {
   return std::string(ToString(aAnswer.mOutcome));
 }
--- a/unittests/Request/RequestWorld.h
+++ b/unittests/Request/RequestWorld.h
@@ -73,7 +73,7 @@
   struct Call;
   struct UpstreamRun;
   struct Transfer;
-  using Replied = std::function<void(const RequestAnswer&)>;
+  using Replied = std::function<void(const RequestReply&)>;
   using Task = std::function<void()>;
   struct Event
   {
@@ -98,21 +98,22 @@
   void NewRequest();
   void SendCall(const std::shared_ptr<Call>& aCall);
   void Withdraw(std::size_t aBalancer, ReplyHandle aHandle, std::int64_t aDelay);
-  void OnCallerReply(std::size_t aBalancer, const AnswerCaller& aReply);
-  void PerformRelay(std::size_t aBalancer, const RelayActions& aActions);
+  void OnCallerReply(std::size_t aBalancer, const ReplyToCaller& aReply);
+  void PerformRelay(std::size_t aBalancer, const BalancerRequestActions& aActions);
   void SendAttempt(std::size_t aBalancer, const SendToAgent& aSend);
   void CrashBalancer(std::size_t aBalancer);
 
   // Agents and upstreams (RequestWorldAgents.cpp).
   void StartAgent(std::size_t aAgent);
-  void Deliver(std::size_t aAgent, const ArrivedRequest& aRequest, const Replied& aReplied,
+  void Deliver(std::size_t aAgent, const ReceivedRequest& aRequest, const Replied& aReplied,
                const Task& aLost, const AttemptKey& aKey);
-  void Arrive(std::size_t aAgent, ArrivedRequest aRequest, Replied aReplied, Task aLost,
+  void Arrive(std::size_t aAgent, ReceivedRequest aRequest, Replied aReplied, Task aLost,
               const AttemptKey& aKey);
-  void PerformHome(std::size_t aAgent, const HomeActions& aActions);
-  void PerformAnswer(std::size_t aAgent, const AnswerSender& aAnswer);
+  void PerformHome(std::size_t aAgent, const AgentRequestActions& aActions);
+  void PerformAnswer(std::size_t aAgent, const ReplyToSender& aAnswer);
   void RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun);
-  void EndRun(std::size_t aAgent, RunId aRun, std::function<HomeActions(HomeCore&)> aEnd);
+  void EndRun(std::size_t aAgent, RunId aRun,
+              std::function<AgentRequestActions(AgentRequestCore&)> aEnd);
   void Relay(std::size_t aAgent, const RelayToAlternate& aRelay);
   void CancelRunAt(std::size_t aAgent, RunId aRun);
   void CancelAt(std::size_t aAgent, const AttemptKey& aKey);
@@ -122,7 +123,7 @@
   // Ownership and failures (RequestWorldControl.cpp).
   void ScheduleFaults(std::int64_t aStart);
   void Inject(Fault aFault);
-  void Control(std::size_t aAgent, std::function<HomeActions(HomeCore&)> aEvent);
+  void Control(std::size_t aAgent, std::function<AgentRequestActions(AgentRequestCore&)> aEvent);
   bool IsUsable(std::size_t aAgent) const;
   std::optional<std::size_t> PickOwner(std::size_t aNot);
   void SetOwner(std::uint32_t aBucket, std::size_t aOwner);
--- a/unittests/Request/RequestWorldAgents.cpp
+++ b/unittests/Request/RequestWorldAgents.cpp
@@ -6,7 +6,7 @@
 void RequestWorld::StartAgent(std::size_t aAgent)
 {
   Agent& agent = *mAgents[aAgent];
-  HomeSettings settings;
+  AgentRequestSettings settings;
   settings.mSelf = agent.mName;
   settings.mIncarnation = ++agent.mIncarnation;
   settings.mBuckets = kBuckets;
@@ -18,12 +18,13 @@
     const std::size_t other = (aAgent + 1 + aBucket % (kAgents - 1)) % kAgents;
     return AlternateAgent{mAgents[other]->mName, mAgents[other]->mIncarnation};
   };
-  agent.mCore = std::make_unique<HomeCore>(settings, *agent.mSlots, alternate, *agent.mRegistry);
+  agent.mCore =
+    std::make_unique<AgentRequestCore>(settings, *agent.mSlots, alternate, *agent.mRegistry);
   agent.mCore->OnLease(!agent.mLost, TimeOf(agent));
 }
 
 // Sends a request with delays, loss of the link and, for recorded requests, duplicates.
-void RequestWorld::Deliver(std::size_t aAgent, const ArrivedRequest& aRequest,
+void RequestWorld::Deliver(std::size_t aAgent, const ReceivedRequest& aRequest,
                            const Replied& aReplied, const Task& aLost, const AttemptKey& aKey)
 {
   const int copies = !aRequest.mIdempotent && Chance(0.1) ? 2 : 1;
@@ -40,8 +41,8 @@
   }
 }
 
-void RequestWorld::Arrive(std::size_t aAgent, ArrivedRequest aRequest, Replied aReplied, Task aLost,
-                          const AttemptKey& aKey)
+void RequestWorld::Arrive(std::size_t aAgent, ReceivedRequest aRequest, Replied aReplied,
+                          Task aLost, const AttemptKey& aKey)
 {
   Agent& agent = *mAgents[aAgent];
   if (!agent.mCore) {
@@ -54,14 +55,14 @@
   PerformHome(aAgent, agent.mCore->OnRequest(std::move(aRequest), TimeOf(agent)));
 }
 
-void RequestWorld::PerformHome(std::size_t aAgent, const HomeActions& aActions)
+void RequestWorld::PerformHome(std::size_t aAgent, const AgentRequestActions& aActions)
 {
-  for (const HomeAction& action : aActions) {
+  for (const AgentRequestAction& action : aActions) {
     if (const auto* run = std::get_if<RunAtUpstream>(&action)) {
       RunUpstream(aAgent, *run);
     } else if (const auto* relay = std::get_if<RelayToAlternate>(&action)) {
       Relay(aAgent, *relay);
-    } else if (const auto* answer = std::get_if<AnswerSender>(&action)) {
+    } else if (const auto* answer = std::get_if<ReplyToSender>(&action)) {
       PerformAnswer(aAgent, *answer);
     } else if (const auto* cancel = std::get_if<CancelRun>(&action)) {
       After(Delay(), [this, aAgent, run = cancel->mRun] { CancelRunAt(aAgent, run); });
@@ -70,7 +71,7 @@
       const Bytes message = EncodeCbor(send.mRecord);
       ++mTotals.mRecordUpdates;
       After(Delay(), [this, from, message, to = IndexOf(send.mAgent)] {
-        Control(to, [this, from, message, to](HomeCore& aCore) {
+        Control(to, [this, from, message, to](AgentRequestCore& aCore) {
           const Json record = DecodeCbor(message, from).value();
           return aCore.OnRecordUpdate(record, from, TimeOf(*mAgents[to])).value();
         });
@@ -79,15 +80,15 @@
   }
 }
 
-void RequestWorld::PerformAnswer(std::size_t aAgent, const AnswerSender& aAnswer)
+void RequestWorld::PerformAnswer(std::size_t aAgent, const ReplyToSender& aAnswer)
 {
   const auto open = mAgents[aAgent]->mReplies.extract(aAnswer.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const OpenReply& reply = open.mapped();
   if (reply.mRecorded) {
-    mHistory.Claimed(reply.mKey.mId, reply.mKey.mAttempt, aAnswer.mAnswer);
+    mHistory.Claimed(reply.mKey.mId, reply.mKey.mAttempt, aAnswer.mReply);
   }
-  reply.mReplied(aAnswer.mAnswer);
+  reply.mReplied(aAnswer.mReply);
 }
 
 void RequestWorld::RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun)
@@ -97,12 +98,12 @@
   const RunId number = aRun.mRun;
   if (Chance(0.08)) {
     const Refusal shed{RefusalReason::UpstreamShed, Milliseconds(10)};
-    EndRun(aAgent, number, [this, number, shed](HomeCore& aCore) {
+    EndRun(aAgent, number, [this, number, shed](AgentRequestCore& aCore) {
       return aCore.OnUpstreamShed(number, shed, Time(0));
     });
     return;
   }
-  const auto failed = [this, number](HomeCore& aCore) {
+  const auto failed = [this, number](AgentRequestCore& aCore) {
     return aCore.OnUpstreamFailed(number, Time(0));
   };
   After(Delay(), [this, run, aRun, aAgent, number, failed] {
@@ -119,7 +120,7 @@
       }
       mHistory.Produced(aRun.mId, index, BytesOf(body));
       const ReceivedAnswer received = OnTheWire({200, "text/plain", BytesOf(body)});
-      EndRun(aAgent, number, [this, number, received](HomeCore& aCore) {
+      EndRun(aAgent, number, [this, number, received](AgentRequestCore& aCore) {
         return aCore.OnUpstreamAnswer(number, received, Time(0));
       });
     });
@@ -128,7 +129,7 @@
 
 // Reports the end of a run to the process that started it, after a delay.
 void RequestWorld::EndRun(std::size_t aAgent, RunId aRun,
-                          std::function<HomeActions(HomeCore&)> aEnd)
+                          std::function<AgentRequestActions(AgentRequestCore&)> aEnd)
 {
   const auto found = mAgents[aAgent]->mRuns.find(aRun);
   if (found == mAgents[aAgent]->mRuns.end()) {
@@ -152,8 +153,8 @@
   ++mTotals.mRelayed;
   const RunId number = aRelay.mRun;
   const auto lost = [this, aAgent, number](bool aSent) {
-    EndRun(aAgent, number, [this, number, aSent](HomeCore& aCore) {
-      return aCore.OnAlternateFailed(number, aSent, Time(0));
+    EndRun(aAgent, number, [this, number, aSent](AgentRequestCore& aCore) {
+      return aCore.OnAlternateLinkFailed(number, aSent, Time(0));
     });
   };
   const std::size_t to = IndexOf(aRelay.mAgent);
@@ -161,7 +162,7 @@
     lost(false);
     return;
   }
-  ArrivedRequest request;
+  ReceivedRequest request;
   request.mId = aRelay.mId;
   request.mAttempt = aRelay.mAttempt;
   request.mIdempotent = aRelay.mIdempotent;
@@ -175,12 +176,12 @@
   run->mAlternate = std::pair(to, key);
   // The first of several replies ends the run; EndRun ignores the others.
   const std::uint64_t incarnation = mAgents[aAgent]->mIncarnation;
-  const auto replied = [this, aAgent, number, incarnation](const RequestAnswer& aAnswer) {
+  const auto replied = [this, aAgent, number, incarnation](const RequestReply& aAnswer) {
     if (mAgents[aAgent]->mIncarnation != incarnation) {
       return;
     }
     EndRun(aAgent, number,
-           [this, number, aAnswer, received = OnTheWire(aAnswer.mAnswer)](HomeCore& aCore) {
+           [this, number, aAnswer, received = OnTheWire(aAnswer.mAnswer)](AgentRequestCore& aCore) {
              return aCore.OnAlternateAnswer(
                number, aAnswer.mOutcome, aAnswer.mRefusal.value_or(Refusal{}), received, Time(0));
            });
@@ -207,7 +208,7 @@
   run->mCancelled = true;
   if (!run->mEnded && Chance(0.7)) {
     EndRun(aAgent, aRun,
-           [this, aRun](HomeCore& aCore) { return aCore.OnUpstreamFailed(aRun, Time(0)); });
+           [this, aRun](AgentRequestCore& aCore) { return aCore.OnUpstreamFailed(aRun, Time(0)); });
   }
 }
 
--- a/unittests/Request/RequestWorldCallers.cpp
+++ b/unittests/Request/RequestWorldCallers.cpp
@@ -61,16 +61,16 @@
   });
 }
 
-void RequestWorld::OnCallerReply(std::size_t aBalancer, const AnswerCaller& aReply)
+void RequestWorld::OnCallerReply(std::size_t aBalancer, const ReplyToCaller& aReply)
 {
   const auto open = mBalancers[aBalancer]->mCalls.extract(aReply.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const auto [call, attempt] = open.mapped();
   --call->mOpen;
-  mHistory.Claimed(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mAnswer);
-  const RequestOutcome outcome = aReply.mAnswer.mOutcome;
+  mHistory.Claimed(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mReply);
+  const RequestOutcome outcome = aReply.mReply.mOutcome;
   CPPUNIT_ASSERT_MESSAGE("an internal outcome reached a caller",
-                         outcome != RequestOutcome::NotHome);
+                         outcome != RequestOutcome::NotOwner);
   mTotals.mAnswered += outcome == RequestOutcome::Answered ? 1 : 0;
   mTotals.mNotRun += outcome == RequestOutcome::NotRun ? 1 : 0;
   mTotals.mUnknown += outcome == RequestOutcome::Unknown ? 1 : 0;
@@ -81,22 +81,22 @@
   }
 }
 
-void RequestWorld::PerformRelay(std::size_t aBalancer, const RelayActions& aActions)
+void RequestWorld::PerformRelay(std::size_t aBalancer, const BalancerRequestActions& aActions)
 {
-  for (const RelayAction& action : aActions) {
+  for (const BalancerRequestAction& action : aActions) {
     if (const auto* send = std::get_if<SendToAgent>(&action)) {
       SendAttempt(aBalancer, *send);
     } else if (const auto* cancel = std::get_if<CancelAtAgent>(&action)) {
       After(Delay(), [this, cancel = *cancel] { CancelAt(IndexOf(cancel.mAgent), cancel.mKey); });
     } else {
-      OnCallerReply(aBalancer, std::get<AnswerCaller>(action));
+      OnCallerReply(aBalancer, std::get<ReplyToCaller>(action));
     }
   }
 }
 
 void RequestWorld::SendAttempt(std::size_t aBalancer, const SendToAgent& aSend)
 {
-  ArrivedRequest request;
+  ReceivedRequest request;
   request.mId = aSend.mKey.mId;
   request.mAttempt = aSend.mKey.mAttempt;
   request.mIdempotent = aSend.mIdempotent;
@@ -114,8 +114,8 @@
     });
   };
   const auto lost = [this, key, toCore](bool aSent) {
-    toCore([this, key, aSent](RelayCore& aCore) {
-      return aCore.OnAgentUnreachable(key, aSent, Time(0));
+    toCore([this, key, aSent](BalancerRequestCore& aCore) {
+      return aCore.OnAgentLinkFailed(key, aSent, Time(0));
     });
   };
   const std::size_t agent = IndexOf(aSend.mAgent);
@@ -123,8 +123,8 @@
     lost(false);
     return;
   }
-  const auto replied = [this, key, toCore](const RequestAnswer& aAnswer) {
-    toCore([this, key, aAnswer, received = OnTheWire(aAnswer.mAnswer)](RelayCore& aCore) {
+  const auto replied = [this, key, toCore](const RequestReply& aAnswer) {
+    toCore([this, key, aAnswer, received = OnTheWire(aAnswer.mAnswer)](BalancerRequestCore& aCore) {
       return aCore.OnAgentAnswer(key, aAnswer.mOutcome, aAnswer.mRefusal, received, Time(0));
     });
   };
@@ -138,10 +138,10 @@
   ++balancer.mLife;
   balancer.mCore.reset();
   balancer.mRegistry = std::make_unique<MetricsRegistry>();
-  RelaySettings settings;
+  BalancerRequestSettings settings;
   settings.mBudget.mMaxTokens = 3;
   balancer.mCore =
-    std::make_unique<RelayCore>(settings, balancer, mRandom.Next(), *balancer.mRegistry);
+    std::make_unique<BalancerRequestCore>(settings, balancer, mRandom.Next(), *balancer.mRegistry);
   // The callers notice and resend through another connection.
   for (const auto& [handle, open] : std::exchange(balancer.mCalls, {})) {
     --open.mCall->mOpen;
--- a/unittests/Request/RequestWorldControl.cpp
+++ b/unittests/Request/RequestWorldControl.cpp
@@ -69,7 +69,8 @@
 }
 
 // Tells the current life of an agent about a change; waits while a planned restart is under way.
-void RequestWorld::Control(std::size_t aAgent, std::function<HomeActions(HomeCore&)> aEvent)
+void RequestWorld::Control(std::size_t aAgent,
+                           std::function<AgentRequestActions(AgentRequestCore&)> aEvent)
 {
   Agent& agent = *mAgents[aAgent];
   if (agent.mCore) {
@@ -124,7 +125,7 @@
     SetOwner(bucket, *to);
     After(Delay(), [this, bucket, generation = mGeneration, to = *to, life = mAgents[*to]->mLife] {
       if (mAgents[to]->mLife == life) {
-        Control(to, [this, bucket, generation](HomeCore& aCore) {
+        Control(to, [this, bucket, generation](AgentRequestCore& aCore) {
           return aCore.OnBucketAcquired(bucket, generation, Time(0));
         });
         AskForBucket(bucket, generation);
@@ -149,7 +150,7 @@
   }
   if (transfer->mFromLost) {
     // The loss may have been reported before the bucket was acquired.
-    Control(to, [this, aBucket, to](HomeCore& aCore) {
+    Control(to, [this, aBucket, to](AgentRequestCore& aCore) {
       return aCore.OnPreviousOwnerLost(aBucket, TimeOf(*mAgents[to]));
     });
   }
@@ -170,7 +171,7 @@
           return;
         }
         ++mTotals.mHandoffs;
-        HomeCore& core = *mAgents[to]->mCore;
+        AgentRequestCore& core = *mAgents[to]->mCore;
         PerformHome(
           to,
           core.OnHandoff(DecodeCbor(message, name).value(), name, TimeOf(*mAgents[to])).value());
@@ -256,8 +257,9 @@
     }
   }
   for (const RunId number : runs) {
-    EndRun(aAgent, number,
-           [this, number](HomeCore& aCore) { return aCore.OnUpstreamFailed(number, Time(0)); });
+    EndRun(aAgent, number, [this, number](AgentRequestCore& aCore) {
+      return aCore.OnUpstreamFailed(number, Time(0));
+    });
   }
 }
 
@@ -272,7 +274,7 @@
       ++mTotals.mLostOwners;
       const std::size_t to = mTransfers[bucket]->mTo;
       mTransfers[bucket]->mFromLost = true;
-      Control(to, [this, bucket, to](HomeCore& aCore) {
+      Control(to, [this, bucket, to](AgentRequestCore& aCore) {
         return aCore.OnPreviousOwnerLost(bucket, TimeOf(*mAgents[to]));
       });
     }
@@ -281,7 +283,8 @@
     if (i != aAgent && !mAgents[i]->mLost) {
       After(Delay(), [this, i, name = mAgents[aAgent]->mName, life = mAgents[i]->mLife] {
         if (mAgents[i]->mLife == life) {
-          Control(i, [this, name](HomeCore& aCore) { return aCore.OnAgentLost(name, Time(0)); });
+          Control(
+            i, [this, name](AgentRequestCore& aCore) { return aCore.OnAgentLost(name, Time(0)); });
         }
       });
     }
@@ -296,14 +299,14 @@
   }
   // The lost agent may not have got the bucket yet; whoever had it before must have let go of it.
   if (const auto transfer = std::move(mTransfers[aBucket]); transfer && mAgents[transfer->mFrom]) {
-    Control(transfer->mFrom, [this, aBucket, generation = mGeneration](HomeCore& aCore) {
+    Control(transfer->mFrom, [this, aBucket, generation = mGeneration](AgentRequestCore& aCore) {
       return aCore.OnBucketDropped(aBucket, generation, Time(0));
     });
   }
   ++mTotals.mLostOwners;
   const std::uint32_t generation = ++mGeneration;
   SetOwner(aBucket, *to);
-  Control(*to, [this, aBucket, generation, to = *to](HomeCore& aCore) {
+  Control(*to, [this, aBucket, generation, to = *to](AgentRequestCore& aCore) {
     const RequestTime time = TimeOf(*mAgents[to]);
     aCore.OnBucketAcquired(aBucket, generation, time);
     return aCore.OnPreviousOwnerLost(aBucket, time);
--- a/unittests/Request/RequestWorldParts.h
+++ b/unittests/Request/RequestWorldParts.h
@@ -28,7 +28,7 @@
 {
   AttemptKey mKey;
   bool mRecorded = false; ///< Neither idempotent nor relayed.
-  std::function<void(const RequestAnswer&)> mReplied;
+  std::function<void(const RequestReply&)> mReplied;
   std::function<void()> mLost;
 };
 
@@ -42,7 +42,7 @@
   bool mStopping = false;
   std::unique_ptr<FixedSlots> mSlots;
   std::unique_ptr<MetricsRegistry> mRegistry;
-  std::unique_ptr<HomeCore> mCore; ///< Null while the process is down.
+  std::unique_ptr<AgentRequestCore> mCore; ///< Null while the process is down.
   std::map<ReplyHandle, OpenReply> mReplies;
   std::map<RunId, std::shared_ptr<UpstreamRun>> mRuns;
 };
@@ -58,7 +58,7 @@
 
 struct RequestWorld::Balancer : RequestTargets
 {
-  std::optional<std::string> HomeOf(ServiceId /*aService*/, const RequestId& aId) const override
+  std::optional<std::string> OwnerOf(ServiceId /*aService*/, const RequestId& aId) const override
   {
     return AgentName(mOwners[BucketOf(aId, kBuckets)]);
   }
@@ -76,7 +76,7 @@
   std::uint64_t mLife = 0;
   std::vector<std::size_t> mOwners; ///< Perhaps outdated.
   std::unique_ptr<MetricsRegistry> mRegistry;
-  std::unique_ptr<RelayCore> mCore;
+  std::unique_ptr<BalancerRequestCore> mCore;
   std::map<ReplyHandle, OpenCall> mCalls;
 };
 
