--- a/include/dandelionslip/Agent/UpstreamAdmission.h
+++ b/include/dandelionslip/Agent/UpstreamAdmission.h
@@ -24,7 +24,7 @@
 
   UpstreamAdmission(const ServiceSpec& aSpec, TimePoint aNow);
 
-  /// Reserves room for one opening flow. Refusals: Draining, ConnectionsFull, Cold, Paced.
+  /// Reserves room for one opening flow. Refusals: Draining, ConnectionsFull, Cold, RateLimited.
   std::optional<Refusal> TryOpenFlow(TimePoint aNow) override;
 
   /// Releases the room of one flow.
--- a/include/dandelionslip/Config/ControlSettings.h
+++ b/include/dandelionslip/Config/ControlSettings.h
@@ -35,14 +35,15 @@
   Milliseconds mHeartbeat{100};
   Milliseconds mElectionTimeoutMin{500};
   Milliseconds mElectionTimeoutMax{1'000};
-  Milliseconds mFirstElection{0}; ///< Longest election timeout right after a start; 0: as usual.
+  Milliseconds mFirstElectionTimeout{
+    0}; ///< Longest election timeout right after a start; 0: as usual.
   std::uint32_t mSnapshotEntries = 4'096; ///< Log entries between two snapshots.
   Milliseconds mLease{2'000};
   Milliseconds mSummaryInterval{250}; ///< Between two reports of a replica on its nodes.
   bool mJoin = false;                 ///< Start as a learner of an existing group.
   /// Endpoints of the replicas that found the group together, this one possibly among them. Used in
   /// place of mPeers where the replicas of the group are not known beforehand: all others join.
-  std::vector<std::string> mFounders;
+  std::vector<std::string> mInitialReplicas;
   /// Voters that the leader keeps by promoting learners; 0 leaves membership to the operator.
   std::uint32_t mTargetVoters = 0;
 
@@ -59,12 +60,12 @@
   aVisitor.Optional("heartbeat_ms", aValue.mHeartbeat, {10, 5'000});
   aVisitor.Optional("election_timeout_min_ms", aValue.mElectionTimeoutMin, {50, 60'000});
   aVisitor.Optional("election_timeout_max_ms", aValue.mElectionTimeoutMax, {50, 120'000});
-  aVisitor.Optional("first_election_ms", aValue.mFirstElection, {0, 10'000});
+  aVisitor.Optional("first_election_ms", aValue.mFirstElectionTimeout, {0, 10'000});
   aVisitor.Optional("snapshot_entries", aValue.mSnapshotEntries, {16, 1'000'000});
   aVisitor.Optional("lease_ms", aValue.mLease, {500, 60'000});
   aVisitor.Optional("summary_interval_ms", aValue.mSummaryInterval, {10, 5'000});
   aVisitor.Optional("join", aValue.mJoin);
-  aVisitor.Optional("founders", aValue.mFounders);
+  aVisitor.Optional("founders", aValue.mInitialReplicas);
   aVisitor.Optional("target_voters", aValue.mTargetVoters, {0, 7});
 }
 
--- a/include/dandelionslip/Model/Command.h
+++ b/include/dandelionslip/Model/Command.h
@@ -31,7 +31,7 @@
 struct DataCentreChange
 {
   std::string mName;
-  bool mOut = false;
+  bool mOutOfService = false;
   std::optional<std::uint64_t> mExpectedVersion;
 
   bool operator==(const DataCentreChange&) const = default;
@@ -41,7 +41,7 @@
 void DescribeFields(V& aVisitor, DataCentreChange& aValue)
 {
   aVisitor.Field("name", aValue.mName);
-  aVisitor.Field("out", aValue.mOut);
+  aVisitor.Field("out", aValue.mOutOfService);
   aVisitor.Optional("expected_version", aValue.mExpectedVersion);
 }
 
--- a/include/dandelionslip/Model/Configuration.h
+++ b/include/dandelionslip/Model/Configuration.h
@@ -31,7 +31,7 @@
 /// Whether operators have taken a data centre out of service.
 struct DataCentreState
 {
-  bool mOut = false;
+  bool mOutOfService = false;
   std::uint64_t mVersion = 0; ///< Increases with every change of this data centre.
 
   bool operator==(const DataCentreState&) const = default;
@@ -40,7 +40,7 @@
 template <typename V>
 void DescribeFields(V& aVisitor, DataCentreState& aValue)
 {
-  aVisitor.Field("out", aValue.mOut);
+  aVisitor.Field("out", aValue.mOutOfService);
   aVisitor.Field("version", aValue.mVersion);
 }
 
@@ -55,7 +55,7 @@
 
   /// The service with this name, or null.
   const ServiceEntry* FindService(const std::string& aName) const;
-  bool IsOut(const std::string& aDataCentre) const;
+  bool IsDataCentreOut(const std::string& aDataCentre) const;
   bool IsDrained(const std::string& aUpstream) const;
 
   bool operator==(const Configuration&) const = default;
--- a/include/dandelionslip/Model/NodeState.h
+++ b/include/dandelionslip/Model/NodeState.h
@@ -12,7 +12,7 @@
   /// Takes over what the answer carries: whole states or differences, each only when it leads to a
   /// higher revision. A lower or equal revision is ignored. InvalidInput: an unconfirmed answer
   /// carries state; Conflict: a difference starts at another revision. Nothing changes on an error.
-  Result<void> Take(const AnnouncementAnswer& aAnswer);
+  Result<void> Apply(const AnnouncementAnswer& aAnswer);
 
   const Configuration& CurrentConfiguration() const { return mConfiguration; }
   const View& CurrentView() const { return mView; }
--- a/include/dandelionslip/Model/RefusalReason.h
+++ b/include/dandelionslip/Model/RefusalReason.h
@@ -17,11 +17,11 @@
   ConnectionsFull, ///< The upstream holds its declared number of flows.
   SlotsFull,       ///< All slots and the queue are taken.
   Cold,            ///< The upstream is in cold start at its current limit.
-  Paced,           ///< New flows arrive faster than they are accepted.
+  RateLimited,     ///< New flows arrive faster than they are accepted.
   Draining,        ///< The upstream or the process is draining.
   UnknownFlow,     ///< No agent holds the flow; the caller has to reopen it.
   HopLimit,        ///< The packet was forwarded too often.
-  HandoffPending,  ///< The bucket's directory is not complete yet.
+  TransferPending, ///< The bucket's directory is not complete yet.
   TableFull,       ///< The flow table has no room.
   Deadline,        ///< The request cannot be answered before its deadline.
   RecordsFull,     ///< The record table has no room.
--- a/include/dandelionslip/Route/RouteDecision.h
+++ b/include/dandelionslip/Route/RouteDecision.h
@@ -38,7 +38,7 @@
 {
   ServiceId mServiceId = 0;
   std::uint32_t mGeneration = 0;
-  RequestTarget mHome;                     ///< Owner of the request id's bucket.
+  RequestTarget mOwner;                    ///< Owner of the request id's bucket.
   std::optional<RequestTarget> mAlternate; ///< For the home agent's information; may be absent.
 };
 
--- a/include/dandelionslip/Route/RoutingCore.h
+++ b/include/dandelionslip/Route/RoutingCore.h
@@ -18,13 +18,13 @@
 };
 
 /// Fetch view and configuration from the agent with this request endpoint.
-struct FetchStateFromPeer
+struct FetchStateFromAgent
 {
   std::string mMember;
   std::string mRequestEndpoint;
 };
 
-using RoutingAction = std::variant<SendProbe, FetchStateFromPeer>;
+using RoutingAction = std::variant<SendProbe, FetchStateFromAgent>;
 
 /// Settings of a routing core.
 struct RoutingSettings
@@ -61,7 +61,7 @@
   std::vector<RoutingAction> Tick(TimePoint aNow);
 
   /// Whether the lease is valid.
-  bool IsConfirmed(TimePoint aNow) const { return aNow <= mLeaseEnd; }
+  bool HasValidLease(TimePoint aNow) const { return aNow <= mLeaseEnd; }
 
   std::uint64_t ViewRevision() const { return mView.mRevision; }
   std::uint64_t ConfigurationRevision() const { return mConfiguration.mRevision; }
--- a/include/dandelionslip/Route/ServiceTable.h
+++ b/include/dandelionslip/Route/ServiceTable.h
@@ -20,7 +20,7 @@
   Endpoint mDatagramEndpoint;
   MemberState mState = MemberState::Cold;
   bool mDataCentreOut = false;
-  bool mOut = false; ///< Its data centre is out, or it has left or is lost.
+  bool mExcluded = false; ///< Its data centre is out, or it has left or is lost.
 
   bool operator==(const TableMember&) const = default;
 };
@@ -69,6 +69,7 @@
 
 /// Owner names by bucket of a generation under the exclusions of aTable; empty names where no
 /// member is left.
-std::vector<std::string> OwnersIn(const Generation& aGeneration, const ServiceTable& aTable);
+std::vector<std::string> OwnerNamesByBucket(const Generation& aGeneration,
+                                            const ServiceTable& aTable);
 
 } // namespace dandelionslip
--- a/lib/Agent/BucketHandoff.cpp
+++ b/lib/Agent/BucketHandoff.cpp
@@ -58,7 +58,7 @@
       FindServiceView(mContext.mView, mContext.mConfiguration, mContext.mSettings.mService);
     return service == nullptr || service->mGenerations.size() < 2
              ? std::vector<std::string>(table.Buckets())
-             : OwnersIn(service->mGenerations[1], table);
+             : OwnerNamesByBucket(service->mGenerations[1], table);
   }
   std::vector<std::string> names;
   for (std::uint32_t bucket = 0; bucket < aOld.Buckets(); ++bucket) {
@@ -132,7 +132,7 @@
   bucket.mUnknownReason = previous != nullptr && previous->mDataCentreOut
                             ? RefusalReason::DataCentreOut
                             : RefusalReason::UnknownFlow;
-  if (previous == nullptr || previous->mOut || mContext.IsSelf(aPrevious)) {
+  if (previous == nullptr || previous->mExcluded || mContext.IsSelf(aPrevious)) {
     StartRebuild(aBucket, aNow, first);
     return;
   }
--- a/lib/Agent/FlowContext.cpp
+++ b/lib/Agent/FlowContext.cpp
@@ -14,7 +14,7 @@
 const TableMember* FlowContext::FindReachable(const std::string& aName) const
 {
   const TableMember* member = Find(aName);
-  return member == nullptr || member->mOut ? nullptr : member;
+  return member == nullptr || member->mExcluded ? nullptr : member;
 }
 
 const TableMember* FlowContext::ActingFor(const std::string& aName) const
--- a/lib/Agent/FlowCore.cpp
+++ b/lib/Agent/FlowCore.cpp
@@ -82,7 +82,7 @@
 {
   const bool skipped = MissedGeneration(aOld);
   const TableMember* self = mContext.Find(mContext.mSettings.mName);
-  if (self != nullptr && self->mOut) {
+  if (self != nullptr && self->mExcluded) {
     mHandoff.Reset();
   } else {
     mHandoff.OnTable(aOld, mDoubtful || skipped, aNow, aOut);
@@ -106,7 +106,7 @@
     const auto found = aConfiguration.mDataCentres.find(self->mDataCentre);
     return found == aConfiguration.mDataCentres.end() ? 0 : found->second.mVersion;
   };
-  return aOld.mRevision > 0 && !aOld.IsOut(self->mDataCentre) &&
+  return aOld.mRevision > 0 && !aOld.IsDataCentreOut(self->mDataCentre) &&
          versionIn(mContext.mConfiguration) > versionIn(aOld);
 }
 
@@ -117,7 +117,7 @@
     if (const auto endpoint = Endpoint::Parse(member.mDatagramEndpoint);
         endpoint && member.mKind == MemberKind::Balancer) {
       mBalancers[endpoint.value()] =
-        TakesNewWork(member.mState) && !mContext.mConfiguration.IsOut(member.mDataCentre);
+        TakesNewWork(member.mState) && !mContext.mConfiguration.IsDataCentreOut(member.mDataCentre);
     }
   }
 }
@@ -209,7 +209,7 @@
 {
   FlowEntry* entry = mContext.mFlows.Find(aFlow);
   if (entry == nullptr || aPayload.size() > kMaxDatagramPayload || mStop) {
-    Drop(mStop ? RefusalReason::HandoffPending : RefusalReason::UnknownFlow);
+    Drop(mStop ? RefusalReason::TransferPending : RefusalReason::UnknownFlow);
     return;
   }
   entry->mEstablished = true;
--- a/lib/Agent/FlowCorePackets.cpp
+++ b/lib/Agent/FlowCorePackets.cpp
@@ -21,7 +21,7 @@
     case RefusalReason::ConnectionsFull:
     case RefusalReason::SlotsFull:
     case RefusalReason::Cold:
-    case RefusalReason::Paced:
+    case RefusalReason::RateLimited:
     case RefusalReason::Draining:
     case RefusalReason::TableFull:
     case RefusalReason::UpstreamShed:
@@ -50,7 +50,7 @@
     return;
   }
   if (mResumption) {
-    Drop(RefusalReason::HandoffPending);
+    Drop(RefusalReason::TransferPending);
     return;
   }
   Dispatch(packet);
@@ -65,7 +65,7 @@
   const std::string* holder = directory.Buckets() == 0 ? nullptr : directory.Holder(flow);
   const TableMember* member = holder == nullptr ? nullptr : mContext.FindReachable(*holder);
   if (member == nullptr || mContext.IsSelf(*holder) || mContext.mFlows.Find(flow) != nullptr) {
-    Drop(RefusalReason::HandoffPending);
+    Drop(RefusalReason::TransferPending);
     return;
   }
   Forward(aPacket, member->mDatagramEndpoint, false);
@@ -144,7 +144,7 @@
   }
   Custody* custody = mCustody.Find(aOwner.mName);
   if (custody == nullptr || custody->mDirectory.Buckets() == 0) {
-    Drop(RefusalReason::HandoffPending);
+    Drop(RefusalReason::TransferPending);
     return;
   }
   if (custody->mReturnedTo != 0) {
@@ -154,7 +154,7 @@
     return;
   }
   if (custody->mFlows.contains(aPacket.mHeader.mFlowHash)) {
-    Drop(RefusalReason::HandoffPending);
+    Drop(RefusalReason::TransferPending);
     return;
   }
   HandleInDirectory(aPacket, aOwner.mName, custody->mDirectory);
@@ -174,7 +174,7 @@
               : Refuse(aPacket, {bucket.mUnknownReason, Milliseconds(0)});
       return;
     case BucketState::Rebuilding:
-      opening ? Admit(aPacket, aOwner, aDirectory) : Drop(RefusalReason::HandoffPending);
+      opening ? Admit(aPacket, aOwner, aDirectory) : Drop(RefusalReason::TransferPending);
       return;
     case BucketState::Pending:
       HandlePending(aPacket, aOwner, aDirectory);
@@ -185,10 +185,10 @@
         Forward(aPacket, acting->mDatagramEndpoint, false);
         return;
       }
-      Drop(RefusalReason::HandoffPending);
+      Drop(RefusalReason::TransferPending);
       return;
     case BucketState::NotOwned:
-      Drop(RefusalReason::HandoffPending);
+      Drop(RefusalReason::TransferPending);
       return;
   }
 }
@@ -204,7 +204,7 @@
     return false;
   }
   const TableMember* member = mContext.Find(*holder);
-  if (member == nullptr || member->mOut || *holder == aOwner || mContext.IsSelf(*holder)) {
+  if (member == nullptr || member->mExcluded || *holder == aOwner || mContext.IsSelf(*holder)) {
     aDirectory.Erase(flow);
     if (member == nullptr || !member->mDataCentreOut || aPacket.mHeader.mOpening) {
       return false;
@@ -238,7 +238,7 @@
     Admit(aPacket, aOwner, aDirectory);
     return;
   }
-  Drop(RefusalReason::HandoffPending);
+  Drop(RefusalReason::TransferPending);
 }
 
 void FlowCore::HandleOther(const Packet& aPacket, const TableMember& aOwner,
@@ -261,7 +261,7 @@
     Refuse(aPacket, {RefusalReason::UnknownFlow, Milliseconds(0)});
     return;
   }
-  Drop(RefusalReason::HandoffPending);
+  Drop(RefusalReason::TransferPending);
 }
 
 // The bucket's owner regards this agent as the flow's holder.
@@ -317,7 +317,7 @@
     return false;
   }
   const TableMember& member = table.Members()[alternate];
-  if (member.mOut || mContext.IsSelf(member.mName)) {
+  if (member.mExcluded || mContext.IsSelf(member.mName)) {
     return false;
   }
   aDirectory.Record(aPacket.mHeader.mFlowHash, member.mName, aPacket.mNow);
@@ -337,7 +337,8 @@
 bool FlowCore::MayAdmit() const
 {
   const TableMember* self = mContext.Find(mContext.mSettings.mName);
-  return !mStop && !mResumption && (self == nullptr || (!self->mOut && TakesNewWork(self->mState)));
+  return !mStop && !mResumption &&
+         (self == nullptr || (!self->mExcluded && TakesNewWork(self->mState)));
 }
 
 std::optional<Refusal> FlowCore::TryAdmit(const Packet& aPacket)
--- a/lib/Agent/FlowCoreRestart.cpp
+++ b/lib/Agent/FlowCoreRestart.cpp
@@ -92,7 +92,8 @@
   std::tuple<bool, bool, std::uint64_t> highest;
   for (const TableMember& member : mContext.mTable.Members()) {
     const bool serves = TakesNewWork(member.mState);
-    if (mContext.IsSelf(member.mName) || member.mOut || mStop->mSilent.contains(member.mName) ||
+    if (mContext.IsSelf(member.mName) || member.mExcluded ||
+        mStop->mSilent.contains(member.mName) ||
         (!serves && member.mState != MemberState::Draining)) {
       continue;
     }
--- a/lib/Agent/UpstreamAdmission.cpp
+++ b/lib/Agent/UpstreamAdmission.cpp
@@ -49,7 +49,7 @@
     return Refusal{reason, mFlowRetries.Next(aNow, FlowInterval(aNow, ramping))};
   }
   if (!mOpens.TryTake(aNow)) {
-    return Refusal{RefusalReason::Paced, mFlowRetries.Next(aNow, mOpens.Interval())};
+    return Refusal{RefusalReason::RateLimited, mFlowRetries.Next(aNow, mOpens.Interval())};
   }
   ++mConnectionsInUse;
   return std::nullopt;
--- a/lib/Config/CheckSettings.cpp
+++ b/lib/Config/CheckSettings.cpp
@@ -71,10 +71,10 @@
                       "an endpoint other than this node's and the other peers'");
     }
   }
-  for (std::size_t i = 0; i < aSettings.mFounders.size(); ++i) {
-    aChecks.RemoteEndpoint(Indexed("founders", i), aSettings.mFounders[i]);
+  for (std::size_t i = 0; i < aSettings.mInitialReplicas.size(); ++i) {
+    aChecks.RemoteEndpoint(Indexed("founders", i), aSettings.mInitialReplicas[i]);
   }
-  const bool knowsGroup = !aSettings.mPeers.empty() || !aSettings.mFounders.empty();
+  const bool knowsGroup = !aSettings.mPeers.empty() || !aSettings.mInitialReplicas.empty();
   aChecks.Require(!aSettings.mJoin || knowsGroup, "join", "true without peers",
                   "at least one peer to join");
 }
--- a/lib/Control/CommandRules.cpp
+++ b/lib/Control/CommandRules.cpp
@@ -170,7 +170,7 @@
 {
   if (aCommand.mDataCentre) {
     DataCentreState& state = aNext.mDataCentres[aCommand.mDataCentre->mName];
-    state.mOut = aCommand.mDataCentre->mOut;
+    state.mOutOfService = aCommand.mDataCentre->mOutOfService;
     ++state.mVersion;
   }
   if (aCommand.mRoutes && aCommand.mRoutes->mTable.mVersion > aNext.mRoutes.mVersion) {
--- a/lib/Control/GenerationPlan.cpp
+++ b/lib/Control/GenerationPlan.cpp
@@ -64,14 +64,15 @@
   const Member& member = aEntry->mAnnouncement.mMember;
   return member.mKind == MemberKind::Agent && member.mService == mService &&
          (TakesNewWork(member.mState) || member.mState == MemberState::Restarting) &&
-         !mConfiguration.IsOut(member.mDataCentre) && !mConfiguration.IsDrained(member.mName);
+         !mConfiguration.IsDataCentreOut(member.mDataCentre) &&
+         !mConfiguration.IsDrained(member.mName);
 }
 
 bool GenerationPlan::HasNoLiveOwner(const std::string& aName) const
 {
   const LeaseEntry* entry = mLeases.Find(aName);
   return entry == nullptr || !HoldsFlows(entry->mAnnouncement.mMember.mState) ||
-         mConfiguration.IsOut(entry->mAnnouncement.mMember.mDataCentre);
+         mConfiguration.IsDataCentreOut(entry->mAnnouncement.mMember.mDataCentre);
 }
 
 // Weights are relative, so a low start would change nothing where nobody else serves.
--- a/lib/Control/ViewBuilder.cpp
+++ b/lib/Control/ViewBuilder.cpp
@@ -60,7 +60,7 @@
   for (const WeightedMember& member : aGeneration.mMembers) {
     const LeaseEntry* entry = aLeases.Find(member.mMember);
     if (entry == nullptr || !HoldsFlows(entry->mAnnouncement.mMember.mState) ||
-        aConfiguration.IsOut(entry->mAnnouncement.mMember.mDataCentre)) {
+        aConfiguration.IsDataCentreOut(entry->mAnnouncement.mMember.mDataCentre)) {
       continue;
     }
     if (entry->mAnnouncement.mAckedGeneration < aGeneration.mNumber) {
--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -51,7 +51,7 @@
     }
     const auto route = mSnapshot->RouteRequest(name->second, aId.Hash(), RuntimeClock::now());
     if (const auto* found = std::get_if<RequestRoute>(&route)) {
-      return found->mHome.mRequestEndpoint;
+      return found->mOwner.mRequestEndpoint;
     }
     return std::nullopt;
   }
@@ -347,7 +347,7 @@
         SendFrame(probe->mHeader, {}, probe->mTo);
         continue;
       }
-      FetchFromPeer(std::get<FetchStateFromPeer>(action).mRequestEndpoint);
+      FetchFromPeer(std::get<FetchStateFromAgent>(action).mRequestEndpoint);
     }
   }
 
@@ -361,7 +361,7 @@
       }
       mLink.TakeFromPeer(answer.value());
       NodeState state;
-      if (state.Take(answer.value())) {
+      if (state.Apply(answer.value())) {
         ApplyState(state);
       }
     });
@@ -584,7 +584,7 @@
     mRegistry.GaugeFor("dandelionslip_view_revision")
       .Set(static_cast<double>(mRouting.ViewRevision()));
     mRegistry.GaugeFor("dandelionslip_lease_valid")
-      .Set(mRouting.IsConfirmed(RuntimeClock::now()) ? 1 : 0);
+      .Set(mRouting.HasValidLease(RuntimeClock::now()) ? 1 : 0);
   }
 
   BalancerSettings mSettings;
--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -55,10 +55,10 @@
 RaftMembership FoundingMembership(const ControlSettings& aSettings)
 {
   RaftMembership membership;
-  for (const auto& founder : aSettings.mFounders) {
+  for (const auto& founder : aSettings.mInitialReplicas) {
     membership.mReplicas[FoundingIdentity(founder)] = {founder, true, 0};
   }
-  if (!aSettings.mFounders.empty()) {
+  if (!aSettings.mInitialReplicas.empty()) {
     return membership;
   }
   membership.mReplicas[FoundingIdentity(aSettings.mNode)] = {aSettings.mEndpoint, true, 0};
@@ -74,14 +74,14 @@
   settings.mHeartbeat = aSettings.mHeartbeat;
   settings.mElectionMin = aSettings.mElectionTimeoutMin;
   settings.mElectionMax = aSettings.mElectionTimeoutMax;
-  settings.mFirstElection = aSettings.mFirstElection;
+  settings.mFirstElection = aSettings.mFirstElectionTimeout;
   return settings;
 }
 
 // Founders listed by endpoint are identified by it, since their names are not known to each other.
 bool FoundsGroup(const ControlSettings& aSettings, const ControlStart& aStart)
 {
-  const auto& founders = aSettings.mFounders;
+  const auto& founders = aSettings.mInitialReplicas;
   return aStart.mBootstrap &&
          (founders.empty() ||
           std::find(founders.begin(), founders.end(), aSettings.mEndpoint) != founders.end());
@@ -111,7 +111,7 @@
   const bool founds = FoundsGroup(aSettings, aStart);
   if (founds) {
     storeSettings.mReplica =
-      FoundingIdentity(aSettings.mFounders.empty() ? aSettings.mNode : aSettings.mEndpoint);
+      FoundingIdentity(aSettings.mInitialReplicas.empty() ? aSettings.mNode : aSettings.mEndpoint);
   }
   auto store = LogStore::Open(aFiles, storeSettings, aRandom);
   if (!store) {
@@ -128,7 +128,7 @@
     return store;
   }
   // A founder that restarts before its settings say that the group exists keeps its log.
-  if (!aSettings.mFounders.empty() && store.value()->LastIndex() != 0) {
+  if (!aSettings.mInitialReplicas.empty() && store.value()->LastIndex() != 0) {
     return store;
   }
   if (const auto done = store.value()->Bootstrap(FoundingMembership(aSettings)); !done) {
@@ -425,7 +425,8 @@
     if (mRaft.IsLeader()) {
       return;
     }
-    std::set<std::string> endpoints(mSettings.mFounders.begin(), mSettings.mFounders.end());
+    std::set<std::string> endpoints(mSettings.mInitialReplicas.begin(),
+                                    mSettings.mInitialReplicas.end());
     if (const std::string leader = mRaft.LeaderAddress(); !leader.empty()) {
       endpoints = {leader};
     } else {
--- a/lib/Daemon/ControlLink.cpp
+++ b/lib/Daemon/ControlLink.cpp
@@ -101,7 +101,7 @@
     NodeState state;
     {
       const std::lock_guard lock(mMutex);
-      if (mState.Take(answer.value())) {
+      if (mState.Apply(answer.value())) {
         state = mState;
       }
     }
@@ -159,7 +159,7 @@
     const std::lock_guard lock(mMutex);
     mInFlight = false;
     if (answer) {
-      if (const auto taken = mState.Take(answer.value()); !taken) {
+      if (const auto taken = mState.Apply(answer.value()); !taken) {
         mRegistry.CounterFor("dandelionslip_state_not_taken_total").Add();
       }
       if (answer.value().mLease.count() > 0) {
@@ -205,7 +205,7 @@
 void ControlLink::TakeFromPeer(const AnnouncementAnswer& aAnswer)
 {
   const std::lock_guard lock(mMutex);
-  if (const auto taken = mState.Take(aAnswer); !taken) {
+  if (const auto taken = mState.Apply(aAnswer); !taken) {
     mRegistry.CounterFor("dandelionslip_state_not_taken_total").Add();
   }
 }
--- a/lib/Model/Model.cpp
+++ b/lib/Model/Model.cpp
@@ -57,10 +57,10 @@
   return found == mServices.end() ? nullptr : &found->second;
 }
 
-bool Configuration::IsOut(const std::string& aDataCentre) const
+bool Configuration::IsDataCentreOut(const std::string& aDataCentre) const
 {
   const auto found = mDataCentres.find(aDataCentre);
-  return found != mDataCentres.end() && found->second.mOut;
+  return found != mDataCentres.end() && found->second.mOutOfService;
 }
 
 bool Configuration::IsDrained(const std::string& aUpstream) const
--- a/lib/Model/NodeState.cpp
+++ b/lib/Model/NodeState.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-Result<void> NodeState::Take(const AnnouncementAnswer& aAnswer)
+Result<void> NodeState::Apply(const AnnouncementAnswer& aAnswer)
 {
   if (!aAnswer.mConfirmed && CarriesState(aAnswer)) {
     return Fail(ErrorCode::InvalidInput, "node.take", "",
--- a/lib/Packet/PacketAgent.cpp
+++ b/lib/Packet/PacketAgent.cpp
@@ -65,7 +65,7 @@
 
 void PacketAgent::OnConfiguration(const Configuration& aConfiguration)
 {
-  const bool out = aConfiguration.IsOut(mSettings.mDataCentre);
+  const bool out = aConfiguration.IsDataCentreOut(mSettings.mDataCentre);
   if (mDataCentreOut && !out) {
     // The upstream may have turned cold meanwhile; its next heartbeat tells.
     mReturnUnconfirmed = true;
--- a/lib/Packet/PacketBalancer.cpp
+++ b/lib/Packet/PacketBalancer.cpp
@@ -307,7 +307,7 @@
                               const Flow& aFlow) const
 {
   const auto dataCentre = mDataCentres.find(aAgent.mDataCentre);
-  if (dataCentre != mDataCentres.end() && dataCentre->second.mOut) {
+  if (dataCentre != mDataCentres.end() && dataCentre->second.mOutOfService) {
     return false;
   }
   return std::find(aFlow.mTried.begin(), aFlow.mTried.end(), aEndpoint) == aFlow.mTried.end();
--- a/lib/Request/HomeArrival.cpp
+++ b/lib/Request/HomeArrival.cpp
@@ -42,7 +42,7 @@
       return;
     }
     if (state != RecordBucketState::Complete) {
-      Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::HandoffPending));
+      Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::TransferPending));
       return;
     }
     // Another agent may own the bucket by now, so nothing may be recorded about a new attempt.
@@ -137,7 +137,7 @@
 void AgentRequestCore::Internals::Hold(ReceivedRequest aRequest, TimePoint aDeadline)
 {
   if (mHeld.size() >= mSettings.mMaxHeld) {
-    Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::HandoffPending));
+    Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::TransferPending));
     return;
   }
   mHeld.push_back({std::move(aRequest), aDeadline});
--- a/lib/Request/HomeTime.cpp
+++ b/lib/Request/HomeTime.cpp
@@ -73,7 +73,7 @@
       continue;
     }
     Reply(held->mRequest.mHandle,
-          UnknownOutcome(Refusal{RefusalReason::HandoffPending, Milliseconds(0)}));
+          UnknownOutcome(Refusal{RefusalReason::TransferPending, Milliseconds(0)}));
     held = mHeld.erase(held);
   }
 }
--- a/lib/Request/RelayAttempts.cpp
+++ b/lib/Request/RelayAttempts.cpp
@@ -15,9 +15,9 @@
     case RefusalReason::NoControl:
     case RefusalReason::SlotsFull:
     case RefusalReason::Cold:
-    case RefusalReason::Paced:
+    case RefusalReason::RateLimited:
     case RefusalReason::Draining:
-    case RefusalReason::HandoffPending:
+    case RefusalReason::TransferPending:
     case RefusalReason::UpstreamShed:
       return true;
     default:
--- a/lib/Route/RoutingCore.cpp
+++ b/lib/Route/RoutingCore.cpp
@@ -90,7 +90,7 @@
   // A peer with newer state may know that its data centre is out, so its answer does not count
   // until the state has been fetched.
   if (aHeader.mViewRevision > mView.mRevision || aHeader.mFlowHash > mConfiguration.mRevision) {
-    return {FetchStateFromPeer{member->mName, member->mRequestEndpoint}};
+    return {FetchStateFromAgent{member->mName, member->mRequestEndpoint}};
   }
   if (const auto gate = mGates.find(member->mDataCentre); gate != mGates.end()) {
     gate->second->ExtendTo(probe->second.mSentAt + mSettings.mProbeValidity);
@@ -112,7 +112,7 @@
   ++mProbeRound;
   std::vector<RoutingAction> actions;
   for (const auto& [name, gate] : mGates) {
-    if (!mConfiguration.IsOut(name)) {
+    if (!mConfiguration.IsDataCentreOut(name)) {
       ProbeDataCentre(name, aNow, actions);
     }
   }
--- a/lib/Route/ServiceTable.cpp
+++ b/lib/Route/ServiceTable.cpp
@@ -27,7 +27,7 @@
   std::vector<WeightedMember> weights;
   weights.reserve(aMembers.size());
   for (const TableMember& member : aMembers) {
-    weights.push_back({member.mName, member.mOut ? 0 : WeightIn(aGeneration, member.mName)});
+    weights.push_back({member.mName, member.mExcluded ? 0 : WeightIn(aGeneration, member.mName)});
   }
   return weights;
 }
@@ -46,7 +46,8 @@
   return &found->second;
 }
 
-std::vector<std::string> OwnersIn(const Generation& aGeneration, const ServiceTable& aTable)
+std::vector<std::string> OwnerNamesByBucket(const Generation& aGeneration,
+                                            const ServiceTable& aTable)
 {
   const auto owners = MakeRendezvousStrategy()->Owners(
     EffectiveWeights(aGeneration, aTable.Members()), aTable.Buckets());
@@ -102,8 +103,8 @@
     added.mRequestEndpoint = member.mRequestEndpoint;
     added.mDatagramEndpoint = endpoint ? endpoint.value() : Endpoint{};
     added.mState = member.mState;
-    added.mDataCentreOut = aConfiguration.IsOut(member.mDataCentre);
-    added.mOut = added.mDataCentreOut || !HoldsFlows(member.mState) || !endpoint;
+    added.mDataCentreOut = aConfiguration.IsDataCentreOut(member.mDataCentre);
+    added.mExcluded = added.mDataCentreOut || !HoldsFlows(member.mState) || !endpoint;
     mMembers.push_back(std::move(added));
   }
 }
@@ -115,7 +116,7 @@
     for (std::size_t step = 0; step < kMaxCustodians; ++step) {
       const MemberIndex custodian =
         mMembers[acting].mBackup.empty() ? kNoMember : Find(mMembers[acting].mBackup);
-      if (custodian == kNoMember || mMembers[custodian].mOut) {
+      if (custodian == kNoMember || mMembers[custodian].mExcluded) {
         break;
       }
       acting = custodian;
--- a/unittests/Agent/FlowSystem.cpp
+++ b/unittests/Agent/FlowSystem.cpp
@@ -214,7 +214,7 @@
             aBalancer.mName,
             name,
             "",
-            static_cast<std::uint16_t>(state.mOut),
+            static_cast<std::uint16_t>(state.mOutOfService),
             {}});
   }
 }
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSystem.h
@@ -39,7 +39,7 @@
       return Refusal{RefusalReason::ConnectionsFull, Milliseconds(200)};
     }
     if (mRandom.Below(10) == 0) {
-      return Refusal{RefusalReason::Paced, Milliseconds(100)};
+      return Refusal{RefusalReason::RateLimited, Milliseconds(100)};
     }
     ++mOpen;
     return std::nullopt;
--- a/unittests/Agent/UpstreamAdmissionTest.cpp
+++ b/unittests/Agent/UpstreamAdmissionTest.cpp
@@ -228,7 +228,7 @@
       attempts.erase(attempts.begin());
       mostAttempts = std::max(mostAttempts, attempt);
       if (const auto refusal = admission.TryOpenFlow(time)) {
-        CPPUNIT_ASSERT(refusal->mReason == RefusalReason::Paced);
+        CPPUNIT_ASSERT(refusal->mReason == RefusalReason::RateLimited);
         CPPUNIT_ASSERT(refusal->mRetryAfter >= RetrySchedule::kShortest);
         attempts.emplace(time + refusal->mRetryAfter, attempt + 1);
       } else {
--- a/unittests/Control/ConfigurationStoreTest.cpp
+++ b/unittests/Control/ConfigurationStoreTest.cpp
@@ -245,10 +245,10 @@
     ExpectOutcome(CommandOutcome::Applied, apply(1));
     command.mDataCentre = DataCentreChange{"klang-a", false, 0};
     ExpectOutcome(CommandOutcome::Conflict, apply(2));
-    CPPUNIT_ASSERT(store.Current().IsOut("klang-a"));
+    CPPUNIT_ASSERT(store.Current().IsDataCentreOut("klang-a"));
     command.mDataCentre->mExpectedVersion = 1;
     ExpectOutcome(CommandOutcome::Applied, apply(3));
-    CPPUNIT_ASSERT(!store.Current().IsOut("klang-a"));
+    CPPUNIT_ASSERT(!store.Current().IsDataCentreOut("klang-a"));
     command.mDataCentre.reset();
     command.mDrain = DrainChange{"planner-1", true};
     ExpectOutcome(CommandOutcome::Applied, apply(4));
--- a/unittests/Control/ControlCodecTest.cpp
+++ b/unittests/Control/ControlCodecTest.cpp
@@ -131,9 +131,9 @@
     answer.mViewDifference = DifferenceBetween(View{}, SampleView());
     Try(answer, Decode<AnnouncementAnswer>, [](const AnnouncementAnswer& aAnswer) {
       NodeState node;
-      std::ignore = node.Take(aAnswer);
+      std::ignore = node.Apply(aAnswer);
       const std::uint64_t revision = node.CurrentView().mRevision;
-      std::ignore = node.Take(aAnswer);
+      std::ignore = node.Apply(aAnswer);
       CPPUNIT_ASSERT(node.CurrentView().mRevision >= revision);
     });
   }
--- a/unittests/Control/DifferenceTest.cpp
+++ b/unittests/Control/DifferenceTest.cpp
@@ -140,17 +140,17 @@
     NodeState node;
     AnnouncementAnswer answer;
     answer.mConfiguration = PlannerConfiguration();
-    CPPUNIT_ASSERT(!node.Take(answer));
+    CPPUNIT_ASSERT(!node.Apply(answer));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, node.CurrentConfiguration().mRevision);
     answer.mConfirmed = true;
     answer.mConfiguration->mRevision = 8;
     answer.mView = View{};
     answer.mView->mRevision = 9;
-    CPPUNIT_ASSERT(node.Take(answer));
+    CPPUNIT_ASSERT(node.Apply(answer));
     answer.mConfiguration->mRevision = 7;
     answer.mConfiguration->mServices.clear();
     answer.mView->mRevision = 8;
-    CPPUNIT_ASSERT(node.Take(answer));
+    CPPUNIT_ASSERT(node.Apply(answer));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, node.CurrentConfiguration().mRevision);
     CPPUNIT_ASSERT(node.CurrentConfiguration().FindService("planner") != nullptr);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, node.CurrentView().mRevision);
@@ -158,7 +158,7 @@
     answer.mConfirmed = true;
     answer.mConfigurationDifference = ConfigurationDifference{8, 10, {}, {}, {}, {}, {}, {}, {}};
     answer.mViewDifference = ViewDifference{8, 10, {}, {}, {}, {}};
-    CPPUNIT_ASSERT(!node.Take(answer));
+    CPPUNIT_ASSERT(!node.Apply(answer));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, node.CurrentConfiguration().mRevision);
   }
 };
--- a/unittests/Control/MembershipCluster.cpp
+++ b/unittests/Control/MembershipCluster.cpp
@@ -154,7 +154,7 @@
   const AnnouncementAnswer answer =
     Core(aNode.mReplica).OnAnnouncement(announcement, confirmed, mNow);
   CPPUNIT_ASSERT(confirmed || (!answer.mConfirmed && answer.mLease == 0ms));
-  const auto taken = aNode.mState.Take(answer);
+  const auto taken = aNode.mState.Apply(answer);
   CPPUNIT_ASSERT_MESSAGE(taken ? "" : taken.error().Message(), taken.has_value());
   CPPUNIT_ASSERT(aNode.mState.CurrentView().mRevision >= before.mRevision);
   aNode.mLeaseEnd = std::max(aNode.mLeaseEnd, mNow + answer.mLease);
--- a/unittests/Control/ViewBuilderTest.cpp
+++ b/unittests/Control/ViewBuilderTest.cpp
@@ -204,7 +204,7 @@
     leader.mNotAcknowledging = {"a", "b"};
     leader.Step();
     leader.mAgents["b"].mWeight = 500;
-    leader.mConfiguration.mDataCentres["klang-b"].mOut = true;
+    leader.mConfiguration.mDataCentres["klang-b"].mOutOfService = true;
     leader.Step(10ms);
     CPPUNIT_ASSERT_EQUAL(0U, leader.WeightOf("d"));
     CPPUNIT_ASSERT_EQUAL(1000U, leader.WeightOf("b"));
@@ -230,7 +230,7 @@
     const std::uint32_t acknowledged = leader.Newest();
     leader.mNotAcknowledging = {"a"};
     for (const char* out : {"b", "c", "d"}) {
-      leader.mConfiguration.mDataCentres[out].mOut = true;
+      leader.mConfiguration.mDataCentres[out].mOutOfService = true;
       leader.Step();
     }
     CPPUNIT_ASSERT_EQUAL(acknowledged, leader.Generations().back().mNumber);
@@ -290,10 +290,10 @@
     leader.Add("b");
     leader.mAgents["b"].mMember.mDataCentre = "klang-b";
     leader.Settle(4);
-    leader.mConfiguration.mDataCentres["klang-b"].mOut = true;
+    leader.mConfiguration.mDataCentres["klang-b"].mOutOfService = true;
     leader.Settle(4);
     CPPUNIT_ASSERT_EQUAL(0U, leader.WeightOf("b"));
-    leader.mConfiguration.mDataCentres["klang-b"].mOut = false;
+    leader.mConfiguration.mDataCentres["klang-b"].mOutOfService = false;
     leader.Step();
     CPPUNIT_ASSERT_EQUAL(kJoinWeight, leader.WeightOf("b"));
   }
@@ -374,7 +374,7 @@
     for (const auto& [name, weight] : WeightsOf(aBefore)) {
       const Member* member = aLeader.mBuilder.Current().FindMember(name);
       const bool alive = member != nullptr && HoldsFlows(member->mState) &&
-                         !aLeader.mConfiguration.IsOut(member->mDataCentre);
+                         !aLeader.mConfiguration.IsDataCentreOut(member->mDataCentre);
       CPPUNIT_ASSERT(after.contains(name) == alive);
       CPPUNIT_ASSERT(!alive || after.at(name) == weight);
     }
@@ -425,7 +425,7 @@
             leader.mConfiguration.mDrained[name] = random.Below(2) == 0;
             break;
           case 2:
-            leader.mConfiguration.mDataCentres[dataCentre].mOut = random.Below(3) == 0;
+            leader.mConfiguration.mDataCentres[dataCentre].mOutOfService = random.Below(3) == 0;
             break;
           case 3:
             leader.mNotAcknowledging.insert(name);
--- a/unittests/Packet/PacketAgentTest.cpp
+++ b/unittests/Packet/PacketAgentTest.cpp
@@ -268,7 +268,7 @@
   {
     Prepare();
     Configuration configuration = TestRoutes(2, {"web"});
-    configuration.mDataCentres["north"].mOut = true;
+    configuration.mDataCentres["north"].mOutOfService = true;
     mAgent.OnConfiguration(configuration);
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
     AssertReturned(ReturnReason::Draining);
@@ -305,10 +305,10 @@
   {
     Prepare();
     Configuration configuration = TestRoutes(2, {"web"});
-    configuration.mDataCentres["north"].mOut = true;
+    configuration.mDataCentres["north"].mOutOfService = true;
     mAgent.OnConfiguration(configuration);
     configuration.mRevision = 3;
-    configuration.mDataCentres["north"].mOut = false;
+    configuration.mDataCentres["north"].mOutOfService = false;
     mAgent.OnConfiguration(configuration);
     CPPUNIT_ASSERT(mAgent.Report(mNow).mCold);
     Heartbeat(2);
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -514,7 +514,7 @@
   {
     Settle();
     Configuration configuration = TestRoutes(2, {"web"});
-    configuration.mDataCentres["north"].mOut = true;
+    configuration.mDataCentres["north"].mOutOfService = true;
     mBalancer.OnState(configuration, View{}, mOutput, mNow);
     Send(CallerPacket(TestFlow(1), FlagSyn));
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
--- a/unittests/Request/BalancerRequestCoreTest.cpp
+++ b/unittests/Request/BalancerRequestCoreTest.cpp
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("u2"), second.mAgent);
     CPPUNIT_ASSERT(second.mRemaining < first.mRemaining);
     CPPUNIT_ASSERT(
-      Answer(second.mKey, RequestOutcome::NotOwner, {}, RefusalReason::HandoffPending, 1002)
+      Answer(second.mKey, RequestOutcome::NotOwner, {}, RefusalReason::TransferPending, 1002)
         .empty());
     const SendToAgent third = Next(1900);
     CPPUNIT_ASSERT_EQUAL(
--- a/unittests/Route/RoutingCoreTest.cpp
+++ b/unittests/Route/RoutingCoreTest.cpp
@@ -119,10 +119,10 @@
   // Guards against leases that a delayed answer extends.
   void LeaseCountsFromSending()
   {
-    CPPUNIT_ASSERT(mCore.IsConfirmed(mStart + Milliseconds(2'000)));
-    CPPUNIT_ASSERT(!mCore.IsConfirmed(mStart + Milliseconds(2'001)));
+    CPPUNIT_ASSERT(mCore.HasValidLease(mStart + Milliseconds(2'000)));
+    CPPUNIT_ASSERT(!mCore.HasValidLease(mStart + Milliseconds(2'001)));
     Renew(mStart - Milliseconds(500));
-    CPPUNIT_ASSERT(!mCore.IsConfirmed(mStart + Milliseconds(2'001)));
+    CPPUNIT_ASSERT(!mCore.HasValidLease(mStart + Milliseconds(2'001)));
   }
 
   // Guards against a partitioned balancer that ignores a peer with newer state (a data centre
@@ -131,7 +131,7 @@
   {
     const auto actions = AnswerProbes(mStart + Milliseconds(3'000), 7, 6);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
-    CPPUNIT_ASSERT(std::holds_alternative<FetchStateFromPeer>(actions.front()));
+    CPPUNIT_ASSERT(std::holds_alternative<FetchStateFromAgent>(actions.front()));
     CPPUNIT_ASSERT(Reached(mStart + Milliseconds(3'000)).empty());
   }
 
@@ -167,8 +167,8 @@
     const auto snapshot = mCore.Snapshot();
     const auto first = std::get<RequestRoute>(snapshot->RouteRequest("planner", 77, mStart));
     const auto second = std::get<RequestRoute>(snapshot->RouteRequest("planner", 77, mStart));
-    CPPUNIT_ASSERT_EQUAL(first.mHome.mMember, second.mHome.mMember);
-    CPPUNIT_ASSERT(first.mAlternate && first.mAlternate->mMember != first.mHome.mMember);
+    CPPUNIT_ASSERT_EQUAL(first.mOwner.mMember, second.mOwner.mMember);
+    CPPUNIT_ASSERT(first.mAlternate && first.mAlternate->mMember != first.mOwner.mMember);
     CPPUNIT_ASSERT(std::holds_alternative<RequestCandidates>(
       snapshot->CandidatesFor("planner", {1, 2}, mStart)));
     CPPUNIT_ASSERT(std::holds_alternative<Refusal>(snapshot->RouteRequest("none", 77, mStart)));
