--- a/include/dandelionslip/Config/ControlSettings.h
+++ b/include/dandelionslip/Config/ControlSettings.h
@@ -36,14 +36,14 @@
   Milliseconds mElectionTimeoutMin{500};
   Milliseconds mElectionTimeoutMax{1'000};
   /// Longest election timeout just after a start; 0 means mElectionTimeoutMax.
-  Milliseconds mFirstElection{0};
+  Milliseconds mFirstElectionTimeout{0};
   std::uint32_t mSnapshotEntries = 4'096; ///< Log entries between two snapshots.
   Milliseconds mLease{2'000};
   Milliseconds mSummaryInterval{250}; ///< Interval at which replicas send summaries of their nodes.
   bool mJoin = false;                 ///< Whether to start as a learner of an existing Raft group.
   /// Endpoints of the replicas that form the initial Raft group; may include this replica. Used
   /// instead of mPeers when the later replicas are not known in advance. All other replicas join.
-  std::vector<std::string> mFounders;
+  std::vector<std::string> mInitialReplicas;
   /// Number of voters that the leader maintains by promoting learners; 0 when only the operator
   /// changes the membership.
   std::uint32_t mTargetVoters = 0;
@@ -61,12 +61,12 @@
   aVisitor.Optional("heartbeat_ms", aValue.mHeartbeat, {10, 5'000});
   aVisitor.Optional("election_timeout_min_ms", aValue.mElectionTimeoutMin, {50, 60'000});
   aVisitor.Optional("election_timeout_max_ms", aValue.mElectionTimeoutMax, {50, 120'000});
-  aVisitor.Optional("first_election_ms", aValue.mFirstElection, {0, 10'000});
+  aVisitor.Optional("first_election_ms", aValue.mFirstElectionTimeout, {0, 10'000});
   aVisitor.Optional("snapshot_entries", aValue.mSnapshotEntries, {16, 1'000'000});
   aVisitor.Optional("lease_ms", aValue.mLease, {500, 60'000});
   aVisitor.Optional("summary_interval_ms", aValue.mSummaryInterval, {10, 5'000});
   aVisitor.Optional("join", aValue.mJoin);
-  aVisitor.Optional("founders", aValue.mFounders);
+  aVisitor.Optional("founders", aValue.mInitialReplicas);
   aVisitor.Optional("target_voters", aValue.mTargetVoters, {0, 7});
 }
 
--- a/include/dandelionslip/Config/PacketSettings.h
+++ b/include/dandelionslip/Config/PacketSettings.h
@@ -31,11 +31,11 @@
 struct PacketAgentNodeSettings : PacketNodeSettings
 {
   std::string mService;
-  std::string mUpstreamEndpoint;         ///< UDP "address:port" of the upstream.
-  std::string mUpstreamOutboundEndpoint; ///< UDP "address:port" that the upstream sends to.
-  std::string mUpstreamReportEndpoint;   ///< TCP "address:port" for the upstream's heartbeats.
-  Milliseconds mHeartbeat{1'000};        ///< Interval of the upstream's heartbeats.
-  Milliseconds mMaxFlowAge{60'000};      ///< Flows older than this need not be kept.
+  std::string mUpstreamEndpoint;          ///< UDP "address:port" of the upstream.
+  std::string mUpstreamOutboundEndpoint;  ///< UDP "address:port" that the upstream sends to.
+  std::string mUpstreamHeartbeatEndpoint; ///< TCP "address:port" for the upstream's heartbeats.
+  Milliseconds mHeartbeat{1'000};         ///< Interval of the upstream's heartbeats.
+  Milliseconds mMaxFlowAge{60'000};       ///< Flows older than this need not be kept.
   /// A cold upstream takes at most RoutedService::mColdOpensPerSecond * mColdExcessFactor +
   /// mColdSlack new flows a second, rounded down but at least 1.
   double mColdExcessFactor = 1.0;
--- a/include/dandelionslip/Model/Member.h
+++ b/include/dandelionslip/Model/Member.h
@@ -39,8 +39,8 @@
   std::string mRequestEndpoint;  ///< TCP "address:port" for HTTP/2.
   std::uint64_t mIncarnation = 0;
   MemberState mState = MemberState::Cold;
-  std::string mCustodian; ///< Backup: the agent that keeps the state of this agent while it
-                          ///< restarts, and acts for it.
+  /// The agent that keeps the state of this agent while it restarts, and acts for it.
+  std::string mBackup;
 
   bool operator==(const Member&) const = default;
 };
@@ -56,7 +56,7 @@
   aVisitor.Field("request_endpoint", aValue.mRequestEndpoint);
   aVisitor.Field("incarnation", aValue.mIncarnation);
   aVisitor.Field("state", aValue.mState);
-  aVisitor.Optional("custodian", aValue.mCustodian);
+  aVisitor.Optional("custodian", aValue.mBackup);
 }
 
 /// Whether the member takes new flows and requests.
--- a/include/dandelionslip/Model/NodeState.h
+++ b/include/dandelionslip/Model/NodeState.h
@@ -13,7 +13,7 @@
   /// when its revision is higher than the current one. Errors, on which nothing changes:
   /// InvalidInput when the answer carries state although mConfirmed is false, Conflict when a
   /// difference starts at another revision than the current one.
-  Result<void> Take(const AnnouncementAnswer& aAnswer);
+  Result<void> Apply(const AnnouncementAnswer& aAnswer);
 
   const Configuration& CurrentConfiguration() const { return mConfiguration; }
   const View& CurrentView() const { return mView; }
--- a/include/dandelionslip/Model/RefusalReason.h
+++ b/include/dandelionslip/Model/RefusalReason.h
@@ -17,11 +17,11 @@
   ConnectionsFull, ///< The upstream holds as many flows as it may.
   SlotsFull,       ///< All slots are in use and the queue is full.
   Cold,            ///< The upstream is cold and at its current load limit.
-  Paced,           ///< New flows arrive faster than the upstream accepts them.
+  RateLimited,     ///< New flows arrive faster than the upstream accepts them.
   Draining,        ///< The upstream or the process is draining.
   UnknownFlow,     ///< No agent holds the flow; the caller must open it again.
   HopLimit,        ///< The packet was forwarded too often.
-  HandoffPending,  ///< The bucket's directory or records are not complete yet.
+  TransferPending, ///< The bucket's directory or records are not complete yet.
   TableFull,       ///< The flow table has no room.
   Deadline,        ///< The request cannot be answered before its deadline.
   RecordsFull,     ///< The record table has no room.
--- a/include/dandelionslip/Route/RouteDecision.h
+++ b/include/dandelionslip/Route/RouteDecision.h
@@ -37,7 +37,7 @@
 {
   ServiceId mServiceId = 0;
   std::uint32_t mGeneration = 0;
-  RequestTarget mHome; ///< The acting member of the request id's bucket.
+  RequestTarget mOwner; ///< Owner of the request id's bucket; while it restarts, its backup.
   /// The member to which the owner may relay the request; may be absent.
   std::optional<RequestTarget> mAlternate;
 };
--- a/include/dandelionslip/Route/ServiceTable.h
+++ b/include/dandelionslip/Route/ServiceTable.h
@@ -15,14 +15,14 @@
 {
   std::string mName;
   std::string mDataCentre;
-  std::string mCustodian; ///< The member's backup while the member restarts, else empty.
+  std::string mBackup; ///< The member's backup while the member restarts, else empty.
   std::string mRequestEndpoint;
   Endpoint mDatagramEndpoint;
   MemberState mState = MemberState::Cold;
   bool mDataCentreOut = false;
   /// Owns no buckets: its data centre is out of service, it has left or is lost, or its datagram
   /// endpoint is invalid.
-  bool mOut = false;
+  bool mExcluded = false;
 
   bool operator==(const TableMember&) const = default;
 };
@@ -73,6 +73,7 @@
 
 /// The owner's name of each bucket in aGeneration without the excluded members of aTable. A name is
 /// empty when no member is left.
-std::vector<std::string> OwnersIn(const Generation& aGeneration, const ServiceTable& aTable);
+std::vector<std::string> OwnerNamesByBucket(const Generation& aGeneration,
+                                            const ServiceTable& aTable);
 
 } // namespace dandelionslip
--- a/lib/Config/CheckSettings.cpp
+++ b/lib/Config/CheckSettings.cpp
@@ -71,10 +71,10 @@
                        "an endpoint other than this node's and the other peers'");
     }
   }
-  for (std::size_t i = 0; i < aSettings.mFounders.size(); ++i) {
-    aChecker.CheckRemoteEndpoint(KeyWithIndex("founders", i), aSettings.mFounders[i]);
+  for (std::size_t i = 0; i < aSettings.mInitialReplicas.size(); ++i) {
+    aChecker.CheckRemoteEndpoint(KeyWithIndex("founders", i), aSettings.mInitialReplicas[i]);
   }
-  const bool knowsGroup = !aSettings.mPeers.empty() || !aSettings.mFounders.empty();
+  const bool knowsGroup = !aSettings.mPeers.empty() || !aSettings.mInitialReplicas.empty();
   aChecker.Require(!aSettings.mJoin || knowsGroup, "join", "true without peers",
                    "at least one peer to join");
 }
--- a/lib/Route/RoutingCore.cpp
+++ b/lib/Route/RoutingCore.cpp
@@ -91,7 +91,7 @@
   // not extend the lease until that state has been fetched. A probe answer carries the
   // configuration revision in mFlowHash.
   if (aHeader.mViewRevision > mView.mRevision || aHeader.mFlowHash > mConfiguration.mRevision) {
-    return {FetchStateFromPeer{member->mName, member->mRequestEndpoint}};
+    return {FetchStateFromAgent{member->mName, member->mRequestEndpoint}};
   }
   if (const auto lease = mDataCentreLeases.find(member->mDataCentre);
       lease != mDataCentreLeases.end()) {
@@ -114,7 +114,7 @@
   ++mProbeRound;
   std::vector<RoutingAction> actions;
   for (const auto& [name, lease] : mDataCentreLeases) {
-    if (!mConfiguration.IsOut(name)) {
+    if (!mConfiguration.IsDataCentreOut(name)) {
       ProbeDataCentre(name, aNow, actions);
     }
   }
--- a/unittests/Control/ControlCodecTest.cpp
+++ b/unittests/Control/ControlCodecTest.cpp
@@ -131,9 +131,9 @@
     answer.mViewDifference = DifferenceBetween(View{}, SampleView());
     Try(answer, Decode<AnnouncementAnswer>, [](const AnnouncementAnswer& aAnswer) {
       NodeState node;
-      std::ignore = node.Take(aAnswer);
+      std::ignore = node.Apply(aAnswer);
       const std::uint64_t revision = node.CurrentView().mRevision;
-      std::ignore = node.Take(aAnswer);
+      std::ignore = node.Apply(aAnswer);
       CPPUNIT_ASSERT(node.CurrentView().mRevision >= revision);
     });
   }
@@ -142,7 +142,7 @@
   void DamagedAnnouncementsAreHandled()
   {
     Announcement announcement = AgentAnnouncement("a", 7, MemberState::Restarting);
-    announcement.mMember.mCustodian = "b";
+    announcement.mMember.mBackup = "b";
     announcement.mMember.mRequestEndpoint = "192.0.2.7:900";
     MembershipCore core("r0", MembershipSettings{});
     core.OnRoleChange({1, true, "r0", {"r0"}}, kTestStart);
--- a/unittests/Route/RoutingCoreTest.cpp
+++ b/unittests/Route/RoutingCoreTest.cpp
@@ -120,10 +120,10 @@
   // Guards against a delayed announcement answer that makes the lease longer than granted.
   void LeaseRunsFromSendingOfAnnouncement()
   {
-    CPPUNIT_ASSERT(mCore.IsConfirmed(mStart + Milliseconds(2'000)));
-    CPPUNIT_ASSERT(!mCore.IsConfirmed(mStart + Milliseconds(2'001)));
+    CPPUNIT_ASSERT(mCore.HasValidLease(mStart + Milliseconds(2'000)));
+    CPPUNIT_ASSERT(!mCore.HasValidLease(mStart + Milliseconds(2'001)));
     RenewLease(mStart - Milliseconds(500));
-    CPPUNIT_ASSERT(!mCore.IsConfirmed(mStart + Milliseconds(2'001)));
+    CPPUNIT_ASSERT(!mCore.HasValidLease(mStart + Milliseconds(2'001)));
   }
 
   // Guards against a partitioned balancer that ignores an agent with newer state. Taking a data
@@ -132,7 +132,7 @@
   {
     const auto actions = AnswerProbes(mStart + Milliseconds(3'000), 7, 6);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
-    CPPUNIT_ASSERT(std::holds_alternative<FetchStateFromPeer>(actions.front()));
+    CPPUNIT_ASSERT(std::holds_alternative<FetchStateFromAgent>(actions.front()));
     CPPUNIT_ASSERT(ReachedDataCentres(mStart + Milliseconds(3'000)).empty());
   }
 
@@ -168,8 +168,8 @@
     const auto snapshot = mCore.Snapshot();
     const auto first = std::get<RequestRoute>(snapshot->RouteRequest("planner", 77, mStart));
     const auto second = std::get<RequestRoute>(snapshot->RouteRequest("planner", 77, mStart));
-    CPPUNIT_ASSERT_EQUAL(first.mHome.mMember, second.mHome.mMember);
-    CPPUNIT_ASSERT(first.mAlternate && first.mAlternate->mMember != first.mHome.mMember);
+    CPPUNIT_ASSERT_EQUAL(first.mOwner.mMember, second.mOwner.mMember);
+    CPPUNIT_ASSERT(first.mAlternate && first.mAlternate->mMember != first.mOwner.mMember);
     CPPUNIT_ASSERT(std::holds_alternative<RequestCandidates>(
       snapshot->CandidatesFor("planner", {1, 2}, mStart)));
     CPPUNIT_ASSERT(std::holds_alternative<Refusal>(snapshot->RouteRequest("none", 77, mStart)));
