--- a/lib/Config/SettingsChecker.h
+++ b/lib/Config/SettingsChecker.h
@@ -23,8 +23,8 @@
   /// Checks a name of a node, data centre or service: 1 to 63 characters of a-z, 0-9 and '-'.
   void CheckName(std::string_view aKey, std::string_view aValue);
 
-  /// Checks an endpoint of this process: a numeric address:port that no other key of the same
-  /// transport has had in an earlier call.
+  /// Checks an endpoint of this process: a numeric address:port that was not passed before with the
+  /// same transport.
   void CheckLocalEndpoint(std::string_view aKey, std::string_view aValue,
                           std::string_view aTransport);
 
