--- a/include/dandelionslip/Request/Attempt.h
+++ b/include/dandelionslip/Request/Attempt.h
@@ -1,13 +1,13 @@
-// Attempt numbers order the resends of one request.
+// Attempt numbers, which order the attempts of one request.
 #pragma once
 
 #include <cstdint>
 
 namespace dandelionslip {
 
-/// Orders the attempts of one request id: the caller's own attempt number in the upper 24 bits and
-/// the balancer's try in the lower 8. A caller that resends through another balancer raises its
-/// number, so no try of the earlier balancer can exceed an attempt of the later one.
+/// Number of an attempt of one request id: the caller's attempt number in the upper 24 bits, the
+/// balancer's try in the lower 8. A caller raises its number when it resends through another
+/// balancer, so every attempt of the later balancer is higher than all tries of the earlier one.
 using Attempt = std::uint32_t;
 
 inline constexpr std::uint32_t kTryBits = 8;
--- a/include/dandelionslip/Request/HandedRecords.h
+++ b/include/dandelionslip/Request/HandedRecords.h
@@ -1,4 +1,4 @@
-// What a hand-off message says about each bucket, for the glue between hand-off and records.
+// Lists the buckets of a record hand-off message.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -17,7 +17,8 @@
   std::uint32_t mGeneration = 0;
 };
 
-/// Lists the buckets of a message made by HomeCore::FreezeAndExport. Error: InvalidInput.
+/// Lists the buckets of a message that HomeCore::FreezeAndExport returned. Fails with InvalidInput
+/// when the message cannot be decoded.
 Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aHandoff, std::string_view aPeer);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/HomeActions.h
+++ b/include/dandelionslip/Request/HomeActions.h
@@ -1,4 +1,4 @@
-// What HomeCore asks its glue to do.
+// Actions that HomeCore returns for the agent process to perform.
 #pragma once
 
 #include "dandelionslip/Request/HomeEvents.h"
@@ -8,8 +8,9 @@
 
 namespace dandelionslip {
 
-/// Pass a request to the upstream. Every run ends with exactly one of HomeCore::OnUpstreamAnswer,
-/// OnUpstreamShed and OnUpstreamFailed, also after CancelRun.
+/// Pass a request to the upstream. The agent process reports the end of each run, also of one that
+/// CancelRun cancelled, by exactly one call of HomeCore::OnUpstreamAnswer, OnUpstreamShed or
+/// OnUpstreamFailed.
 struct RunAtUpstream
 {
   RunId mRun = 0;
@@ -19,8 +20,9 @@
   Bytes mBody;
 };
 
-/// Pass a request to the alternate's agent with ArrivedRequest::mRelayed set. Ends with exactly one
-/// of HomeCore::OnAlternateAnswer and OnAlternateFailed, also after CancelRun.
+/// Pass a request to the alternate agent with ArrivedRequest::mRelayed set. The agent process
+/// reports the end, also after CancelRun, by exactly one call of HomeCore::OnAlternateAnswer or
+/// OnAlternateFailed.
 struct RelayToAlternate
 {
   RunId mRun = 0;
@@ -35,21 +37,21 @@
   Bytes mBody;
 };
 
-/// Send the outcome to whoever sent the message with this handle.
+/// Reply to the sender of the message with this handle.
 struct AnswerSender
 {
   ReplyHandle mHandle = 0;
   RequestAnswer mAnswer;
 };
 
-/// Cancel a run at the upstream or at the alternate (RST_STREAM).
+/// Cancel a run at the upstream or at the alternate agent (RST_STREAM).
 struct CancelRun
 {
   RunId mRun = 0;
 };
 
-/// Send a record that ended after its bucket was handed off to the bucket's new owner, which passes
-/// it to HomeCore::OnRecordUpdate.
+/// Send the record of a request that ended after its bucket was handed off. The receiver, the
+/// bucket's new owner, passes it to HomeCore::OnRecordUpdate.
 struct SendRecord
 {
   std::string mAgent;
--- a/include/dandelionslip/Request/HomeCore.h
+++ b/include/dandelionslip/Request/HomeCore.h
@@ -1,4 +1,4 @@
-// Coordinates the requests of an agent: record before run, queue, slots, alternate, answers.
+// Request handling of an agent: records, queue, runs at the upstream, relay to the alternate.
 #pragma once
 
 #include "dandelionslip/Request/HomeActions.h"
@@ -20,22 +20,29 @@
   std::uint32_t mBuckets = 1024;
   std::uint32_t mSlots = 4;
   RecordLimits mRecords;
-  Milliseconds mHopAllowance{2}; ///< Taken off the remaining time at each hop.
-  std::size_t mMaxHeld = 256;    ///< Requests that wait for a bucket hand-off.
+  Milliseconds mHopAllowance{2};  ///< Subtracted from the remaining time at each hop.
+  std::size_t mMaxDeferred = 256; ///< Largest number of requests that wait for a bucket hand-off.
 };
 
-/// The agent that a bucket's requests go to when this one is full.
+/// The agent that a bucket's owner relays a request to when it can neither run nor queue it.
 struct AlternateAgent
 {
   std::string mName;
   std::uint64_t mIncarnation = 0;
 };
 
-/// The alternate of a bucket in the newest view, or no value.
+/// Looks up the alternate agent of a bucket in the newest view; no value when it has none.
 using AlternateLookup = std::function<std::optional<AlternateAgent>(std::uint32_t aBucket)>;
 
-/// Decision core of the home agent. Not thread-safe; every event returns the actions to perform in
-/// order. Starts without a valid lease and without buckets.
+/// State machine for the requests of one agent. It does no I/O: each event returns the actions that
+/// the agent process has to perform, in order. Not thread-safe.
+///
+/// Each request id hashes to a bucket, and the agent that owns the bucket decides about the id. It
+/// writes a record before it passes a request on, so that a request which is not idempotent runs at
+/// most once. An owner that can neither run nor queue a request relays it to the alternate agent of
+/// the bucket.
+///
+/// A new core has no valid lease and owns no bucket.
 class HomeCore
 {
 public:
@@ -44,67 +51,71 @@
            MetricsRegistry& aRegistry);
   ~HomeCore();
 
-  /// A request arrived from a balancer or, relayed, from another home agent.
+  /// A request arrived from a balancer or, relayed, from the owner of its bucket.
   HomeActions OnRequest(ArrivedRequest aRequest, const RequestTime& aTime);
-  /// The sender of a message withdrew it or its link was lost.
+  /// The sender of a message cancelled it, or the link to the sender was lost.
   HomeActions OnCancel(ReplyHandle aHandle, const RequestTime& aTime);
 
-  /// The upstream's answer ended, whole or cut short.
+  /// The upstream's answer ended, complete or truncated.
   HomeActions OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer, const RequestTime& aTime);
-  /// The upstream refused the run and certainly did not start it.
+  /// The upstream refused the run because of its load and certainly did not start it.
   HomeActions OnUpstreamShed(RunId aRun, const Refusal& aRefusal, const RequestTime& aTime);
-  /// The run ended without an answer; it may have happened.
+  /// The run ended without an answer; the upstream may have executed the request.
   HomeActions OnUpstreamFailed(RunId aRun, const RequestTime& aTime);
 
-  /// The alternate's agent answered a relayed request. aReceived is checked for completeness when
-  /// the outcome is Answered.
+  /// The alternate agent replied to a relayed request. aReceived is used only when the outcome is
+  /// Answered; a truncated answer makes the outcome unknown.
   HomeActions OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome, const Refusal& aRefusal,
                                 const ReceivedAnswer& aReceived, const RequestTime& aTime);
-  /// The link to the alternate failed; aSent tells whether any of the request was sent.
+  /// The link to the alternate agent failed; aSent tells whether any part of the request was sent.
   HomeActions OnAlternateFailed(RunId aRun, bool aSent, const RequestTime& aTime);
 
+  /// Reports whether the agent's lease is valid. Without a valid lease no request that is not
+  /// idempotent starts.
   HomeActions OnLease(bool aValid, const RequestTime& aTime);
-  /// Stops taking requests; running and queued ones are finished.
+  /// The process is about to stop: refuses new requests and finishes running and queued ones.
   HomeActions OnPlannedStop(const RequestTime& aTime);
-  /// Ends what is overdue, expires records and starts queued requests. Call at least every 10 ms
+  /// Ends overdue requests, expires records and starts queued requests. Call at least every 10 ms
   /// while Active() is true.
   HomeActions OnTick(const RequestTime& aTime);
 
-  /// This agent became the owner of a bucket in aGeneration; non-idempotent requests wait until its
-  /// history is settled by OnHandoff or OnPreviousOwnerLost.
+  /// This agent became the owner of a bucket in aGeneration. Requests that are not idempotent wait
+  /// until OnHandoff or OnPreviousOwnerLost is called for the bucket.
   HomeActions OnBucketAcquired(std::uint32_t aBucket, std::uint32_t aGeneration,
                                const RequestTime& aTime);
-  /// The bucket never had an owner before aGeneration.
+  /// This agent became the owner of a bucket that had no owner before aGeneration.
   HomeActions OnBucketFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration,
                                  const RequestTime& aTime);
   /// The hand-off message of the previous owner arrived.
   Result<HomeActions> OnHandoff(const Json& aHandoff, std::string_view aPeer,
                                 const RequestTime& aTime);
-  /// The previous owner's lease has ended and it cannot hand over. Has an effect only on a bucket
-  /// that was acquired and is incomplete, so it is reported again when a bucket is acquired later.
+  /// The previous owner's lease has ended, so it cannot hand the bucket over. Has an effect only on
+  /// an incomplete bucket: when the loss is known before the bucket is acquired, call it again
+  /// after OnBucketAcquired.
   HomeActions OnPreviousOwnerLost(std::uint32_t aBucket, const RequestTime& aTime);
-  /// Another agent owns the bucket in aGeneration and will not ask this agent for it: either this
-  /// agent's lease had ended, or the agent that was to ask was lost. In the first case it has to be
-  /// reported before the lease is reported valid again, in the second before aGeneration's owner
-  /// hears of OnPreviousOwnerLost.
-  HomeActions OnBucketDropped(std::uint32_t aBucket, std::uint32_t aGeneration,
-                              const RequestTime& aTime);
-  /// The owner in aGeneration asks for buckets; from here on this agent decides about no new id in
-  /// them. Errors as RequestRecords::FreezeAndExport; the new owner asks again later.
+  /// Another agent owns the bucket in aGeneration and will not ask this agent for its records, for
+  /// one of two reasons:
+  /// - This agent's lease had ended. Call this before OnLease reports a valid lease again.
+  /// - The agent that was to ask was lost. Call this before OnPreviousOwnerLost is called at the
+  ///   owner in aGeneration.
+  HomeActions OnBucketTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration,
+                                const RequestTime& aTime);
+  /// The owner in aGeneration asks for the records of buckets. Afterwards this agent decides about
+  /// no new id in them. Fails as RequestRecords::FreezeAndExport; the new owner asks again later.
   Result<Json> FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
                                const std::string& aNewOwner, std::uint32_t aGeneration,
                                const RequestTime& aTime);
-  /// A record that ended at the previous owner after the hand-off.
+  /// A record arrived whose request ended at the previous owner after the hand-off.
   Result<HomeActions> OnRecordUpdate(const Json& aRecord, std::string_view aPeer,
                                      const RequestTime& aTime);
-  /// An agent's lease has ended; requests it was still running are unknown.
+  /// Another agent's lease has ended; the outcome of requests that it was still running is unknown.
   HomeActions OnAgentLost(const std::string& aAgent, const RequestTime& aTime);
 
-  /// The table for the next process of this agent, and loading it there.
+  /// Returns the record table for the next process of this agent, which passes it to ImportAll.
   Json ExportAll(const RequestTime& aTime);
   Result<void> ImportAll(const Json& aTable, std::string_view aPeer);
 
-  /// Whether requests are queued, running or held.
+  /// Whether requests are queued, running or waiting for the hand-off of their bucket.
   bool Active() const;
   std::size_t Running() const;
   std::size_t Queued() const;
--- a/include/dandelionslip/Request/HomeEvents.h
+++ b/include/dandelionslip/Request/HomeEvents.h
@@ -1,4 +1,4 @@
-// Inputs of HomeCore that carry more than an identifier.
+// A request as an agent receives it, and the identifiers of messages and runs.
 #pragma once
 
 #include "dandelionslip/Request/Attempt.h"
@@ -8,25 +8,26 @@
 
 namespace dandelionslip {
 
-/// Identifies one received request message; answers refer to it. Never reused by the glue.
+/// Identifies one received request message, so that a reply can refer to it. Chosen by the process
+/// that received the message, which never uses one twice.
 using ReplyHandle = std::uint64_t;
 
-/// Identifies one run at the upstream or at the alternate agent; unique over all
-/// incarnations of an agent.
+/// Identifies one run at the upstream or at the alternate agent; unique over all incarnations of
+/// the agent that started it.
 using RunId = std::uint64_t;
 
-/// A request as it arrived at an agent.
+/// A request as an agent received it.
 struct ArrivedRequest
 {
   ReplyHandle mHandle = 0;
   std::optional<RequestId> mId; ///< Empty when the id is not a UUID of version 7.
   Attempt mAttempt = 0;
-  bool mIdempotent = false; ///< Only if both the service and the request say so.
+  bool mIdempotent = false; ///< Set only if both the service and the request declare it.
   /// False only when no earlier attempt of this id can have reached an agent and run. Such a
-  /// request is new even in a bucket whose records were lost.
+  /// request counts as new even in a bucket whose records were lost.
   bool mMayHaveRun = true;
-  bool mRelayed = false;                ///< Sent by a home agent that keeps the record.
-  std::uint64_t mTargetIncarnation = 0; ///< Relayed: the incarnation the home agent addressed.
+  bool mRelayed = false;                ///< Sent by the owner of the id's bucket.
+  std::uint64_t mTargetIncarnation = 0; ///< Relayed: the incarnation that the owner addressed.
   Milliseconds mRemaining{0};           ///< Time left until the deadline.
   CallerKey mCaller = 0;
   TrafficClass mClass = TrafficClass::Quote;
--- a/include/dandelionslip/Request/RelayActions.h
+++ b/include/dandelionslip/Request/RelayActions.h
@@ -1,4 +1,5 @@
-// Inputs and outputs of RelayCore.
+// Requests that RelayCore receives, and actions that it returns for the balancer process to
+// perform.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
@@ -9,21 +10,21 @@
 
 namespace dandelionslip {
 
-/// A request as it arrived at a balancer.
+/// A request as a balancer received it from a caller.
 struct CallerRequest
 {
   ReplyHandle mHandle = 0;
   ServiceId mService = 0;
-  std::optional<std::string> mIdText; ///< Empty when the caller sent none; the balancer makes one.
+  std::optional<std::string> mIdText; ///< Without a value the balancer generates an id.
   std::uint32_t mCallerAttempt = 1;   ///< Raised by the caller with each resend of the same id.
-  bool mIdempotent = false;           ///< Only if both the service and the request say so.
+  bool mIdempotent = false;           ///< Set only if both the service and the request declare it.
   Milliseconds mRemaining{0};
   CallerKey mCaller = 0;
   TrafficClass mClass = TrafficClass::Quote;
   Bytes mBody;
 };
 
-/// Identifies one attempt towards an agent.
+/// Identifies one attempt that was sent to an agent.
 struct AttemptKey
 {
   RequestId mId;
@@ -32,8 +33,8 @@
   bool operator==(const AttemptKey&) const = default;
 };
 
-/// Send a request to an agent. Ends with at most one of RelayCore::OnAgentAnswer and
-/// OnAgentUnreachable.
+/// Send a request to an agent. The balancer process reports the end of the attempt by at most one
+/// call of RelayCore::OnAgentAnswer or OnAgentUnreachable.
 struct SendToAgent
 {
   std::string mAgent;
@@ -54,7 +55,7 @@
   AttemptKey mKey;
 };
 
-/// Send the outcome to the caller.
+/// Reply to the caller.
 struct AnswerCaller
 {
   ReplyHandle mHandle = 0;
--- a/include/dandelionslip/Request/RelayCore.h
+++ b/include/dandelionslip/Request/RelayCore.h
@@ -1,4 +1,4 @@
-// The balancer's side of a request: attempts, retries, deadlines and answers.
+// Request handling of a balancer: attempts at agents, retries, deadlines and replies.
 #pragma once
 
 #include "dandelionslip/Request/RelayActions.h"
@@ -15,14 +15,18 @@
 /// Settings of a balancer's request handling.
 struct RelaySettings
 {
-  std::uint32_t mMaxTries = 8;   ///< Attempts for each request of a caller; at most kMaxTries.
-  Milliseconds mHopAllowance{2}; ///< Taken off the remaining time before a request is sent.
+  std::uint32_t mMaxTries = 8;   ///< Largest number of tries for one request; at most kMaxTries.
+  Milliseconds mHopAllowance{2}; ///< Subtracted from the remaining time before a request is sent.
   BackoffLimits mBackoff;
   RetryBudgetLimits mBudget;
 };
 
-/// Decision core of the balancer. Not thread-safe; every event returns the actions to perform in
-/// order.
+/// State machine for the requests of one balancer. It does no I/O: each event returns the actions
+/// that the balancer process has to perform, in order. Not thread-safe.
+///
+/// A request that is not idempotent goes to the agent that owns the bucket of its id, in each try.
+/// An idempotent request goes to any agent that takes new work, but first to the owner when the
+/// caller chose the id.
 class RelayCore
 {
 public:
@@ -33,18 +37,18 @@
 
   /// A caller sent a request.
   RelayActions OnRequest(CallerRequest aRequest, const RequestTime& aTime);
-  /// The caller withdrew the request or its link was lost.
+  /// The caller cancelled the request, or the link to the caller was lost.
   RelayActions OnCallerCancelled(ReplyHandle aHandle, const RequestTime& aTime);
 
-  /// An agent answered an attempt. aReceived is checked for completeness when the outcome is
-  /// Answered.
+  /// An agent replied to an attempt. aReceived is used only when the outcome is Answered; a
+  /// truncated answer counts as a lost link.
   RelayActions OnAgentAnswer(const AttemptKey& aKey, RequestOutcome aOutcome,
                              const std::optional<Refusal>& aRefusal, ReceivedAnswer aReceived,
                              const RequestTime& aTime);
-  /// The link to the agent failed; aSent tells whether any of the attempt was sent.
+  /// The link to the agent failed; aSent tells whether any part of the attempt was sent.
   RelayActions OnAgentUnreachable(const AttemptKey& aKey, bool aSent, const RequestTime& aTime);
 
-  /// Makes due retries and ends what is overdue. Call at least every 10 ms while Active() is true.
+  /// Makes due retries and ends overdue requests. Call at least every 10 ms while Active() is true.
   RelayActions OnTick(const RequestTime& aTime);
 
   /// Whether any request is open.
--- a/include/dandelionslip/Request/RequestCounters.h
+++ b/include/dandelionslip/Request/RequestCounters.h
@@ -1,4 +1,4 @@
-// Counts refusals, retries and drops of the request path.
+// Metrics counters of the request path.
 #pragma once
 
 #include "dandelionslip/Request/RequestOutcome.h"
@@ -13,36 +13,37 @@
 enum class RetryReason
 {
   Refused,     ///< The agent said that the attempt did not run.
-  NotHome,     ///< The agent was not the home of the id.
-  Unreachable, ///< Nothing of the attempt was sent.
+  NotHome,     ///< The agent did not own the bucket of the id.
+  Unreachable, ///< No part of the attempt was sent.
   LinkLost,    ///< The link failed after the attempt was sent.
   Failed,      ///< An idempotent request ended with an unknown outcome.
 };
 
 std::span<const EnumName<RetryReason>> EnumNames(RetryReason);
 
-/// Why a wanted retry was not made.
+/// Why a request was not retried although its last attempt allowed it.
 enum class RetryDenial
 {
   Budget,   ///< The caller's retry budget is used up.
-  Deadline, ///< The back-off ends after the deadline.
+  Deadline, ///< The back-off delay ends after the deadline.
   Tries,    ///< The largest number of tries was made.
 };
 
 std::span<const EnumName<RetryDenial>> EnumNames(RetryDenial);
 
-/// Why a message had no effect.
+/// Why a received message was dropped.
 enum class RequestDrop
 {
-  LateAnswer,       ///< The attempt or run was given up before.
-  UnmatchedAnswer,  ///< No attempt or run has this identity.
-  CutShort,         ///< The answer was incomplete.
+  LateAnswer,       ///< Nobody waited for the attempt or run any more.
+  UnmatchedAnswer,  ///< No attempt or run in progress has this key or id.
+  Truncated,        ///< The answer was incomplete.
   DuplicateAttempt, ///< The balancer already handles this attempt of the caller.
 };
 
 std::span<const EnumName<RequestDrop>> EnumNames(RequestDrop);
 
-/// Counters of one core; all exist from the start, so that a reason never seen shows as zero.
+/// Counters of one core. All are registered at construction, so that a reason which has not
+/// occurred is exported as zero.
 class RequestCounters
 {
 public:
--- a/include/dandelionslip/Request/RequestId.h
+++ b/include/dandelionslip/Request/RequestId.h
@@ -1,4 +1,4 @@
-// Request identifiers: UUIDs of version 7, whose timestamp bounds how long a request is remembered.
+// Request identifiers: UUIDs of version 7. The timestamp in an id decides when its record expires.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -11,22 +11,24 @@
 
 namespace dandelionslip {
 
-/// A UUID of version 7 (RFC 9562). The default value is the nil id, which Parse never returns.
+/// A UUID of version 7 (RFC 9562). The default value is the nil UUID, which Parse never returns.
 class RequestId
 {
 public:
   RequestId() = default;
 
-  /// Reads the 36-character text form; refuses other versions and variants with InvalidInput.
+  /// Parses the 36-character text form. Fails with InvalidInput for other UUID versions and
+  /// variants.
   static Result<RequestId> Parse(std::string_view aText);
 
-  /// Makes an id from wall-clock milliseconds (48 bits are kept) and 74 random bits.
+  /// Generates an id from the low 48 bits of aWallMs, milliseconds since 1970, and 74 random bits.
   static RequestId Make(std::int64_t aWallMs, Random& aRandom);
 
-  /// Wall-clock milliseconds at which the id was made, as its maker's clock read.
+  /// Milliseconds since 1970 at which the id was generated, by the clock of the machine that
+  /// generated it.
   std::int64_t TimestampMs() const;
 
-  /// Hash that selects the bucket; equal on every node.
+  /// Hash that selects the bucket; the same on every node.
   std::uint64_t Hash() const;
 
   /// The lower-case text form.
--- a/include/dandelionslip/Request/RequestOutcome.h
+++ b/include/dandelionslip/Request/RequestOutcome.h
@@ -1,4 +1,4 @@
-// Typed outcomes of a request and the answers that carry them.
+// Outcomes of requests, and the replies that carry them.
 #pragma once
 
 #include "dandelionslip/Agent/FlowAdmission.h"
@@ -13,10 +13,10 @@
 enum class RequestOutcome
 {
   Answered,  ///< The answer is complete.
-  NotRun,    ///< This attempt and all lower ones have not run and never will.
+  NotRun,    ///< This attempt and all lower ones did not run and never will.
   Unknown,   ///< The request may have run.
-  Cancelled, ///< Removed from the queue before it ran, at the caller's wish.
-  NotHome,   ///< The agent does not decide about this id now; never passed on to a caller.
+  Cancelled, ///< The caller cancelled the request before it ran.
+  NotHome,   ///< The agent does not own the bucket of the id now. Never passed on to a caller.
 };
 
 std::span<const EnumName<RequestOutcome>> EnumNames(RequestOutcome);
@@ -24,7 +24,7 @@
 /// The outcome's name as used in headers, metrics and logs.
 std::string_view ToString(RequestOutcome aOutcome);
 
-/// What an upstream returned for one run.
+/// The response of an upstream to one run.
 struct UpstreamAnswer
 {
   std::uint32_t mStatus = 200;
@@ -34,21 +34,21 @@
   bool operator==(const UpstreamAnswer&) const = default;
 };
 
-/// An answer as taken from a stream, with what is needed to detect one that was cut short.
+/// An answer as read from a stream, with what is needed to detect that it was truncated.
 struct ReceivedAnswer
 {
   UpstreamAnswer mAnswer;
-  std::optional<std::uint64_t> mDeclaredLength; ///< content-length, if the sender gave one.
-  bool mEndOfStream = false;                    ///< The sender ended the stream itself.
+  std::optional<std::uint64_t> mDeclaredLength; ///< content-length, if the sender set it.
+  bool mEndOfStream = false;                    ///< The sender ended the stream (END_STREAM).
 
-  /// Whether the stream ended properly and holds the declared number of bytes.
-  bool IsWhole() const
+  /// Whether the sender ended the stream and the body has the declared length.
+  bool IsComplete() const
   {
     return mEndOfStream && (!mDeclaredLength || *mDeclaredLength == mAnswer.mBody.size());
   }
 };
 
-/// Length and XXH3 of an answer that was too large to keep.
+/// Length and XXH3 hash of an answer, known even when there was no room to keep the answer.
 struct AnswerDigest
 {
   std::uint64_t mLength = 0;
@@ -57,23 +57,23 @@
   bool operator==(const AnswerDigest&) const = default;
 };
 
-/// The outcome of a request as told to whoever sent it.
+/// The reply to the sender of a request.
 struct RequestAnswer
 {
   RequestOutcome mOutcome = RequestOutcome::Unknown;
-  UpstreamAnswer mAnswer;          ///< Set when answered.
+  UpstreamAnswer mAnswer;          ///< Set when the outcome is Answered.
   std::optional<Refusal> mRefusal; ///< Why the request was not run, or why that is unknown.
-  std::optional<AnswerDigest>
-    mDigest; ///< Outcome unknown to this caller: it ran, with this answer.
+  /// Set with outcome Unknown when the request ran but its answer was not kept.
+  std::optional<AnswerDigest> mDigest;
 
   bool operator==(const RequestAnswer&) const = default;
 };
 
-/// Builders for the outcomes without a body.
-RequestAnswer AnsweredWith(UpstreamAnswer aAnswer);
+/// Builders of replies, one for each outcome.
+RequestAnswer AnsweredReply(UpstreamAnswer aAnswer);
 RequestAnswer NotRunBecause(Refusal aRefusal);
-RequestAnswer UnknownOutcome(std::optional<Refusal> aRefusal = {});
-RequestAnswer CancelledOutcome();
+RequestAnswer UnknownReply(std::optional<Refusal> aRefusal = {});
+RequestAnswer CancelledReply();
 RequestAnswer NotHomeBecause(RefusalReason aReason);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/RequestRecords.h
+++ b/include/dandelionslip/Request/RequestRecords.h
@@ -1,4 +1,4 @@
-// What an agent remembers about requests, so that each runs at most once.
+// Records of the requests that an agent decided about, so that each request runs at most once.
 #pragma once
 
 #include "dandelionslip/Request/Attempt.h"
@@ -13,27 +13,29 @@
 
 namespace dandelionslip {
 
-/// Largest difference between the clocks of any two machines that the design tolerates.
+/// Largest tolerated difference between the wall clocks of any two machines.
 inline constexpr Milliseconds kClockSkewBound{30'000};
 
 /// Largest answer body that is kept for resends.
 inline constexpr std::size_t kMaxKeptAnswerBytes = std::size_t{64} * 1024;
 
-/// Bounds of a record table.
+/// Limits of a record table.
 struct RecordLimits
 {
-  std::size_t mMaxRecords = 100'000;  ///< Pending, done and unknown records.
-  std::size_t mMaxRefused = 400'000;  ///< Refused records, which hold no answer.
-  std::size_t mMaxBytes = 64U << 20U; ///< Kept answers, including room reserved for pending ones.
-  Milliseconds mRetention{600'000};
+  std::size_t mMaxRecords = 100'000; ///< Pending, done and unknown records.
+  std::size_t mMaxRefused = 400'000; ///< Refused records, which hold no answer.
+  std::size_t mMaxBytes =
+    64U << 20U; ///< Kept answers, including the room that pending records reserve.
+  Milliseconds mRetention{
+    600'000}; ///< Age of an id, by its timestamp, at which its record expires.
 };
 
 enum class RecordState
 {
-  Pending, ///< Passed on or queued; may run.
+  Pending, ///< Queued, running or relayed.
   Done,    ///< Ran; the answer or its digest is kept.
-  Refused, ///< The attempts up to mAttempt never ran.
-  Unknown, ///< May have run; it never runs again.
+  Refused, ///< The attempts up to mAttempt never ran and never will; a higher one may run.
+  Unknown, ///< May have run, so it is not run again.
 };
 
 std::span<const EnumName<RecordState>> EnumNames(RecordState);
@@ -43,8 +45,8 @@
 {
   RecordState mState = RecordState::Pending;
   Attempt mAttempt = 0;                  ///< Highest attempt that the state covers.
-  Attempt mFirstAttempt = 0;             ///< Pending: the attempt that its holder started with.
-  std::string mHolder;                   ///< Pending: the agent that runs it.
+  Attempt mFirstAttempt = 0;             ///< Pending: the attempt that the record was added for.
+  std::string mRunningAgent;             ///< Pending: the agent that handles the request.
   std::optional<UpstreamAnswer> mAnswer; ///< Done, when small enough to keep.
   AnswerDigest mDigest;                  ///< Done.
   Refusal mRefusal;                      ///< Refused.
@@ -52,33 +54,34 @@
   bool operator==(const RequestRecord&) const = default;
 };
 
-/// How much an agent knows about the ids of a bucket.
+/// Whether an agent owns a bucket and knows the history of its ids.
 enum class RecordBucketState
 {
-  NotOwned,   ///< Another agent decides.
-  Incomplete, ///< Owned; the previous owner's records have not arrived.
-  Complete,   ///< Owned; every id since complete_since that was seen has a record.
-  Frozen,     ///< Handed to another agent; records serve resends only.
+  NotOwned,   ///< Another agent decides about the ids.
+  Incomplete, ///< Owned, but the previous owner's records have not arrived.
+  Complete,   ///< Owned; every id that was seen and is not older than CompleteSince has a record.
+  Frozen,     ///< Handed off to another agent; the records only answer resends.
 };
 
 std::span<const EnumName<RecordBucketState>> EnumNames(RecordBucketState);
 
-/// Whether an id without a record can be decided about.
-enum class IdKnowledge
+/// Whether an id without a record is certainly new.
+enum class IdFreshness
 {
-  New,      ///< It was never seen.
-  TooOld,   ///< It may have been seen; its record may be gone.
-  InFuture, ///< Its timestamp is further ahead than the skew bound.
+  New,      ///< No attempt of the id was seen.
+  TooOld,   ///< An attempt may have been seen: its record may have expired or been lost.
+  InFuture, ///< The timestamp is further ahead of the local clock than kClockSkewBound.
 };
 
-/// Records by request id and the completeness of each bucket. Not thread-safe.
+/// Records by request id, and the state of each bucket. Not thread-safe.
 ///
-/// Records leave the table only when their id is older than the retention. The cut-off never
-/// decreases, so a wall clock that steps back does not make an evicted id look new.
+/// A record is removed only when its id is older than the retention. The timestamp below which
+/// records may have been removed never decreases, so that an id whose record has expired does not
+/// count as new after the wall clock stepped back.
 class RequestRecords
 {
 public:
-  /// aSelf is the name of this agent; aBuckets a power of two.
+  /// aSelf is the name of this agent; aBuckets, the number of buckets, is a power of two.
   RequestRecords(std::string aSelf, std::uint32_t aBuckets, RecordLimits aLimits = {});
 
   std::uint32_t BucketFor(const RequestId& aId) const { return BucketOf(aId, mBuckets); }
@@ -86,77 +89,87 @@
   /// The record of an id, or null.
   const RequestRecord* Find(const RequestId& aId) const;
 
-  /// Whether an id without a record was surely never seen, for a complete bucket.
-  /// aMayHaveRun is false when the request cannot have run before, so that lost records say nothing
-  /// about it.
-  IdKnowledge Judge(const RequestId& aId, std::int64_t aWallMs, bool aMayHaveRun = true);
+  /// Whether an id without a record, in a complete bucket, is new. aMayHaveRun is false when no
+  /// earlier attempt can have run; the id is then new even if records of its age were lost.
+  IdFreshness CheckFreshness(const RequestId& aId, std::int64_t aWallMs, bool aMayHaveRun = true);
 
-  /// Writes a pending record before a run; false when the table is full. Reserves room for the
-  /// answer, so that the answer of a request that was started can always be kept.
-  [[nodiscard]] bool TryPending(const RequestId& aId, Attempt aAttempt);
+  /// Adds a pending record; false when the table is full. Call it before the request runs. Reserves
+  /// room for an answer of kMaxKeptAnswerBytes, so that the answer of a started request can be
+  /// kept.
+  [[nodiscard]] bool TryAddPending(const RequestId& aId, Attempt aAttempt);
 
-  /// Records that attempts up to aAttempt never ran; false when there is no room to remember it.
-  [[nodiscard]] bool TryRefuse(const RequestId& aId, Attempt aAttempt, const Refusal& aRefusal);
+  /// Records that attempts up to aAttempt never ran; false when there is no room for the record.
+  [[nodiscard]] bool TryMarkRefused(const RequestId& aId, Attempt aAttempt,
+                                    const Refusal& aRefusal);
 
-  /// Raises the attempt that a pending record covers.
-  void Join(const RequestId& aId, Attempt aAttempt);
+  /// Raises the highest attempt that a record covers to aAttempt.
+  void RaiseAttempt(const RequestId& aId, Attempt aAttempt);
 
-  /// Ends a pending record.
-  void Complete(const RequestId& aId, const UpstreamAnswer& aAnswer);
+  /// Record how a request ended.
+  void MarkDone(const RequestId& aId, const UpstreamAnswer& aAnswer);
   void MarkUnknown(const RequestId& aId);
 
-  /// Removes records older than the retention. Requests that run here are kept.
+  /// Removes records whose id is older than the retention, except pending records of this agent.
   void Expire(std::int64_t aWallMs);
 
   RecordBucketState StateOf(std::uint32_t aBucket) const;
-  /// The agent a frozen bucket was handed to.
+  /// The agent that a frozen bucket was handed off to.
   const std::string& NewOwner(std::uint32_t aBucket) const;
+  /// Timestamp from which on every id that was seen in a complete bucket has a record. Milliseconds
+  /// since 1970.
   std::int64_t CompleteSince(std::uint32_t aBucket) const;
-  /// Number under which the bucket's state was entered.
+  /// Generation in which the bucket entered its state.
   std::uint32_t GenerationOf(std::uint32_t aBucket) const;
 
-  /// This agent became the owner in generation aGeneration; the bucket stays incomplete until its
-  /// history is settled. Has no effect for a generation that is not newer than the bucket's.
+  /// This agent became the owner in aGeneration. The bucket is incomplete until Import or
+  /// CompleteWithoutTransfer completes it. Has no effect unless aGeneration is newer than the
+  /// bucket's.
   void Acquire(std::uint32_t aBucket, std::uint32_t aGeneration);
-  /// The bucket never had an owner before aGeneration.
-  void CompleteFirst(std::uint32_t aBucket, std::uint32_t aGeneration);
-  /// The previous owner was lost: nothing is known about ids made until now.
-  void CompleteAfterLoss(std::uint32_t aBucket, std::int64_t aWallMs);
-  /// Another agent took the bucket over after this agent's lease had ended.
-  void Drop(std::uint32_t aBucket, std::uint32_t aGeneration);
-
-  /// Freezes the buckets for a hand-off to aNewOwner, the owner in aGeneration, and returns their
-  /// records and completeness. Can be repeated after a lost message. Fails with Unavailable,
-  /// without any change, when a bucket is incomplete, is not owned or was acquired in a newer
-  /// generation.
+  /// This agent became the owner in aGeneration, and the bucket had no owner before. Has no effect
+  /// unless aGeneration is newer than the bucket's.
+  void AcquireAsFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration);
+  /// Completes an incomplete bucket whose previous owner was lost with its records. Nothing is
+  /// known about ids generated until aWallMs, by a clock that is ahead by kClockSkewBound at most.
+  void CompleteWithoutTransfer(std::uint32_t aBucket, std::int64_t aWallMs);
+  /// Another agent became the owner in aGeneration without a hand-off. Has no effect unless
+  /// aGeneration is newer than the bucket's.
+  void MarkTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration);
+
+  /// Freezes the buckets for a hand-off to aNewOwner, the owner in aGeneration, and returns the
+  /// hand-off message with their records. Call it again with the same arguments when the message
+  /// was lost. Fails without any change: with InvalidInput when a bucket is out of range, with
+  /// Unavailable when it is incomplete, not owned, frozen for another hand-off, or was acquired in
+  /// aGeneration or later.
   Result<Json> FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
                                const std::string& aNewOwner, std::uint32_t aGeneration,
                                std::int64_t aWallMs);
 
-  /// Takes over those handed-off buckets that were acquired here in the generation of the message
-  /// and are incomplete; returns them. Others are left as they are, so that a late or repeated
-  /// message has no effect. Nothing changes when the message is invalid. Imported records may
-  /// exceed the limits; answers beyond the byte limit are reduced to digests.
+  /// Imports a hand-off message. Completes those of its buckets that are incomplete and were
+  /// acquired here in the generation of the message, and returns them. Ignores the others, so that
+  /// a late or repeated message has no effect. An invalid message changes nothing. The number of
+  /// records may exceed the limit afterwards; of answers beyond the byte limit only the digests are
+  /// kept.
   Result<std::vector<std::uint32_t>> Import(const Json& aHandoff, std::string_view aPeer);
 
-  /// The whole table for the successor of this process.
+  /// Returns all records and bucket states for the next process of this agent.
   Json ExportAll(std::int64_t aWallMs);
 
-  /// Loads the table of the process before; pending requests become unknown.
+  /// Loads what ExportAll of the previous process returned. Its pending records become unknown.
   Result<void> ImportAll(const Json& aTable, std::string_view aPeer);
 
-  /// One record as sent to the agent that took over its bucket.
+  /// Returns the message that tells the new owner of a bucket about one record.
   Json ExportRecord(const RequestId& aId) const;
 
-  /// Merges a record received from another agent. Returns the id.
+  /// Merges a record that another agent exported with ExportRecord. Returns its id.
   Result<RequestId> MergeRecord(const Json& aRecord, std::string_view aPeer);
 
-  /// Marks pending records held by a lost agent as unknown and returns their ids.
-  std::vector<RequestId> LoseHolder(const std::string& aHolder);
+  /// Marks the pending records of another agent, which was lost, as unknown and returns their ids
+  /// in ascending order.
+  std::vector<RequestId> MarkAgentLost(const std::string& aAgent);
 
   std::size_t Size() const { return mRecords.size(); }
-  std::size_t RefusedCount() const { return mRefused; }
-  std::size_t BytesInUse() const { return mBytes; }
+  std::size_t RefusedCount() const { return mRefusedCount; }
+  std::size_t BytesInUse() const { return mBytesInUse; }
 
 private:
   struct Bucket
@@ -183,10 +196,10 @@
   RecordLimits mLimits;
   std::vector<Bucket> mBucketStates;
   std::unordered_map<RequestId, RequestRecord, RequestIdHash> mRecords;
-  std::set<RequestId> mByAge; ///< Ids sort by timestamp, which is their first field.
-  std::size_t mRefused = 0;
-  std::size_t mBytes = 0;
-  std::int64_t mCutoffMs = 0; ///< Ids older than this may have been removed.
+  std::set<RequestId> mByAge; ///< Ids of mRecords; they sort by timestamp, their first field.
+  std::size_t mRefusedCount = 0;
+  std::size_t mBytesInUse = 0;
+  std::int64_t mCutoffMs = 0; ///< Records of ids with a lower timestamp may have been removed.
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/RequestTargets.h
+++ b/include/dandelionslip/Request/RequestTargets.h
@@ -1,4 +1,4 @@
-// Where requests can be sent, as seen in the newest view.
+// Looks up the agents that requests can be sent to.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
@@ -10,13 +10,13 @@
 
 namespace dandelionslip {
 
-/// Looks up agents. Implementations read the balancer's current view.
+/// Interface between the request handling of a balancer and the balancer's newest view.
 class RequestTargets
 {
 public:
   virtual ~RequestTargets() = default;
 
-  /// The agent that owns the bucket of an id, or no value when the service has none.
+  /// The agent that owns the bucket of an id; no value when the service has no agent.
   virtual std::optional<std::string> HomeOf(ServiceId aService, const RequestId& aId) const = 0;
 
   /// All agents of a service that take new work.
--- a/include/dandelionslip/Request/RequestTime.h
+++ b/include/dandelionslip/Request/RequestTime.h
@@ -1,4 +1,4 @@
-// The two readings of time that request cores work with.
+// Time of an event, by the monotonic clock and by the wall clock.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
@@ -7,8 +7,8 @@
 
 namespace dandelionslip {
 
-/// Time of one event. Deadlines use mNow; request ids and record retention use mWallMs, because
-/// the timestamp of an id comes from another machine.
+/// Time of one event. Deadlines are compared with mNow. Timestamps of request ids are compared with
+/// mWallMs, because another machine may have generated the id.
 struct RequestTime
 {
   TimePoint mNow;
--- a/include/dandelionslip/Request/RetryBackoff.h
+++ b/include/dandelionslip/Request/RetryBackoff.h
@@ -6,15 +6,15 @@
 
 namespace dandelionslip {
 
-/// Bounds of the window from which a delay is drawn.
+/// First and largest window from which a delay is drawn.
 struct BackoffLimits
 {
   Milliseconds mFirst{20};
   Milliseconds mLargest{1'000};
 };
 
-/// A delay with full jitter: uniform between zero and a window that doubles with each retry.
-/// aRetry counts from zero.
+/// Returns a delay with full jitter: uniform between zero and a window that doubles with each
+/// retry. aRetry counts from zero.
 RuntimeClock::duration FullJitterDelay(std::uint32_t aRetry, const BackoffLimits& aLimits,
                                        Random& aRandom);
 
--- a/include/dandelionslip/Request/RetryBudget.h
+++ b/include/dandelionslip/Request/RetryBudget.h
@@ -1,4 +1,4 @@
-// Bounds how many retries a caller of a service may cause.
+// Limits how many retries a balancer makes for each caller of a service.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
@@ -10,23 +10,24 @@
 
 namespace dandelionslip {
 
-/// Rates of a retry budget.
+/// Settings of a retry budget.
 struct RetryBudgetLimits
 {
-  double mSuccessShare = 0.1;     ///< Tokens earned by each success.
-  double mTokensPerSecond = 1;    ///< Tokens earned by time, so that a silent caller can retry.
-  double mMaxTokens = 10;         ///< Largest burst of retries.
-  std::size_t mMaxCallers = 4096; ///< Further callers share one budget for each service.
+  double mSuccessShare = 0.1; ///< Tokens earned by each success.
+  double mTokensPerSecond =
+    1;                    ///< Tokens earned by time, so that a caller without successes can retry.
+  double mMaxTokens = 10; ///< Largest burst of retries.
+  std::size_t mMaxCallers = 4096; ///< Callers beyond this number share one budget for each service.
   Milliseconds mIdle{60'000};     ///< A budget unused for this long can be given to another caller.
 };
 
-/// Token buckets by service and caller. Not thread-safe.
+/// One token bucket for each service and caller; each retry takes a token. Not thread-safe.
 class RetryBudget
 {
 public:
   explicit RetryBudget(RetryBudgetLimits aLimits = {});
 
-  /// Adds the share earned by one success.
+  /// Adds the tokens earned by one success.
   void OnSuccess(ServiceId aService, CallerKey aCaller, TimePoint aNow);
 
   /// Takes one token; false when there is none.
@@ -40,7 +41,7 @@
   {
     double mTokens = 1;
     TimePoint mUpdated;
-    std::list<Key>::iterator mPlace;
+    std::list<Key>::iterator mPosition;
   };
 
   Bucket& Refill(Bucket& aBucket, TimePoint aNow) const;
@@ -48,7 +49,7 @@
 
   RetryBudgetLimits mLimits;
   std::map<Key, Bucket> mBuckets;
-  std::list<Key> mLeastRecent; ///< Keys of mBuckets, least recently used first.
+  std::list<Key> mLeastRecentlyUsed; ///< Keys of mBuckets, least recently used first.
   std::map<ServiceId, Bucket> mShared;
 };
 
--- a/include/dandelionslip/Request/SlotAdmission.h
+++ b/include/dandelionslip/Request/SlotAdmission.h
@@ -1,4 +1,4 @@
-// The decision whether an upstream takes one more request.
+// Admission of request runs at an upstream.
 #pragma once
 
 #include "dandelionslip/Agent/FlowAdmission.h"
@@ -10,22 +10,23 @@
 /// How one run at the upstream ended.
 enum class RunResult
 {
-  Succeeded, ///< A whole answer.
-  Failed,    ///< The answer was cut short or the link was lost.
-  Shed,      ///< The upstream refused the work before running it.
-  Cancelled, ///< Ended because this agent cancelled it.
+  Succeeded, ///< The answer was complete.
+  Failed,    ///< The answer was truncated or the link was lost.
+  Shed,      ///< The upstream refused the request because of its load, without running it.
+  Cancelled, ///< This agent cancelled the run.
 };
 
-/// Admits request runs beside the upstream. Implementations are not thread-safe.
+/// Decides whether an upstream gets one more request, on the agent beside it. Implementations are
+/// not thread-safe.
 class SlotAdmission
 {
 public:
   virtual ~SlotAdmission() = default;
 
-  /// Reserves a slot for one run; no value means admitted.
+  /// Reserves a slot for one run; returns a refusal when there is none.
   virtual std::optional<Refusal> TryStart(TimePoint aNow) = 0;
 
-  /// Releases the slot of one run; aLatency is the time since its start.
+  /// Releases the slot of a run that ended; aLatency is the time since its start.
   virtual void Finished(TimePoint aNow, RuntimeClock::duration aLatency, RunResult aResult) = 0;
 };
 
--- a/lib/Request/HomeArrival.cpp
+++ b/lib/Request/HomeArrival.cpp
@@ -9,18 +9,18 @@
                                  const RequestTime& aTime)
 {
   if (!aRequest.mIdempotent) {
-    ArriveRecorded(std::move(aRequest), aDeadline, aTime);
+    HandleNonIdempotent(std::move(aRequest), aDeadline, aTime);
     return;
   }
   if (mStopping) {
-    RefuseNew(aRequest, {RefusalReason::Draining, Milliseconds(0)});
+    RefuseAttempt(aRequest, {RefusalReason::Draining, Milliseconds(0)});
     return;
   }
   Dispatch(AddJob(std::move(aRequest), aDeadline), aTime);
 }
 
-void HomeCore::Internals::ArriveRecorded(ArrivedRequest aRequest, TimePoint aDeadline,
-                                         const RequestTime& aTime)
+void HomeCore::Internals::HandleNonIdempotent(ArrivedRequest aRequest, TimePoint aDeadline,
+                                              const RequestTime& aTime)
 {
   if (!aRequest.mId) {
     mCounters.CountRefusal(RefusalReason::BadRequestId);
@@ -29,16 +29,16 @@
   }
   // A message for an earlier process may have reached that process too.
   if (aRequest.mRelayed && aRequest.mTargetIncarnation != mSettings.mIncarnation) {
-    Reply(aRequest.mHandle, UnknownOutcome());
+    Reply(aRequest.mHandle, UnknownReply());
     return;
   }
-  if (ServeFromRecord(aRequest, aDeadline)) {
+  if (ReplyFromRecord(aRequest, aDeadline)) {
     return;
   }
   if (!aRequest.mRelayed) {
     const RecordBucketState state = mRecords.StateOf(mRecords.BucketFor(*aRequest.mId));
     if (state == RecordBucketState::Incomplete) {
-      Hold(std::move(aRequest), aDeadline);
+      Defer(std::move(aRequest), aDeadline);
       return;
     }
     if (state != RecordBucketState::Complete) {
@@ -51,21 +51,21 @@
       return;
     }
   }
-  if (DecideUnknownId(aRequest, aTime)) {
+  if (RefuseIfNotRunnable(aRequest, aTime)) {
     return;
   }
-  RequestRecords& table = TableFor(aRequest.mRelayed);
-  if (!table.TryPending(*aRequest.mId, aRequest.mAttempt)) {
-    RefuseNew(aRequest, {RefusalReason::RecordsFull, Milliseconds(1'000)});
+  RequestRecords& table = RecordsFor(aRequest.mRelayed);
+  if (!table.TryAddPending(*aRequest.mId, aRequest.mAttempt)) {
+    RefuseAttempt(aRequest, {RefusalReason::RecordsFull, Milliseconds(1'000)});
     return;
   }
   Dispatch(AddJob(std::move(aRequest), aDeadline), aTime);
 }
 
 // Handles a resend. A refused record lets a higher attempt pass.
-bool HomeCore::Internals::ServeFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline)
+bool HomeCore::Internals::ReplyFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline)
 {
-  const RequestRecord* record = TableFor(aRequest.mRelayed).Find(*aRequest.mId);
+  const RequestRecord* record = RecordsFor(aRequest.mRelayed).Find(*aRequest.mId);
   if (record == nullptr) {
     return false;
   }
@@ -83,87 +83,89 @@
 
 void HomeCore::Internals::JoinPending(const ArrivedRequest& aRequest, TimePoint aDeadline)
 {
-  TableFor(aRequest.mRelayed).Join(*aRequest.mId, aRequest.mAttempt);
-  auto& index = IndexFor(aRequest.mRelayed);
+  RecordsFor(aRequest.mRelayed).RaiseAttempt(*aRequest.mId, aRequest.mAttempt);
+  auto& index = JobIndexFor(aRequest.mRelayed);
   const auto found = index.find(*aRequest.mId);
   if (found == index.end()) {
     // Only records that arrived in a hand-off are pending without a job.
-    HomeJob& job = AddJob(aRequest, aDeadline);
-    job.mPhase = JobPhase::Elsewhere;
+    RequestJob& job = AddJob(aRequest, aDeadline);
+    job.mPhase = JobPhase::AtPreviousOwner;
     return;
   }
-  HomeJob& job = mJobs.at(found->second);
+  RequestJob& job = mJobs.at(found->second);
   job.mWaiters.push_back({aRequest.mHandle, aDeadline});
-  mWaiting[aRequest.mHandle] = job.mToken;
+  mJobByHandle[aRequest.mHandle] = job.mToken;
   if (aDeadline > job.mDeadline) {
     job.mDeadline = aDeadline;
-    mQueue.Extend(job.mToken, aDeadline);
+    mQueue.SetDeadline(job.mToken, aDeadline);
   }
 }
 
 // Decides about an attempt without looking at the upstream; true when that settled it.
-bool HomeCore::Internals::DecideUnknownId(const ArrivedRequest& aRequest, const RequestTime& aTime)
+bool HomeCore::Internals::RefuseIfNotRunnable(const ArrivedRequest& aRequest,
+                                              const RequestTime& aTime)
 {
-  RequestRecords& table = TableFor(aRequest.mRelayed);
+  RequestRecords& table = RecordsFor(aRequest.mRelayed);
   const bool known = table.Find(*aRequest.mId) != nullptr;
-  const IdKnowledge knowledge =
-    known ? IdKnowledge::New : table.Judge(*aRequest.mId, aTime.mWallMs, aRequest.mMayHaveRun);
-  if (knowledge == IdKnowledge::TooOld) {
-    Reply(aRequest.mHandle, UnknownOutcome());
+  const IdFreshness knowledge =
+    known ? IdFreshness::New
+          : table.CheckFreshness(*aRequest.mId, aTime.mWallMs, aRequest.mMayHaveRun);
+  if (knowledge == IdFreshness::TooOld) {
+    Reply(aRequest.mHandle, UnknownReply());
     return true;
   }
-  if (knowledge == IdKnowledge::InFuture) {
+  if (knowledge == IdFreshness::InFuture) {
     const Refusal refusal{RefusalReason::BadRequestId, Milliseconds(0)};
     const auto ahead = Milliseconds(aRequest.mId->TimestampMs() - aTime.mWallMs);
     // The refusal has to be remembered until the id is too old; a record for a far-off timestamp
     // would stay for as long, so such an id is neither run nor called "not run".
     if (ahead > mSettings.mRecords.mRetention) {
       mCounters.CountRefusal(refusal.mReason);
-      Reply(aRequest.mHandle, UnknownOutcome(refusal));
+      Reply(aRequest.mHandle, UnknownReply(refusal));
       return true;
     }
-    RefuseNew(aRequest, refusal);
+    RefuseAttempt(aRequest, refusal);
     return true;
   }
   if (mStopping) {
-    RefuseNew(aRequest, {RefusalReason::Draining, Milliseconds(0)});
+    RefuseAttempt(aRequest, {RefusalReason::Draining, Milliseconds(0)});
     return true;
   }
   return false;
 }
 
-void HomeCore::Internals::Hold(ArrivedRequest aRequest, TimePoint aDeadline)
+void HomeCore::Internals::Defer(ArrivedRequest aRequest, TimePoint aDeadline)
 {
-  if (mHeld.size() >= mSettings.mMaxHeld) {
+  if (mDeferred.size() >= mSettings.mMaxDeferred) {
     Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::HandoffPending));
     return;
   }
-  mHeld.push_back({std::move(aRequest), aDeadline});
+  mDeferred.push_back({std::move(aRequest), aDeadline});
 }
 
 // Refuses an attempt that has no pending record. Without room to remember the refusal, a late copy
 // of the attempt could still run, so the outcome is then unknown.
-void HomeCore::Internals::RefuseNew(const ArrivedRequest& aRequest, const Refusal& aRefusal)
+void HomeCore::Internals::RefuseAttempt(const ArrivedRequest& aRequest, const Refusal& aRefusal)
 {
   mCounters.CountRefusal(aRefusal.mReason);
   const bool remembered =
     aRequest.mIdempotent ||
-    TableFor(aRequest.mRelayed).TryRefuse(*aRequest.mId, aRequest.mAttempt, aRefusal);
-  Reply(aRequest.mHandle, remembered ? NotRunBecause(aRefusal) : UnknownOutcome(aRefusal));
+    RecordsFor(aRequest.mRelayed).TryMarkRefused(*aRequest.mId, aRequest.mAttempt, aRefusal);
+  Reply(aRequest.mHandle, remembered ? NotRunBecause(aRefusal) : UnknownReply(aRefusal));
 }
 
-HomeJob& HomeCore::Internals::AddJob(ArrivedRequest aRequest, TimePoint aDeadline)
+RequestJob& HomeCore::Internals::AddJob(ArrivedRequest aRequest, TimePoint aDeadline)
 {
   const std::uint64_t token = mNextToken++;
-  HomeJob& job = mJobs[token];
+  RequestJob& job = mJobs[token];
   job.mToken = token;
   job.mId = aRequest.mId.value_or(RequestId());
   job.mDeadline = aDeadline;
   job.mWaiters.push_back({aRequest.mHandle, aDeadline});
-  mWaiting[aRequest.mHandle] = token;
+  mJobByHandle[aRequest.mHandle] = token;
   job.mRequest = std::move(aRequest);
   if (job.IsRecorded()) {
-    IndexFor(job.mRequest.mRelayed)[job.mId] = token;
+    JobIndexFor(job.mRequest.mRelayed)[job.mId] = token;
   }
   return job;
 }
--- a/lib/Request/HomeBuckets.cpp
+++ b/lib/Request/HomeBuckets.cpp
@@ -4,24 +4,24 @@
 namespace dandelionslip {
 
 // Handles the held requests again; those whose bucket is still incomplete are held again.
-void HomeCore::Internals::ReleaseHeld(const RequestTime& aTime)
+void HomeCore::Internals::ProcessDeferred(const RequestTime& aTime)
 {
-  std::list<HeldRequest> held;
-  held.swap(mHeld);
-  for (HeldRequest& request : held) {
+  std::list<DeferredRequest> held;
+  held.swap(mDeferred);
+  for (DeferredRequest& request : held) {
     Arrive(std::move(request.mRequest), request.mDeadline, aTime);
   }
 }
 
 // Answers resends of a request that ran at the bucket's previous owner.
-void HomeCore::Internals::ResolveElsewhere(const RequestId& aId)
+void HomeCore::Internals::FinishJobAtPreviousOwner(const RequestId& aId)
 {
-  const auto found = mHomeJobs.find(aId);
+  const auto found = mOwnedJobs.find(aId);
   const RequestRecord* record = mRecords.Find(aId);
-  if (found == mHomeJobs.end() || record == nullptr || record->mState == RecordState::Pending) {
+  if (found == mOwnedJobs.end() || record == nullptr || record->mState == RecordState::Pending) {
     return;
   }
-  if (HomeJob& job = mJobs.at(found->second); job.mPhase == JobPhase::Elsewhere) {
+  if (RequestJob& job = mJobs.at(found->second); job.mPhase == JobPhase::AtPreviousOwner) {
     EndFromRecord(job);
   }
 }
@@ -36,8 +36,8 @@
 HomeActions HomeCore::OnBucketFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration,
                                          const RequestTime& aTime)
 {
-  mInternals->mRecords.CompleteFirst(aBucket, aGeneration);
-  mInternals->ReleaseHeld(aTime);
+  mInternals->mRecords.AcquireAsFirstOwner(aBucket, aGeneration);
+  mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
@@ -48,22 +48,22 @@
   if (!taken) {
     return taken.as_failure();
   }
-  mInternals->ReleaseHeld(aTime);
+  mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
 HomeActions HomeCore::OnPreviousOwnerLost(std::uint32_t aBucket, const RequestTime& aTime)
 {
-  mInternals->mRecords.CompleteAfterLoss(aBucket, aTime.mWallMs);
-  mInternals->ReleaseHeld(aTime);
+  mInternals->mRecords.CompleteWithoutTransfer(aBucket, aTime.mWallMs);
+  mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnBucketDropped(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                      const RequestTime& aTime)
+HomeActions HomeCore::OnBucketTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration,
+                                        const RequestTime& aTime)
 {
-  mInternals->mRecords.Drop(aBucket, aGeneration);
-  mInternals->ReleaseHeld(aTime);
+  mInternals->mRecords.MarkTakenOver(aBucket, aGeneration);
+  mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
@@ -81,15 +81,15 @@
   if (!id) {
     return id.as_failure();
   }
-  mInternals->ResolveElsewhere(id.value());
+  mInternals->FinishJobAtPreviousOwner(id.value());
   mInternals->ReportToNewOwner(id.value());
   return mInternals->TakeActions();
 }
 
 HomeActions HomeCore::OnAgentLost(const std::string& aAgent, const RequestTime& /*aTime*/)
 {
-  for (const RequestId& id : mInternals->mRecords.LoseHolder(aAgent)) {
-    mInternals->ResolveElsewhere(id);
+  for (const RequestId& id : mInternals->mRecords.MarkAgentLost(aAgent)) {
+    mInternals->FinishJobAtPreviousOwner(id);
     mInternals->ReportToNewOwner(id);
   }
   return mInternals->TakeActions();
--- a/lib/Request/HomeCore.cpp
+++ b/lib/Request/HomeCore.cpp
@@ -8,7 +8,7 @@
 // Run ids of later incarnations are higher, so that an answer to a run of an earlier process never
 // matches one of this process. An incarnation is a start time in milliseconds, and no process
 // starts 4 million runs in each millisecond of its life.
-constexpr std::uint32_t kRunBits = 22;
+constexpr std::uint32_t kRunCounterBits = 22;
 
 } // namespace
 
@@ -19,22 +19,22 @@
   , mAlternate(std::move(aAlternate))
   , mCounters(aRegistry)
   , mRecords(mSettings.mSelf, mSettings.mBuckets, mSettings.mRecords)
-  , mGuests(mSettings.mSelf, 1, mSettings.mRecords)
+  , mRelayedRecords(mSettings.mSelf, 1, mSettings.mRecords)
   , mQueue(2 * static_cast<std::size_t>(mSettings.mSlots))
-  , mNextRun((mSettings.mIncarnation << kRunBits) + 1)
+  , mNextRun((mSettings.mIncarnation << kRunCounterBits) + 1)
 {
   // Relayed messages name the incarnation they are for, so this table misses none of them.
-  mGuests.CompleteFirst(0, 1);
+  mRelayedRecords.AcquireAsFirstOwner(0, 1);
 }
 
-HomeJob* HomeCore::Internals::FindJob(std::uint64_t aToken)
+RequestJob* HomeCore::Internals::FindJob(std::uint64_t aToken)
 {
   const auto found = mJobs.find(aToken);
   return found == mJobs.end() ? nullptr : &found->second;
 }
 
 // Jobs end while they are visited, so visits go through a copy of the keys.
-std::vector<std::uint64_t> HomeCore::Internals::Tokens() const
+std::vector<std::uint64_t> HomeCore::Internals::JobTokens() const
 {
   std::vector<std::uint64_t> tokens;
   tokens.reserve(mJobs.size());
@@ -62,49 +62,49 @@
 
 HomeActions HomeCore::OnCancel(ReplyHandle aHandle, const RequestTime& /*aTime*/)
 {
-  mInternals->Withdraw(aHandle);
+  mInternals->Cancel(aHandle);
   return mInternals->TakeActions();
 }
 
 HomeActions HomeCore::OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer,
                                        const RequestTime& aTime)
 {
-  if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
-    const bool whole = aAnswer.IsWhole();
+  if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
+    const bool whole = aAnswer.IsComplete();
     const RunResult cut = job->mCancelSent ? RunResult::Cancelled : RunResult::Failed;
     mInternals->ReleaseSlot(*job, whole ? RunResult::Succeeded : cut, aTime);
     if (whole) {
       mInternals->EndAnswered(*job, aAnswer.mAnswer);
     } else {
-      mInternals->mCounters.CountDrop(RequestDrop::CutShort);
+      mInternals->mCounters.CountDrop(RequestDrop::Truncated);
       mInternals->EndUnknown(*job);
     }
-    mInternals->PumpQueue(aTime);
+    mInternals->StartQueued(aTime);
   }
   return mInternals->TakeActions();
 }
 
 HomeActions HomeCore::OnUpstreamShed(RunId aRun, const Refusal& aRefusal, const RequestTime& aTime)
 {
-  if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
+  if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     mInternals->ReleaseSlot(*job, RunResult::Shed, aTime);
     if (job->mWaiters.empty()) {
       mInternals->EndRefused(*job, aRefusal);
     } else {
       mInternals->RelayOrRefuse(*job, aRefusal, aTime);
     }
-    mInternals->PumpQueue(aTime);
+    mInternals->StartQueued(aTime);
   }
   return mInternals->TakeActions();
 }
 
 HomeActions HomeCore::OnUpstreamFailed(RunId aRun, const RequestTime& aTime)
 {
-  if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
+  if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     mInternals->ReleaseSlot(*job, job->mCancelSent ? RunResult::Cancelled : RunResult::Failed,
                             aTime);
     mInternals->EndUnknown(*job);
-    mInternals->PumpQueue(aTime);
+    mInternals->StartQueued(aTime);
   }
   return mInternals->TakeActions();
 }
@@ -113,17 +113,17 @@
                                         const Refusal& aRefusal, const ReceivedAnswer& aReceived,
                                         const RequestTime& /*aTime*/)
 {
-  HomeJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate);
+  RequestJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate);
   if (job == nullptr) {
     return mInternals->TakeActions();
   }
   const bool answered = aOutcome == RequestOutcome::Answered;
-  if (answered && aReceived.IsWhole()) {
+  if (answered && aReceived.IsComplete()) {
     mInternals->EndAnswered(*job, aReceived.mAnswer);
     return mInternals->TakeActions();
   }
   if (answered) {
-    mInternals->mCounters.CountDrop(RequestDrop::CutShort);
+    mInternals->mCounters.CountDrop(RequestDrop::Truncated);
   }
   if (aOutcome == RequestOutcome::NotRun || aOutcome == RequestOutcome::Cancelled) {
     mInternals->EndRefused(*job, aRefusal);
@@ -135,7 +135,7 @@
 
 HomeActions HomeCore::OnAlternateFailed(RunId aRun, bool aSent, const RequestTime& /*aTime*/)
 {
-  if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate)) {
+  if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate)) {
     if (aSent) {
       mInternals->EndUnknown(*job);
     } else {
@@ -149,37 +149,37 @@
 {
   mInternals->mLeaseValid = aValid;
   if (!aValid) {
-    mInternals->RefuseQueuedRecorded({RefusalReason::NoControl, Milliseconds(0)});
+    mInternals->RefuseQueuedNonIdempotent({RefusalReason::NoControl, Milliseconds(0)});
   }
-  mInternals->PumpQueue(aTime);
+  mInternals->StartQueued(aTime);
   return mInternals->TakeActions();
 }
 
 HomeActions HomeCore::OnPlannedStop(const RequestTime& aTime)
 {
   mInternals->mStopping = true;
-  mInternals->PumpQueue(aTime);
+  mInternals->StartQueued(aTime);
   return mInternals->TakeActions();
 }
 
 HomeActions HomeCore::OnTick(const RequestTime& aTime)
 {
-  mInternals->PumpQueue(aTime);
+  mInternals->StartQueued(aTime);
   mInternals->EndOverdueWaiters(aTime);
-  mInternals->EndOverdueHeld(aTime);
+  mInternals->EndOverdueDeferred(aTime);
   mInternals->mRecords.Expire(aTime.mWallMs);
-  mInternals->mGuests.Expire(aTime.mWallMs);
+  mInternals->mRelayedRecords.Expire(aTime.mWallMs);
   return mInternals->TakeActions();
 }
 
 bool HomeCore::Active() const
 {
-  return !mInternals->mJobs.empty() || !mInternals->mHeld.empty();
+  return !mInternals->mJobs.empty() || !mInternals->mDeferred.empty();
 }
 
 std::size_t HomeCore::Running() const
 {
-  return mInternals->mRunning;
+  return mInternals->mRunningCount;
 }
 
 std::size_t HomeCore::Queued() const
--- a/lib/Request/HomeEnds.cpp
+++ b/lib/Request/HomeEnds.cpp
@@ -3,55 +3,55 @@
 
 namespace dandelionslip {
 
-void HomeCore::Internals::EndAnswered(HomeJob& aJob, const UpstreamAnswer& aAnswer)
+void HomeCore::Internals::EndAnswered(RequestJob& aJob, const UpstreamAnswer& aAnswer)
 {
   if (aJob.IsRecorded()) {
-    TableFor(aJob.mRequest.mRelayed).Complete(aJob.mId, aAnswer);
+    RecordsFor(aJob.mRequest.mRelayed).MarkDone(aJob.mId, aAnswer);
   }
-  FinishJob(aJob, AnsweredWith(aAnswer));
+  FinishJob(aJob, AnsweredReply(aAnswer));
 }
 
 // Without room to remember the refusal the request is recorded as unknown: it did not run, but a
 // record of its own would have to stay.
-void HomeCore::Internals::EndRefused(HomeJob& aJob, const Refusal& aRefusal, bool aCancelled)
+void HomeCore::Internals::EndRefused(RequestJob& aJob, const Refusal& aRefusal, bool aCancelled)
 {
-  RequestRecords& table = TableFor(aJob.mRequest.mRelayed);
-  if (aJob.IsRecorded() && !table.TryRefuse(aJob.mId, aJob.mRequest.mAttempt, aRefusal)) {
+  RequestRecords& table = RecordsFor(aJob.mRequest.mRelayed);
+  if (aJob.IsRecorded() && !table.TryMarkRefused(aJob.mId, aJob.mRequest.mAttempt, aRefusal)) {
     EndUnknown(aJob);
     return;
   }
   if (!aCancelled) {
     mCounters.CountRefusal(aRefusal.mReason);
   }
-  FinishJob(aJob, aCancelled ? CancelledOutcome() : NotRunBecause(aRefusal));
+  FinishJob(aJob, aCancelled ? CancelledReply() : NotRunBecause(aRefusal));
 }
 
-void HomeCore::Internals::EndUnknown(HomeJob& aJob)
+void HomeCore::Internals::EndUnknown(RequestJob& aJob)
 {
   if (aJob.IsRecorded()) {
-    TableFor(aJob.mRequest.mRelayed).MarkUnknown(aJob.mId);
+    RecordsFor(aJob.mRequest.mRelayed).MarkUnknown(aJob.mId);
   }
-  FinishJob(aJob, UnknownOutcome());
+  FinishJob(aJob, UnknownReply());
 }
 
 // Ends a request that ran elsewhere with what its record now says.
-void HomeCore::Internals::EndFromRecord(HomeJob& aJob)
+void HomeCore::Internals::EndFromRecord(RequestJob& aJob)
 {
   const RequestRecord* record = mRecords.Find(aJob.mId);
-  FinishJob(aJob, record == nullptr ? UnknownOutcome() : AnswerFromRecord(*record));
+  FinishJob(aJob, record == nullptr ? UnknownReply() : AnswerFromRecord(*record));
 }
 
-void HomeCore::Internals::FinishJob(HomeJob& aJob, const RequestAnswer& aAnswer)
+void HomeCore::Internals::FinishJob(RequestJob& aJob, const RequestAnswer& aAnswer)
 {
   for (const JobWaiter& waiter : aJob.mWaiters) {
-    mWaiting.erase(waiter.mHandle);
+    mJobByHandle.erase(waiter.mHandle);
     Reply(waiter.mHandle, aAnswer);
   }
   const RequestId id = aJob.mId;
   const bool recorded = aJob.IsRecorded();
   const bool relayed = aJob.mRequest.mRelayed;
   if (recorded) {
-    IndexFor(relayed).erase(id);
+    JobIndexFor(relayed).erase(id);
   }
   mJobs.erase(aJob.mToken);
   if (recorded && !relayed) {
@@ -64,16 +64,16 @@
   switch (aRecord.mState) {
     case RecordState::Done:
       if (aRecord.mAnswer) {
-        return AnsweredWith(*aRecord.mAnswer);
+        return AnsweredReply(*aRecord.mAnswer);
       }
       return {RequestOutcome::Unknown, {}, {}, aRecord.mDigest};
     case RecordState::Refused:
       return NotRunBecause(aRecord.mRefusal);
     case RecordState::Pending:
     case RecordState::Unknown:
-      return UnknownOutcome();
+      return UnknownReply();
   }
-  return UnknownOutcome();
+  return UnknownReply();
 }
 
 void HomeCore::Internals::Reply(ReplyHandle aHandle, RequestAnswer aAnswer)
--- a/lib/Request/HomeInternals.h
+++ b/lib/Request/HomeInternals.h
@@ -12,7 +12,7 @@
 namespace dandelionslip {
 
 /// A request that waits until its bucket's history is settled.
-struct HeldRequest
+struct DeferredRequest
 {
   ArrivedRequest mRequest;
   TimePoint mDeadline;
@@ -25,70 +25,70 @@
 
   // Arrival (HomeArrival.cpp).
   void Arrive(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
-  void ArriveRecorded(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
-  bool ServeFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline);
+  void HandleNonIdempotent(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
+  bool ReplyFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline);
   void JoinPending(const ArrivedRequest& aRequest, TimePoint aDeadline);
-  bool DecideUnknownId(const ArrivedRequest& aRequest, const RequestTime& aTime);
-  void Hold(ArrivedRequest aRequest, TimePoint aDeadline);
-  void RefuseNew(const ArrivedRequest& aRequest, const Refusal& aRefusal);
-  HomeJob& AddJob(ArrivedRequest aRequest, TimePoint aDeadline);
+  bool RefuseIfNotRunnable(const ArrivedRequest& aRequest, const RequestTime& aTime);
+  void Defer(ArrivedRequest aRequest, TimePoint aDeadline);
+  void RefuseAttempt(const ArrivedRequest& aRequest, const Refusal& aRefusal);
+  RequestJob& AddJob(ArrivedRequest aRequest, TimePoint aDeadline);
 
   // Runs (HomeRuns.cpp).
-  void Dispatch(HomeJob& aJob, const RequestTime& aTime);
-  void Enqueue(HomeJob& aJob, const RequestTime& aTime);
-  void StartRun(HomeJob& aJob, const RequestTime& aTime);
-  void RelayOrRefuse(HomeJob& aJob, const Refusal& aRefusal, const RequestTime& aTime);
-  void PumpQueue(const RequestTime& aTime);
-  HomeJob* TakeRun(RunId aRun, JobPhase aPhase);
-  void ReleaseSlot(const HomeJob& aJob, RunResult aResult, const RequestTime& aTime);
-  void CancelJob(HomeJob& aJob);
+  void Dispatch(RequestJob& aJob, const RequestTime& aTime);
+  void Enqueue(RequestJob& aJob, const RequestTime& aTime);
+  void StartRun(RequestJob& aJob, const RequestTime& aTime);
+  void RelayOrRefuse(RequestJob& aJob, const Refusal& aRefusal, const RequestTime& aTime);
+  void StartQueued(const RequestTime& aTime);
+  RequestJob* TakeRun(RunId aRun, JobPhase aPhase);
+  void ReleaseSlot(const RequestJob& aJob, RunResult aResult, const RequestTime& aTime);
+  void CancelJob(RequestJob& aJob);
 
   // Ends (HomeEnds.cpp).
-  void EndAnswered(HomeJob& aJob, const UpstreamAnswer& aAnswer);
-  void EndRefused(HomeJob& aJob, const Refusal& aRefusal, bool aCancelled = false);
-  void EndUnknown(HomeJob& aJob);
-  void EndFromRecord(HomeJob& aJob);
-  void FinishJob(HomeJob& aJob, const RequestAnswer& aAnswer);
+  void EndAnswered(RequestJob& aJob, const UpstreamAnswer& aAnswer);
+  void EndRefused(RequestJob& aJob, const Refusal& aRefusal, bool aCancelled = false);
+  void EndUnknown(RequestJob& aJob);
+  void EndFromRecord(RequestJob& aJob);
+  void FinishJob(RequestJob& aJob, const RequestAnswer& aAnswer);
   RequestAnswer AnswerFromRecord(const RequestRecord& aRecord) const;
   void Reply(ReplyHandle aHandle, RequestAnswer aAnswer);
   void ReportToNewOwner(const RequestId& aId);
 
   // Time and withdrawal (HomeTime.cpp).
-  void Withdraw(ReplyHandle aHandle);
-  void WithdrawFromJob(HomeJob& aJob, ReplyHandle aHandle);
+  void Cancel(ReplyHandle aHandle);
+  void RemoveWaiter(RequestJob& aJob, ReplyHandle aHandle);
   void EndOverdueWaiters(const RequestTime& aTime);
-  void EndOverdueHeld(const RequestTime& aTime);
-  void RefuseQueuedRecorded(const Refusal& aRefusal);
+  void EndOverdueDeferred(const RequestTime& aTime);
+  void RefuseQueuedNonIdempotent(const Refusal& aRefusal);
 
   // Buckets (HomeBuckets.cpp).
-  void ReleaseHeld(const RequestTime& aTime);
-  void ResolveElsewhere(const RequestId& aId);
+  void ProcessDeferred(const RequestTime& aTime);
+  void FinishJobAtPreviousOwner(const RequestId& aId);
 
-  RequestRecords& TableFor(bool aRelayed) { return aRelayed ? mGuests : mRecords; }
-  std::unordered_map<RequestId, std::uint64_t, RequestIdHash>& IndexFor(bool aRelayed)
+  RequestRecords& RecordsFor(bool aRelayed) { return aRelayed ? mRelayedRecords : mRecords; }
+  std::unordered_map<RequestId, std::uint64_t, RequestIdHash>& JobIndexFor(bool aRelayed)
   {
-    return aRelayed ? mGuestJobs : mHomeJobs;
+    return aRelayed ? mRelayedJobs : mOwnedJobs;
   }
-  HomeJob* FindJob(std::uint64_t aToken);
-  std::vector<std::uint64_t> Tokens() const;
+  RequestJob* FindJob(std::uint64_t aToken);
+  std::vector<std::uint64_t> JobTokens() const;
   HomeActions TakeActions() { return std::exchange(mActions, {}); }
 
   HomeSettings mSettings;
   SlotAdmission& mSlots;
   AlternateLookup mAlternate;
   RequestCounters mCounters;
-  RequestRecords mRecords; ///< Ids whose bucket this agent owns or owned.
-  RequestRecords mGuests;  ///< Ids that other home agents relayed to this one.
+  RequestRecords mRecords;        ///< Ids whose bucket this agent owns or owned.
+  RequestRecords mRelayedRecords; ///< Ids that other home agents relayed to this one.
   RequestQueue mQueue;
-  std::map<std::uint64_t, HomeJob> mJobs;
-  std::unordered_map<RequestId, std::uint64_t, RequestIdHash> mHomeJobs;
-  std::unordered_map<RequestId, std::uint64_t, RequestIdHash> mGuestJobs;
-  std::unordered_map<RunId, std::uint64_t> mRuns;
-  std::unordered_map<ReplyHandle, std::uint64_t> mWaiting;
-  std::list<HeldRequest> mHeld;
+  std::map<std::uint64_t, RequestJob> mJobs;
+  std::unordered_map<RequestId, std::uint64_t, RequestIdHash> mOwnedJobs;
+  std::unordered_map<RequestId, std::uint64_t, RequestIdHash> mRelayedJobs;
+  std::unordered_map<RunId, std::uint64_t> mJobByRun;
+  std::unordered_map<ReplyHandle, std::uint64_t> mJobByHandle;
+  std::list<DeferredRequest> mDeferred;
   std::uint64_t mNextToken = 1;
   RunId mNextRun;
-  std::size_t mRunning = 0;
+  std::size_t mRunningCount = 0;
   bool mLeaseValid = false;
   bool mStopping = false;
   HomeActions mActions;
--- a/lib/Request/HomeJob.h
+++ b/lib/Request/HomeJob.h
@@ -7,10 +7,10 @@
 
 enum class JobPhase
 {
-  Queued,      ///< Waits for a slot; has not run.
-  Running,     ///< Passed to the upstream.
-  AtAlternate, ///< Passed to the alternate's agent.
-  Elsewhere,   ///< Runs at the bucket's previous owner; only resends wait here.
+  Queued,          ///< Waits for a slot; has not run.
+  Running,         ///< Passed to the upstream.
+  AtAlternate,     ///< Passed to the alternate's agent.
+  AtPreviousOwner, ///< Runs at the bucket's previous owner; only resends wait here.
 };
 
 /// A message that waits for the outcome.
@@ -21,7 +21,7 @@
 };
 
 /// A request with everyone who waits for it.
-struct HomeJob
+struct RequestJob
 {
   std::uint64_t mToken = 0;
   ArrivedRequest mRequest;
--- a/lib/Request/HomeRuns.cpp
+++ b/lib/Request/HomeRuns.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-Milliseconds RemainingFor(const HomeJob& aJob, const RequestTime& aTime, Milliseconds aHop)
+Milliseconds RemainingFor(const RequestJob& aJob, const RequestTime& aTime, Milliseconds aHop)
 {
   const auto left = std::chrono::floor<Milliseconds>(aJob.mDeadline - aTime.mNow) - aHop;
   return std::max(left, Milliseconds(1));
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void HomeCore::Internals::Dispatch(HomeJob& aJob, const RequestTime& aTime)
+void HomeCore::Internals::Dispatch(RequestJob& aJob, const RequestTime& aTime)
 {
   if (aJob.mRequest.mRelayed && aJob.IsRecorded() && !mLeaseValid) {
     EndRefused(aJob, {RefusalReason::NoControl, Milliseconds(0)});
@@ -27,7 +27,7 @@
   }
   if (mQueue.Size() > 0 && !aJob.mRequest.mRelayed) {
     Enqueue(aJob, aTime);
-    PumpQueue(aTime);
+    StartQueued(aTime);
     return;
   }
   const auto refusal = mSlots.TryStart(aTime.mNow);
@@ -43,11 +43,11 @@
   Enqueue(aJob, aTime);
 }
 
-void HomeCore::Internals::Enqueue(HomeJob& aJob, const RequestTime& aTime)
+void HomeCore::Internals::Enqueue(RequestJob& aJob, const RequestTime& aTime)
 {
   const std::uint64_t token = aJob.mToken;
   const QueueEntry entry{token, aJob.mRequest.mCaller, aJob.mRequest.mClass, aJob.mDeadline};
-  const QueueOffer offer = mQueue.Offer(entry, aTime.mNow, mRunning);
+  const QueueOffer offer = mQueue.Offer(entry, aTime.mNow, mRunningCount);
   if (offer.mRefusal) {
     RelayOrRefuse(aJob, *offer.mRefusal, aTime);
     return;
@@ -60,20 +60,20 @@
   }
 }
 
-void HomeCore::Internals::StartRun(HomeJob& aJob, const RequestTime& aTime)
+void HomeCore::Internals::StartRun(RequestJob& aJob, const RequestTime& aTime)
 {
   aJob.mPhase = JobPhase::Running;
   aJob.mStarted = aTime.mNow;
   aJob.mRun = mNextRun++;
-  mRuns[aJob.mRun] = aJob.mToken;
-  ++mRunning;
+  mJobByRun[aJob.mRun] = aJob.mToken;
+  ++mRunningCount;
   mActions.emplace_back(RunAtUpstream{aJob.mRun, aJob.mId, aJob.mRequest.mAttempt,
                                       RemainingFor(aJob, aTime, mSettings.mHopAllowance),
                                       aJob.mRequest.mBody});
 }
 
 // Passes a request that cannot run here to the alternate, once; the record stays here.
-void HomeCore::Internals::RelayOrRefuse(HomeJob& aJob, const Refusal& aRefusal,
+void HomeCore::Internals::RelayOrRefuse(RequestJob& aJob, const Refusal& aRefusal,
                                         const RequestTime& aTime)
 {
   const bool allowed = !aJob.mRequest.mRelayed && !aJob.mTriedAlternate &&
@@ -87,7 +87,7 @@
   aJob.mPhase = JobPhase::AtAlternate;
   aJob.mTriedAlternate = true;
   aJob.mRun = mNextRun++;
-  mRuns[aJob.mRun] = aJob.mToken;
+  mJobByRun[aJob.mRun] = aJob.mToken;
   const ArrivedRequest& request = aJob.mRequest;
   mActions.emplace_back(RelayToAlternate{aJob.mRun, alternate->mName, alternate->mIncarnation,
                                          aJob.mId, request.mAttempt, request.mIdempotent,
@@ -95,13 +95,13 @@
                                          request.mCaller, request.mClass, request.mBody});
 }
 
-void HomeCore::Internals::PumpQueue(const RequestTime& aTime)
+void HomeCore::Internals::StartQueued(const RequestTime& aTime)
 {
   for (const QueueEntry& overdue : mQueue.TakeOverdue(aTime.mNow)) {
     EndRefused(mJobs.at(overdue.mToken), {RefusalReason::Deadline, Milliseconds(0)});
   }
   while (const QueueEntry* front = mQueue.Front()) {
-    HomeJob& job = mJobs.at(front->mToken);
+    RequestJob& job = mJobs.at(front->mToken);
     if (mSlots.TryStart(aTime.mNow)) {
       return;
     }
@@ -111,25 +111,25 @@
 }
 
 // Ends the bookkeeping of a run; null when no run of this phase has the id.
-HomeJob* HomeCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
+RequestJob* HomeCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
 {
-  const auto found = mRuns.find(aRun);
-  HomeJob* job = found == mRuns.end() ? nullptr : FindJob(found->second);
+  const auto found = mJobByRun.find(aRun);
+  RequestJob* job = found == mJobByRun.end() ? nullptr : FindJob(found->second);
   if (job == nullptr || job->mPhase != aPhase) {
     mCounters.CountDrop(RequestDrop::UnmatchedAnswer);
     return nullptr;
   }
-  mRuns.erase(found);
+  mJobByRun.erase(found);
   if (job->mWaiters.empty()) {
     mCounters.CountDrop(RequestDrop::LateAnswer);
   }
   return job;
 }
 
-void HomeCore::Internals::ReleaseSlot(const HomeJob& aJob, RunResult aResult,
+void HomeCore::Internals::ReleaseSlot(const RequestJob& aJob, RunResult aResult,
                                       const RequestTime& aTime)
 {
-  --mRunning;
+  --mRunningCount;
   const RuntimeClock::duration latency = aTime.mNow - aJob.mStarted;
   if (aResult == RunResult::Succeeded) {
     mQueue.ObserveRunTime(latency);
@@ -138,7 +138,7 @@
 }
 
 // Asks for the end of a run that nobody waits for; the record stays pending until the run ends.
-void HomeCore::Internals::CancelJob(HomeJob& aJob)
+void HomeCore::Internals::CancelJob(RequestJob& aJob)
 {
   if (!aJob.mCancelSent) {
     aJob.mCancelSent = true;
--- a/lib/Request/HomeTime.cpp
+++ b/lib/Request/HomeTime.cpp
@@ -5,23 +5,24 @@
 
 namespace dandelionslip {
 
-void HomeCore::Internals::Withdraw(ReplyHandle aHandle)
+void HomeCore::Internals::Cancel(ReplyHandle aHandle)
 {
-  if (const auto found = mWaiting.find(aHandle); found != mWaiting.end()) {
-    WithdrawFromJob(mJobs.at(found->second), aHandle);
+  if (const auto found = mJobByHandle.find(aHandle); found != mJobByHandle.end()) {
+    RemoveWaiter(mJobs.at(found->second), aHandle);
     return;
   }
-  const auto held = std::find_if(mHeld.begin(), mHeld.end(), [aHandle](const HeldRequest& aHeld) {
-    return aHeld.mRequest.mHandle == aHandle;
-  });
-  if (held != mHeld.end()) {
-    mHeld.erase(held);
+  const auto held =
+    std::find_if(mDeferred.begin(), mDeferred.end(), [aHandle](const DeferredRequest& aHeld) {
+      return aHeld.mRequest.mHandle == aHandle;
+    });
+  if (held != mDeferred.end()) {
+    mDeferred.erase(held);
     // The previous owner may have run it.
-    Reply(aHandle, UnknownOutcome());
+    Reply(aHandle, UnknownReply());
   }
 }
 
-void HomeCore::Internals::WithdrawFromJob(HomeJob& aJob, ReplyHandle aHandle)
+void HomeCore::Internals::RemoveWaiter(RequestJob& aJob, ReplyHandle aHandle)
 {
   const bool last = aJob.mWaiters.size() == 1;
   if (last && aJob.mPhase == JobPhase::Queued) {
@@ -32,13 +33,13 @@
   }
   std::erase_if(aJob.mWaiters,
                 [aHandle](const JobWaiter& aWaiter) { return aWaiter.mHandle == aHandle; });
-  mWaiting.erase(aHandle);
-  Reply(aHandle, UnknownOutcome());
+  mJobByHandle.erase(aHandle);
+  Reply(aHandle, UnknownReply());
   if (!last) {
     return;
   }
-  if (aJob.mPhase == JobPhase::Elsewhere) {
-    IndexFor(aJob.mRequest.mRelayed).erase(aJob.mId);
+  if (aJob.mPhase == JobPhase::AtPreviousOwner) {
+    JobIndexFor(aJob.mRequest.mRelayed).erase(aJob.mId);
     mJobs.erase(aJob.mToken);
     return;
   }
@@ -47,8 +48,8 @@
 
 void HomeCore::Internals::EndOverdueWaiters(const RequestTime& aTime)
 {
-  for (const std::uint64_t token : Tokens()) {
-    HomeJob& job = mJobs.at(token);
+  for (const std::uint64_t token : JobTokens()) {
+    RequestJob& job = mJobs.at(token);
     std::vector<ReplyHandle> overdue;
     for (const JobWaiter& waiter : job.mWaiters) {
       if (aTime.mNow >= waiter.mDeadline) {
@@ -60,30 +61,30 @@
       continue;
     }
     for (const ReplyHandle handle : overdue) {
-      WithdrawFromJob(job, handle);
+      RemoveWaiter(job, handle);
     }
   }
 }
 
-void HomeCore::Internals::EndOverdueHeld(const RequestTime& aTime)
+void HomeCore::Internals::EndOverdueDeferred(const RequestTime& aTime)
 {
-  for (auto held = mHeld.begin(); held != mHeld.end();) {
+  for (auto held = mDeferred.begin(); held != mDeferred.end();) {
     if (aTime.mNow < held->mDeadline) {
       ++held;
       continue;
     }
     Reply(held->mRequest.mHandle,
-          UnknownOutcome(Refusal{RefusalReason::HandoffPending, Milliseconds(0)}));
-    held = mHeld.erase(held);
+          UnknownReply(Refusal{RefusalReason::HandoffPending, Milliseconds(0)}));
+    held = mDeferred.erase(held);
   }
 }
 
 // A queued request has not run and, without a lease, must not. Another owner that takes the bucket
 // over answers "unknown" for ids of this age, so the refusal stays true.
-void HomeCore::Internals::RefuseQueuedRecorded(const Refusal& aRefusal)
+void HomeCore::Internals::RefuseQueuedNonIdempotent(const Refusal& aRefusal)
 {
-  for (const std::uint64_t token : Tokens()) {
-    HomeJob& job = mJobs.at(token);
+  for (const std::uint64_t token : JobTokens()) {
+    RequestJob& job = mJobs.at(token);
     if (job.mPhase == JobPhase::Queued && job.IsRecorded()) {
       mQueue.Remove(token);
       EndRefused(job, aRefusal);
--- a/lib/Request/RecordHandoff.cpp
+++ b/lib/Request/RecordHandoff.cpp
@@ -50,7 +50,7 @@
   }
 }
 
-void RequestRecords::CompleteFirst(std::uint32_t aBucket, std::uint32_t aGeneration)
+void RequestRecords::AcquireAsFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration)
 {
   Bucket& bucket = mBucketStates[aBucket];
   if (aGeneration > bucket.mGeneration) {
@@ -58,7 +58,7 @@
   }
 }
 
-void RequestRecords::CompleteAfterLoss(std::uint32_t aBucket, std::int64_t aWallMs)
+void RequestRecords::CompleteWithoutTransfer(std::uint32_t aBucket, std::int64_t aWallMs)
 {
   Bucket& bucket = mBucketStates[aBucket];
   if (bucket.mState == RecordBucketState::Incomplete) {
@@ -67,7 +67,7 @@
   }
 }
 
-void RequestRecords::Drop(std::uint32_t aBucket, std::uint32_t aGeneration)
+void RequestRecords::MarkTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration)
 {
   Bucket& bucket = mBucketStates[aBucket];
   if (aGeneration > bucket.mGeneration) {
--- a/lib/Request/RecordMerge.cpp
+++ b/lib/Request/RecordMerge.cpp
@@ -21,7 +21,7 @@
   RequestRecord local = *found;
   local.mAttempt = std::max(local.mAttempt, aIncoming.mAttempt);
   if (local.mState == RecordState::Done || IsOwnPending(local)) {
-    Join(aId, aIncoming.mAttempt);
+    RaiseAttempt(aId, aIncoming.mAttempt);
     return;
   }
   if (aIncoming.mState == RecordState::Done) {
@@ -45,7 +45,7 @@
 {
   const RequestRecord& found = *Find(aId);
   const Attempt known = found.mState == RecordState::Refused ? found.mAttempt : found.mFirstAttempt;
-  if (aIncoming.mFirstAttempt > known && aIncoming.mHolder != mSelf) {
+  if (aIncoming.mFirstAttempt > known && aIncoming.mRunningAgent != mSelf) {
     aIncoming.mAttempt = aLocal.mAttempt;
     Store(aId, std::move(aIncoming));
     return;
--- a/lib/Request/RelayAttempts.cpp
+++ b/lib/Request/RelayAttempts.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Whether a later attempt of a refused request can succeed within its deadline.
-bool IsPassing(RefusalReason aReason)
+bool IsTransient(RefusalReason aReason)
 {
   switch (aReason) {
     case RefusalReason::NoUpstream:
@@ -27,7 +27,7 @@
 
 } // namespace
 
-void RelayCore::Internals::Send(RelayExchange& aExchange, const RequestTime& aTime)
+void RelayCore::Internals::Send(CallerExchange& aExchange, const RequestTime& aTime)
 {
   const auto remaining =
     std::chrono::floor<Milliseconds>(aExchange.mDeadline - aTime.mNow) - mSettings.mHopAllowance;
@@ -47,17 +47,17 @@
   ++aExchange.mTries;
   aExchange.mInFlight = true;
   aExchange.mMayHaveRunBefore = std::exchange(aExchange.mMayHaveRun, true);
-  ++mInFlight[*agent];
-  WakeAt(aExchange, aExchange.mDeadline);
+  ++mAttemptsInFlight[*agent];
+  SetTimer(aExchange, aExchange.mDeadline);
   mActions.emplace_back(SendToAgent{*agent, aExchange.mKey, request.mService, request.mIdempotent,
                                     aExchange.mMayHaveRunBefore, remaining, request.mCaller,
                                     request.mClass, request.mBody});
 }
 
-std::optional<std::string> RelayCore::Internals::ChooseAgent(const RelayExchange& aExchange)
+std::optional<std::string> RelayCore::Internals::ChooseAgent(const CallerExchange& aExchange)
 {
   const ServiceId service = aExchange.mRequest.mService;
-  if (!aExchange.mRequest.mIdempotent || (aExchange.mFixedHome && aExchange.mTries == 0)) {
+  if (!aExchange.mRequest.mIdempotent || (aExchange.mTryOwnerFirst && aExchange.mTries == 0)) {
     return mTargets.HomeOf(service, aExchange.mId);
   }
   std::vector<std::string> candidates = mTargets.CandidatesOf(service);
@@ -67,10 +67,10 @@
   if (candidates.empty()) {
     return {};
   }
-  return BetterOfTwo(candidates);
+  return ChooseLessLoaded(candidates);
 }
 
-std::string RelayCore::Internals::BetterOfTwo(const std::vector<std::string>& aCandidates)
+std::string RelayCore::Internals::ChooseLessLoaded(const std::vector<std::string>& aCandidates)
 {
   const std::size_t first = mRandom.Below(aCandidates.size());
   if (aCandidates.size() == 1) {
@@ -78,15 +78,16 @@
   }
   const std::size_t second =
     (first + 1 + mRandom.Below(aCandidates.size() - 1)) % aCandidates.size();
-  const bool firstBetter = mInFlight[aCandidates[first]] <= mInFlight[aCandidates[second]];
+  const bool firstBetter =
+    mAttemptsInFlight[aCandidates[first]] <= mAttemptsInFlight[aCandidates[second]];
   return aCandidates[firstBetter ? first : second];
 }
 
 // Ends the newest attempt of a request; null when the key is not that of an attempt in flight.
-RelayExchange* RelayCore::Internals::TakeAttempt(const AttemptKey& aKey)
+CallerExchange* RelayCore::Internals::TakeAttempt(const AttemptKey& aKey)
 {
   const auto found = mByCallerAttempt.find({aKey.mId, aKey.mAttempt >> kTryBits});
-  RelayExchange* exchange =
+  CallerExchange* exchange =
     found == mByCallerAttempt.end() ? nullptr : &mExchanges.at(found->second);
   if (exchange == nullptr || !exchange->mInFlight || exchange->mKey != aKey) {
     const bool givenUp = exchange != nullptr && aKey.mAttempt < exchange->mKey.mAttempt;
@@ -94,37 +95,37 @@
     return nullptr;
   }
   exchange->mInFlight = false;
-  --mInFlight[exchange->mAgent];
+  --mAttemptsInFlight[exchange->mAgent];
   return exchange;
 }
 
-void RelayCore::Internals::HandleAnswered(RelayExchange& aExchange, ReceivedAnswer aReceived,
+void RelayCore::Internals::HandleAnswered(CallerExchange& aExchange, ReceivedAnswer aReceived,
                                           const RequestTime& aTime)
 {
-  if (aReceived.IsWhole()) {
+  if (aReceived.IsComplete()) {
     mBudget.OnSuccess(aExchange.mRequest.mService, aExchange.mRequest.mCaller, aTime.mNow);
-    Finish(aExchange, AnsweredWith(std::move(aReceived.mAnswer)));
+    Finish(aExchange, AnsweredReply(std::move(aReceived.mAnswer)));
     return;
   }
-  mCounters.CountDrop(RequestDrop::CutShort);
+  mCounters.CountDrop(RequestDrop::Truncated);
   Retry(aExchange, RetryReason::LinkLost, Milliseconds(0), aTime);
 }
 
-void RelayCore::Internals::HandleNotRun(RelayExchange& aExchange, const Refusal& aRefusal,
+void RelayCore::Internals::HandleNotRun(CallerExchange& aExchange, const Refusal& aRefusal,
                                         const RequestTime& aTime)
 {
   // The home agent's record covers all lower attempts. Attempts of an idempotent request have no
   // record, so the refusal says nothing about earlier ones.
   aExchange.mMayHaveRun = aExchange.mRequest.mIdempotent && aExchange.mMayHaveRunBefore;
   aExchange.mLastRefusal = aRefusal;
-  if (!IsPassing(aRefusal.mReason)) {
+  if (!IsTransient(aRefusal.mReason)) {
     FinishWithoutAnswer(aExchange);
     return;
   }
   Retry(aExchange, RetryReason::Refused, aRefusal.mRetryAfter, aTime);
 }
 
-void RelayCore::Internals::HandleUnknown(RelayExchange& aExchange,
+void RelayCore::Internals::HandleUnknown(CallerExchange& aExchange,
                                          const std::optional<Refusal>& aRefusal,
                                          const RequestTime& aTime)
 {
@@ -136,7 +137,7 @@
   Retry(aExchange, RetryReason::Failed, Milliseconds(0), aTime);
 }
 
-void RelayCore::Internals::Retry(RelayExchange& aExchange, RetryReason aReason,
+void RelayCore::Internals::Retry(CallerExchange& aExchange, RetryReason aReason,
                                  Milliseconds aAtLeast, const RequestTime& aTime)
 {
   if (aExchange.mCancelled) {
@@ -144,28 +145,28 @@
     return;
   }
   if (aExchange.mTries >= mSettings.mMaxTries) {
-    Deny(aExchange, RetryDenial::Tries);
+    DenyRetry(aExchange, RetryDenial::Tries);
     return;
   }
   const RuntimeClock::duration delay = std::max<RuntimeClock::duration>(
     aAtLeast, FullJitterDelay(aExchange.mTries - 1, mSettings.mBackoff, mRandom));
   if (aTime.mNow + delay + mSettings.mHopAllowance >= aExchange.mDeadline) {
-    Deny(aExchange, RetryDenial::Deadline);
+    DenyRetry(aExchange, RetryDenial::Deadline);
     return;
   }
   // Going on to the right agent adds no load to an upstream and is not charged.
   const CallerRequest& request = aExchange.mRequest;
   if (aReason != RetryReason::NotHome &&
       !mBudget.TryRetry(request.mService, request.mCaller, aTime.mNow)) {
-    Deny(aExchange, RetryDenial::Budget);
+    DenyRetry(aExchange, RetryDenial::Budget);
     return;
   }
   mCounters.CountRetry(aReason);
   // A delay of nothing still ends the present step, so that a tick makes one attempt at most.
-  WakeAt(aExchange, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
+  SetTimer(aExchange, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
 }
 
-void RelayCore::Internals::Deny(RelayExchange& aExchange, RetryDenial aReason)
+void RelayCore::Internals::DenyRetry(CallerExchange& aExchange, RetryDenial aReason)
 {
   mCounters.CountDenial(aReason);
   FinishWithoutAnswer(aExchange);
--- a/lib/Request/RelayCore.cpp
+++ b/lib/Request/RelayCore.cpp
@@ -34,17 +34,17 @@
   if (hasId && mByCallerAttempt.contains({*id, aRequest.mCallerAttempt})) {
     mCounters.CountDrop(RequestDrop::DuplicateAttempt);
     if (!aRequest.mIdempotent) {
-      Reply(aRequest.mHandle, *id, UnknownOutcome());
+      Reply(aRequest.mHandle, *id, UnknownReply());
       return;
     }
     id.reset();
   }
   const RequestId used = id ? *id : RequestId::Make(aTime.mWallMs, mRandom);
   const std::uint64_t token = mNextToken++;
-  RelayExchange& exchange = mExchanges[token];
+  CallerExchange& exchange = mExchanges[token];
   exchange.mToken = token;
   exchange.mId = used;
-  exchange.mFixedHome = !aRequest.mIdempotent || hasId;
+  exchange.mTryOwnerFirst = !aRequest.mIdempotent || hasId;
   exchange.mDeadline = aTime.mNow + aRequest.mRemaining;
   // An earlier attempt of the caller, perhaps through another balancer, may still run.
   exchange.mMayHaveRun = hasId && aRequest.mCallerAttempt > 1;
@@ -54,7 +54,7 @@
   Send(exchange, aTime);
 }
 
-void RelayCore::Internals::Withdraw(RelayExchange& aExchange)
+void RelayCore::Internals::Cancel(CallerExchange& aExchange)
 {
   aExchange.mCancelled = true;
   if (!aExchange.mInFlight) {
@@ -64,12 +64,12 @@
   mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
 }
 
-void RelayCore::Internals::Finish(RelayExchange& aExchange, RequestAnswer aAnswer)
+void RelayCore::Internals::Finish(CallerExchange& aExchange, RequestAnswer aAnswer)
 {
   if (aExchange.mInFlight) {
-    --mInFlight[aExchange.mAgent];
+    --mAttemptsInFlight[aExchange.mAgent];
   }
-  mWakeUps.erase({aExchange.mWakeAt, aExchange.mToken});
+  mTimers.erase({aExchange.mTimerAt, aExchange.mToken});
   mByHandle.erase(aExchange.mRequest.mHandle);
   mByCallerAttempt.erase({aExchange.mId, aExchange.mRequest.mCallerAttempt});
   Reply(aExchange.mRequest.mHandle, aExchange.mId, std::move(aAnswer));
@@ -77,16 +77,16 @@
 }
 
 // The most that can be said truthfully when no answer was received.
-void RelayCore::Internals::FinishWithoutAnswer(RelayExchange& aExchange)
+void RelayCore::Internals::FinishWithoutAnswer(CallerExchange& aExchange)
 {
   if (aExchange.mMayHaveRun) {
-    RequestAnswer answer = UnknownOutcome(aExchange.mLastRefusal);
+    RequestAnswer answer = UnknownReply(aExchange.mLastRefusal);
     answer.mDigest = aExchange.mDigest;
     Finish(aExchange, std::move(answer));
     return;
   }
   if (aExchange.mCancelled) {
-    Finish(aExchange, CancelledOutcome());
+    Finish(aExchange, CancelledReply());
     return;
   }
   const Refusal refusal =
@@ -95,7 +95,7 @@
   Finish(aExchange, NotRunBecause(refusal));
 }
 
-void RelayCore::Internals::EndOverdue(RelayExchange& aExchange)
+void RelayCore::Internals::EndOverdue(CallerExchange& aExchange)
 {
   if (aExchange.mInFlight) {
     mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
@@ -112,17 +112,17 @@
   mActions.emplace_back(AnswerCaller{aHandle, aId, std::move(aAnswer)});
 }
 
-RelayExchange* RelayCore::Internals::FindByHandle(ReplyHandle aHandle)
+CallerExchange* RelayCore::Internals::FindByHandle(ReplyHandle aHandle)
 {
   const auto found = mByHandle.find(aHandle);
   return found == mByHandle.end() ? nullptr : &mExchanges.at(found->second);
 }
 
-void RelayCore::Internals::WakeAt(RelayExchange& aExchange, TimePoint aWhen)
+void RelayCore::Internals::SetTimer(CallerExchange& aExchange, TimePoint aWhen)
 {
-  mWakeUps.erase({aExchange.mWakeAt, aExchange.mToken});
-  aExchange.mWakeAt = aWhen;
-  mWakeUps.emplace(aWhen, aExchange.mToken);
+  mTimers.erase({aExchange.mTimerAt, aExchange.mToken});
+  aExchange.mTimerAt = aWhen;
+  mTimers.emplace(aWhen, aExchange.mToken);
 }
 
 RelayCore::RelayCore(RelaySettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
@@ -141,9 +141,9 @@
 
 RelayActions RelayCore::OnCallerCancelled(ReplyHandle aHandle, const RequestTime& /*aTime*/)
 {
-  if (RelayExchange* exchange = mInternals->FindByHandle(aHandle);
+  if (CallerExchange* exchange = mInternals->FindByHandle(aHandle);
       exchange != nullptr && !exchange->mCancelled) {
-    mInternals->Withdraw(*exchange);
+    mInternals->Cancel(*exchange);
   }
   return mInternals->TakeActions();
 }
@@ -152,7 +152,7 @@
                                       const std::optional<Refusal>& aRefusal,
                                       ReceivedAnswer aReceived, const RequestTime& aTime)
 {
-  RelayExchange* exchange = mInternals->TakeAttempt(aKey);
+  CallerExchange* exchange = mInternals->TakeAttempt(aKey);
   if (exchange == nullptr) {
     return mInternals->TakeActions();
   }
@@ -179,7 +179,7 @@
 RelayActions RelayCore::OnAgentUnreachable(const AttemptKey& aKey, bool aSent,
                                            const RequestTime& aTime)
 {
-  if (RelayExchange* exchange = mInternals->TakeAttempt(aKey)) {
+  if (CallerExchange* exchange = mInternals->TakeAttempt(aKey)) {
     if (!aSent) {
       exchange->mMayHaveRun = exchange->mMayHaveRunBefore;
     }
@@ -192,9 +192,9 @@
 RelayActions RelayCore::OnTick(const RequestTime& aTime)
 {
   // Each step ends the exchange or moves its wake-up into the future.
-  auto& wakeUps = mInternals->mWakeUps;
+  auto& wakeUps = mInternals->mTimers;
   while (!wakeUps.empty() && wakeUps.begin()->first <= aTime.mNow) {
-    RelayExchange& exchange = mInternals->mExchanges.at(wakeUps.begin()->second);
+    CallerExchange& exchange = mInternals->mExchanges.at(wakeUps.begin()->second);
     if (aTime.mNow >= exchange.mDeadline) {
       mInternals->EndOverdue(exchange);
     } else {
--- a/lib/Request/RelayInternals.h
+++ b/lib/Request/RelayInternals.h
@@ -10,18 +10,18 @@
 namespace dandelionslip {
 
 /// One request of a caller with its attempts.
-struct RelayExchange
+struct CallerExchange
 {
   std::uint64_t mToken = 0;
   CallerRequest mRequest;
   RequestId mId;
-  bool mFixedHome = false; ///< Goes to the home agent of its id first.
+  bool mTryOwnerFirst = false; ///< Goes to the home agent of its id first.
   TimePoint mDeadline;
   std::uint32_t mTries = 0;
   bool mInFlight = false;
   AttemptKey mKey; ///< The newest attempt.
   std::string mAgent;
-  TimePoint mWakeAt; ///< The next attempt is due, or, when in flight, the deadline.
+  TimePoint mTimerAt; ///< The next attempt is due, or, when in flight, the deadline.
   bool mCancelled = false;
   /// Whether an attempt that left the balancer may run or have run.
   bool mMayHaveRun = false;
@@ -38,27 +38,28 @@
 
   // Requests and their ends (RelayCore.cpp).
   void Accept(CallerRequest aRequest, const RequestTime& aTime);
-  void Withdraw(RelayExchange& aExchange);
-  void Finish(RelayExchange& aExchange, RequestAnswer aAnswer);
-  void FinishWithoutAnswer(RelayExchange& aExchange);
-  void EndOverdue(RelayExchange& aExchange);
+  void Cancel(CallerExchange& aExchange);
+  void Finish(CallerExchange& aExchange, RequestAnswer aAnswer);
+  void FinishWithoutAnswer(CallerExchange& aExchange);
+  void EndOverdue(CallerExchange& aExchange);
   void Reply(ReplyHandle aHandle, const RequestId& aId, RequestAnswer aAnswer);
 
   // Attempts (RelayAttempts.cpp).
-  void Send(RelayExchange& aExchange, const RequestTime& aTime);
-  std::optional<std::string> ChooseAgent(const RelayExchange& aExchange);
-  std::string BetterOfTwo(const std::vector<std::string>& aCandidates);
-  RelayExchange* TakeAttempt(const AttemptKey& aKey);
-  void HandleAnswered(RelayExchange& aExchange, ReceivedAnswer aReceived, const RequestTime& aTime);
-  void HandleNotRun(RelayExchange& aExchange, const Refusal& aRefusal, const RequestTime& aTime);
-  void HandleUnknown(RelayExchange& aExchange, const std::optional<Refusal>& aRefusal,
+  void Send(CallerExchange& aExchange, const RequestTime& aTime);
+  std::optional<std::string> ChooseAgent(const CallerExchange& aExchange);
+  std::string ChooseLessLoaded(const std::vector<std::string>& aCandidates);
+  CallerExchange* TakeAttempt(const AttemptKey& aKey);
+  void HandleAnswered(CallerExchange& aExchange, ReceivedAnswer aReceived,
+                      const RequestTime& aTime);
+  void HandleNotRun(CallerExchange& aExchange, const Refusal& aRefusal, const RequestTime& aTime);
+  void HandleUnknown(CallerExchange& aExchange, const std::optional<Refusal>& aRefusal,
                      const RequestTime& aTime);
-  void Retry(RelayExchange& aExchange, RetryReason aReason, Milliseconds aAtLeast,
+  void Retry(CallerExchange& aExchange, RetryReason aReason, Milliseconds aAtLeast,
              const RequestTime& aTime);
-  void Deny(RelayExchange& aExchange, RetryDenial aReason);
+  void DenyRetry(CallerExchange& aExchange, RetryDenial aReason);
 
-  RelayExchange* FindByHandle(ReplyHandle aHandle);
-  void WakeAt(RelayExchange& aExchange, TimePoint aWhen);
+  CallerExchange* FindByHandle(ReplyHandle aHandle);
+  void SetTimer(CallerExchange& aExchange, TimePoint aWhen);
   RelayActions TakeActions() { return std::exchange(mActions, {}); }
 
   using CallerAttempt = std::pair<RequestId, std::uint32_t>;
@@ -68,11 +69,11 @@
   Random mRandom;
   RetryBudget mBudget;
   RequestCounters mCounters;
-  std::map<std::uint64_t, RelayExchange> mExchanges;
+  std::map<std::uint64_t, CallerExchange> mExchanges;
   std::map<ReplyHandle, std::uint64_t> mByHandle;
   std::map<CallerAttempt, std::uint64_t> mByCallerAttempt;
-  std::set<std::pair<TimePoint, std::uint64_t>> mWakeUps; ///< One for each exchange.
-  std::map<std::string, std::uint32_t> mInFlight;         ///< Attempts in flight by agent.
+  std::set<std::pair<TimePoint, std::uint64_t>> mTimers;  ///< One for each exchange.
+  std::map<std::string, std::uint32_t> mAttemptsInFlight; ///< Attempts in flight by agent.
   std::uint64_t mNextToken = 1;
   RelayActions mActions;
 };
--- a/lib/Request/RequestCounters.cpp
+++ b/lib/Request/RequestCounters.cpp
@@ -50,7 +50,7 @@
   static constexpr std::array<EnumName<RequestDrop>, 4> kNames{{
     {RequestDrop::LateAnswer, "late_answer"},
     {RequestDrop::UnmatchedAnswer, "unmatched_answer"},
-    {RequestDrop::CutShort, "cut_short"},
+    {RequestDrop::Truncated, "cut_short"},
     {RequestDrop::DuplicateAttempt, "duplicate_attempt"},
   }};
   return kNames;
--- a/lib/Request/RequestOutcome.cpp
+++ b/lib/Request/RequestOutcome.cpp
@@ -22,7 +22,7 @@
   return EnumNames(aOutcome)[static_cast<std::size_t>(aOutcome)].mName;
 }
 
-RequestAnswer AnsweredWith(UpstreamAnswer aAnswer)
+RequestAnswer AnsweredReply(UpstreamAnswer aAnswer)
 {
   return {RequestOutcome::Answered, std::move(aAnswer), {}, {}};
 }
@@ -32,12 +32,12 @@
   return {RequestOutcome::NotRun, {}, aRefusal, {}};
 }
 
-RequestAnswer UnknownOutcome(std::optional<Refusal> aRefusal)
+RequestAnswer UnknownReply(std::optional<Refusal> aRefusal)
 {
   return {RequestOutcome::Unknown, {}, aRefusal, {}};
 }
 
-RequestAnswer CancelledOutcome()
+RequestAnswer CancelledReply()
 {
   return {RequestOutcome::Cancelled, {}, {}, {}};
 }
--- a/lib/Request/RequestQueue.cpp
+++ b/lib/Request/RequestQueue.cpp
@@ -17,8 +17,8 @@
   // part for every request ahead and for the one whose slot is needed.
   const auto running = static_cast<std::int64_t>(std::max<std::size_t>(aRunning, 1));
   const auto turns = static_cast<std::int64_t>(aRunning == 0 ? aAhead : aAhead + 1);
-  const RuntimeClock::duration wait = mRunTime * turns / running;
-  if (aNow >= aDeadline || aNow + wait + mRunTime > aDeadline) {
+  const RuntimeClock::duration wait = mExpectedRunTime * turns / running;
+  if (aNow >= aDeadline || aNow + wait + mExpectedRunTime > aDeadline) {
     return Refusal{RefusalReason::Deadline, std::chrono::ceil<Milliseconds>(wait)};
   }
   return {};
@@ -35,8 +35,8 @@
     offer.mDisplaced = DisplaceFor(aEntry);
     if (!offer.mDisplaced) {
       const auto running = static_cast<std::int64_t>(std::max<std::size_t>(aRunning, 1));
-      offer.mRefusal =
-        Refusal{RefusalReason::SlotsFull, std::chrono::ceil<Milliseconds>(mRunTime / running)};
+      offer.mRefusal = Refusal{RefusalReason::SlotsFull,
+                               std::chrono::ceil<Milliseconds>(mExpectedRunTime / running)};
       return offer;
     }
   }
@@ -46,7 +46,7 @@
 
 const QueueEntry* RequestQueue::Front() const
 {
-  for (const Lines& lines : mClasses) {
+  for (const CallerQueues& lines : mQueuesByClass) {
     if (!lines.empty()) {
       return &lines.front().mEntries.front();
     }
@@ -56,9 +56,9 @@
 
 QueueEntry RequestQueue::Pop()
 {
-  const auto lines = std::find_if(mClasses.begin(), mClasses.end(),
-                                  [](const Lines& aLines) { return !aLines.empty(); });
-  Line& line = lines->front();
+  const auto lines = std::find_if(mQueuesByClass.begin(), mQueuesByClass.end(),
+                                  [](const CallerQueues& aLines) { return !aLines.empty(); });
+  CallerQueue& line = lines->front();
   const QueueEntry entry = line.mEntries.front();
   line.mEntries.pop_front();
   --mSize;
@@ -73,7 +73,7 @@
 bool RequestQueue::Remove(std::uint64_t aToken)
 {
   const auto matches = [aToken](const QueueEntry& aEntry) { return aEntry.mToken == aToken; };
-  for (Lines& lines : mClasses) {
+  for (CallerQueues& lines : mQueuesByClass) {
     for (auto line = lines.begin(); line != lines.end(); ++line) {
       if (std::erase_if(line->mEntries, matches) == 0) {
         continue;
@@ -88,10 +88,10 @@
   return false;
 }
 
-void RequestQueue::Extend(std::uint64_t aToken, TimePoint aDeadline)
+void RequestQueue::SetDeadline(std::uint64_t aToken, TimePoint aDeadline)
 {
-  for (Lines& lines : mClasses) {
-    for (Line& line : lines) {
+  for (CallerQueues& lines : mQueuesByClass) {
+    for (CallerQueue& line : lines) {
       for (QueueEntry& entry : line.mEntries) {
         if (entry.mToken == aToken) {
           entry.mDeadline = aDeadline;
@@ -104,10 +104,10 @@
 std::vector<QueueEntry> RequestQueue::TakeOverdue(TimePoint aNow)
 {
   std::vector<QueueEntry> overdue;
-  for (const Lines& lines : mClasses) {
-    for (const Line& line : lines) {
+  for (const CallerQueues& lines : mQueuesByClass) {
+    for (const CallerQueue& line : lines) {
       for (const QueueEntry& entry : line.mEntries) {
-        if (aNow >= entry.mDeadline || aNow + mRunTime > entry.mDeadline) {
+        if (aNow >= entry.mDeadline || aNow + mExpectedRunTime > entry.mDeadline) {
           overdue.push_back(entry);
         }
       }
@@ -124,17 +124,19 @@
   // The latest run counts for an eighth: a few runs are enough to follow a change of speed, and one
   // slow run does not refuse the next requests.
   constexpr std::int64_t kShare = 8;
-  mRunTime = mRunTime.count() == 0 ? aRunTime : mRunTime + (aRunTime - mRunTime) / kShare;
+  mExpectedRunTime = mExpectedRunTime.count() == 0
+                       ? aRunTime
+                       : mExpectedRunTime + (aRunTime - mExpectedRunTime) / kShare;
 }
 
 void RequestQueue::Append(const QueueEntry& aEntry)
 {
-  Lines& lines = mClasses[static_cast<std::size_t>(aEntry.mClass)];
-  auto line = std::find_if(lines.begin(), lines.end(), [&aEntry](const Line& aLine) {
+  CallerQueues& lines = mQueuesByClass[static_cast<std::size_t>(aEntry.mClass)];
+  auto line = std::find_if(lines.begin(), lines.end(), [&aEntry](const CallerQueue& aLine) {
     return aLine.mCaller == aEntry.mCaller;
   });
   if (line == lines.end()) {
-    line = lines.insert(lines.end(), Line{aEntry.mCaller, {}});
+    line = lines.insert(lines.end(), CallerQueue{aEntry.mCaller, {}});
   }
   line->mEntries.push_back(aEntry);
   ++mSize;
@@ -143,16 +145,16 @@
 std::optional<QueueEntry> RequestQueue::DisplaceFor(const QueueEntry& aEntry)
 {
   const auto own = static_cast<std::size_t>(aEntry.mClass);
-  for (std::size_t index = mClasses.size(); index-- > own;) {
-    Lines& lines = mClasses[index];
+  for (std::size_t index = mQueuesByClass.size(); index-- > own;) {
+    CallerQueues& lines = mQueuesByClass[index];
     if (lines.empty()) {
       continue;
     }
-    const auto longest =
-      std::max_element(lines.begin(), lines.end(), [](const Line& aLeft, const Line& aRight) {
-        return aLeft.mEntries.size() < aRight.mEntries.size();
-      });
-    const auto same = std::find_if(lines.begin(), lines.end(), [&aEntry](const Line& aLine) {
+    const auto longest = std::max_element(lines.begin(), lines.end(),
+                                          [](const CallerQueue& aLeft, const CallerQueue& aRight) {
+                                            return aLeft.mEntries.size() < aRight.mEntries.size();
+                                          });
+    const auto same = std::find_if(lines.begin(), lines.end(), [&aEntry](const CallerQueue& aLine) {
       return aLine.mCaller == aEntry.mCaller;
     });
     const std::size_t held = same == lines.end() ? 0 : same->mEntries.size();
@@ -171,16 +173,16 @@
   const auto own = static_cast<std::size_t>(aEntry.mClass);
   std::size_t ahead = 0;
   for (std::size_t index = 0; index < own; ++index) {
-    for (const Line& line : mClasses[index]) {
+    for (const CallerQueue& line : mQueuesByClass[index]) {
       ahead += line.mEntries.size();
     }
   }
   std::size_t held = 0;
-  for (const Line& line : mClasses[own]) {
+  for (const CallerQueue& line : mQueuesByClass[own]) {
     held = line.mCaller == aEntry.mCaller ? line.mEntries.size() : held;
   }
   // With turns in rotation, no other caller gets more than held + 1 turns before this entry.
-  for (const Line& line : mClasses[own]) {
+  for (const CallerQueue& line : mQueuesByClass[own]) {
     const bool same = line.mCaller == aEntry.mCaller;
     ahead += same ? held : std::min(line.mEntries.size(), held + 1);
   }
--- a/lib/Request/RequestRecords.cpp
+++ b/lib/Request/RequestRecords.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-RequestRecord MakeRecord(RecordState aState, Attempt aAttempt, std::string aHolder)
+RequestRecord MakeRecord(RecordState aState, Attempt aAttempt, std::string aAgent)
 {
   RequestRecord record;
   record.mState = aState;
   record.mAttempt = aAttempt;
-  record.mHolder = std::move(aHolder);
+  record.mRunningAgent = std::move(aAgent);
   return record;
 }
 
@@ -34,21 +34,22 @@
   return found == mRecords.end() ? nullptr : &found->second;
 }
 
-IdKnowledge RequestRecords::Judge(const RequestId& aId, std::int64_t aWallMs, bool aMayHaveRun)
+IdFreshness RequestRecords::CheckFreshness(const RequestId& aId, std::int64_t aWallMs,
+                                           bool aMayHaveRun)
 {
   RaiseCutoff(aWallMs);
   const std::int64_t made = aId.TimestampMs();
   const bool lost = aMayHaveRun && made < mBucketStates[BucketFor(aId)].mCompleteSince;
   if (lost || made < mCutoffMs) {
-    return IdKnowledge::TooOld;
+    return IdFreshness::TooOld;
   }
-  return made > aWallMs + kClockSkewBound.count() ? IdKnowledge::InFuture : IdKnowledge::New;
+  return made > aWallMs + kClockSkewBound.count() ? IdFreshness::InFuture : IdFreshness::New;
 }
 
-bool RequestRecords::TryPending(const RequestId& aId, Attempt aAttempt)
+bool RequestRecords::TryAddPending(const RequestId& aId, Attempt aAttempt)
 {
-  const std::size_t others = mRecords.size() - mRefused;
-  if (others >= mLimits.mMaxRecords || mBytes + kMaxKeptAnswerBytes > mLimits.mMaxBytes) {
+  const std::size_t others = mRecords.size() - mRefusedCount;
+  if (others >= mLimits.mMaxRecords || mBytesInUse + kMaxKeptAnswerBytes > mLimits.mMaxBytes) {
     return false;
   }
   RequestRecord record = MakeRecord(RecordState::Pending, aAttempt, mSelf);
@@ -57,11 +58,11 @@
   return true;
 }
 
-bool RequestRecords::TryRefuse(const RequestId& aId, Attempt aAttempt, const Refusal& aRefusal)
+bool RequestRecords::TryMarkRefused(const RequestId& aId, Attempt aAttempt, const Refusal& aRefusal)
 {
   const RequestRecord* previous = Find(aId);
   const bool wasRefused = previous != nullptr && previous->mState == RecordState::Refused;
-  if (!wasRefused && mRefused >= mLimits.mMaxRefused) {
+  if (!wasRefused && mRefusedCount >= mLimits.mMaxRefused) {
     return false;
   }
   const Attempt covered = std::max(aAttempt, previous == nullptr ? 0 : previous->mAttempt);
@@ -71,14 +72,14 @@
   return true;
 }
 
-void RequestRecords::Join(const RequestId& aId, Attempt aAttempt)
+void RequestRecords::RaiseAttempt(const RequestId& aId, Attempt aAttempt)
 {
   if (const auto found = mRecords.find(aId); found != mRecords.end()) {
     found->second.mAttempt = std::max(found->second.mAttempt, aAttempt);
   }
 }
 
-void RequestRecords::Complete(const RequestId& aId, const UpstreamAnswer& aAnswer)
+void RequestRecords::MarkDone(const RequestId& aId, const UpstreamAnswer& aAnswer)
 {
   const RequestRecord* previous = Find(aId);
   RequestRecord record =
@@ -114,11 +115,12 @@
   }
 }
 
-std::vector<RequestId> RequestRecords::LoseHolder(const std::string& aHolder)
+std::vector<RequestId> RequestRecords::MarkAgentLost(const std::string& aAgent)
 {
   std::vector<RequestId> lost;
   for (const auto& [id, record] : mRecords) {
-    if (record.mState == RecordState::Pending && record.mHolder == aHolder && aHolder != mSelf) {
+    if (record.mState == RecordState::Pending && record.mRunningAgent == aAgent &&
+        aAgent != mSelf) {
       lost.push_back(id);
     }
   }
@@ -132,7 +134,7 @@
 
 bool RequestRecords::IsOwnPending(const RequestRecord& aRecord) const
 {
-  return aRecord.mState == RecordState::Pending && aRecord.mHolder == mSelf;
+  return aRecord.mState == RecordState::Pending && aRecord.mRunningAgent == mSelf;
 }
 
 std::size_t RequestRecords::BytesOf(const RequestRecord& aRecord) const
@@ -146,11 +148,11 @@
 void RequestRecords::Store(const RequestId& aId, RequestRecord aRecord)
 {
   Erase(aId);
-  if (mBytes + BytesOf(aRecord) > mLimits.mMaxBytes) {
+  if (mBytesInUse + BytesOf(aRecord) > mLimits.mMaxBytes) {
     aRecord.mAnswer.reset();
   }
-  mBytes += BytesOf(aRecord);
-  mRefused += aRecord.mState == RecordState::Refused ? 1 : 0;
+  mBytesInUse += BytesOf(aRecord);
+  mRefusedCount += aRecord.mState == RecordState::Refused ? 1 : 0;
   mRecords.emplace(aId, std::move(aRecord));
   mByAge.insert(aId);
 }
@@ -161,8 +163,8 @@
   if (found == mRecords.end()) {
     return;
   }
-  mBytes -= BytesOf(found->second);
-  mRefused -= found->second.mState == RecordState::Refused ? 1 : 0;
+  mBytesInUse -= BytesOf(found->second);
+  mRefusedCount -= found->second.mState == RecordState::Refused ? 1 : 0;
   mRecords.erase(found);
   mByAge.erase(aId);
 }
--- a/lib/Request/RetryBudget.cpp
+++ b/lib/Request/RetryBudget.cpp
@@ -40,18 +40,20 @@
 RetryBudget::Bucket& RetryBudget::BucketFor(const Key& aKey, TimePoint aNow)
 {
   if (const auto found = mBuckets.find(aKey); found != mBuckets.end()) {
-    mLeastRecent.splice(mLeastRecent.end(), mLeastRecent, found->second.mPlace);
+    mLeastRecentlyUsed.splice(mLeastRecentlyUsed.end(), mLeastRecentlyUsed,
+                              found->second.mPosition);
     return Refill(found->second, aNow);
   }
   if (mBuckets.size() >= mLimits.mMaxCallers) {
-    const auto oldest = mLeastRecent.empty() ? mBuckets.end() : mBuckets.find(mLeastRecent.front());
+    const auto oldest =
+      mLeastRecentlyUsed.empty() ? mBuckets.end() : mBuckets.find(mLeastRecentlyUsed.front());
     if (oldest == mBuckets.end() || aNow - oldest->second.mUpdated < mLimits.mIdle) {
       return Refill(mShared.try_emplace(aKey.first, Bucket{1, aNow, {}}).first->second, aNow);
     }
-    mLeastRecent.pop_front();
+    mLeastRecentlyUsed.pop_front();
     mBuckets.erase(oldest);
   }
-  const auto place = mLeastRecent.insert(mLeastRecent.end(), aKey);
+  const auto place = mLeastRecentlyUsed.insert(mLeastRecentlyUsed.end(), aKey);
   return mBuckets.emplace(aKey, Bucket{1, aNow, place}).first->second;
 }
 
--- a/unittests/Request/HomeCoreTest.cpp
+++ b/unittests/Request/HomeCoreTest.cpp
@@ -100,7 +100,7 @@
     const RequestId id = NewId();
     const RunId run = Start(id);
     CPPUNIT_ASSERT(Send(id, 2).empty());
-    const HomeActions ended = mCore->OnUpstreamAnswer(run, Whole("paid"), At(5));
+    const HomeActions ended = mCore->OnUpstreamAnswer(run, CompleteAnswer("paid"), At(5));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), All<AnswerSender>(ended).size());
     for (const Attempt attempt : {1, 2, 3}) {
       const HomeActions resent = Send(id, attempt, 10);
@@ -109,7 +109,7 @@
     }
     const RequestId large = NewId();
     const std::string body(kMaxKeptAnswerBytes + 1, 'x');
-    mCore->OnUpstreamAnswer(Start(large), Whole(body), At(20));
+    mCore->OnUpstreamAnswer(Start(large), CompleteAnswer(body), At(20));
     const RequestAnswer later = Only<AnswerSender>(Send(large, 2, 21)).mAnswer;
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), OutcomeName(later));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(body.size()), later.mDigest.value().mLength);
@@ -137,10 +137,10 @@
                          Outcome(mCore->OnUpstreamFailed(Start(lost), At(1))));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(Send(lost, 2, 2)));
     const RequestId cut = NewId();
-    CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
-                         Outcome(mCore->OnUpstreamAnswer(Start(cut), CutShort("pa"), At(1))));
+    CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(mCore->OnUpstreamAnswer(
+                                                   Start(cut), TruncatedAnswer("pa"), At(1))));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(Send(cut, 2, 2)));
-    ReceivedAnswer open = Whole("pa");
+    ReceivedAnswer open = CompleteAnswer("pa");
     open.mEndOfStream = false;
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
                          Outcome(mCore->OnUpstreamAnswer(Start(NewId()), open, At(1))));
@@ -170,7 +170,7 @@
     const RequestId id = NewId();
     const RunId run = Start(id);
     mCore->OnCancel(mHandle, At(1));
-    CPPUNIT_ASSERT(mCore->OnUpstreamAnswer(run, Whole("paid"), At(2)).empty());
+    CPPUNIT_ASSERT(mCore->OnUpstreamAnswer(run, CompleteAnswer("paid"), At(2)).empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Drops("late_answer"));
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), Outcome(Send(id, 2, 3)));
   }
@@ -189,7 +189,7 @@
     CPPUNIT_ASSERT(All<RunAtUpstream>(mCore->OnUpstreamFailed(run, At(1001))).empty());
     // A run that takes 900 ms makes a request with 800 ms left hopeless.
     const RunId slow = Only<RunAtUpstream>(Send(NewId(2000), 1, 2000)).mRun;
-    mCore->OnUpstreamAnswer(slow, Whole("slow"), At(2900));
+    mCore->OnUpstreamAnswer(slow, CompleteAnswer("slow"), At(2900));
     ArrivedRequest late;
     late.mId = NewId(3000);
     late.mRemaining = Milliseconds(800);
@@ -226,7 +226,7 @@
     CPPUNIT_ASSERT(RefusalReason::NoControl == Reason(lost));
     CPPUNIT_ASSERT_EQUAL(std::string("not_home"), Outcome(Send(NewId())));
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
-                         Outcome(mCore->OnUpstreamAnswer(run, Whole("a"), At(2))));
+                         Outcome(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(2))));
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), Outcome(Send(running, 2, 3)));
     mCore->OnLease(true, At(4));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<RunAtUpstream>(Send(NewId(), 1, 5)).size());
@@ -257,9 +257,10 @@
       CPPUNIT_ASSERT(replies[0].mAnswer == replies[1].mAnswer);
       return OutcomeName(replies[0].mAnswer);
     };
-    CPPUNIT_ASSERT_EQUAL(std::string("answered"), answer(0, RequestOutcome::Answered, Whole("a")));
+    CPPUNIT_ASSERT_EQUAL(std::string("answered"),
+                         answer(0, RequestOutcome::Answered, CompleteAnswer("a")));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
-                         answer(1, RequestOutcome::Answered, CutShort("a")));
+                         answer(1, RequestOutcome::Answered, TruncatedAnswer("a")));
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), answer(2, RequestOutcome::NotRun, {}));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), answer(3, RequestOutcome::Unknown, {}));
     CPPUNIT_ASSERT_EQUAL(
@@ -294,20 +295,22 @@
     const RunId run = Only<RunAtUpstream>(mCore->OnRequest(request, At(0))).mRun;
     request.mHandle = 502;
     CPPUNIT_ASSERT(mCore->OnRequest(request, At(0)).empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2),
-                         All<AnswerSender>(mCore->OnUpstreamAnswer(run, Whole("a"), At(1))).size());
+    CPPUNIT_ASSERT_EQUAL(
+      std::size_t(2),
+      All<AnswerSender>(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(1))).size());
   }
 
   // Guards against an answer given to another request.
   void CrossedAnswersAreDropped()
   {
     const RunId run = Start(NewId());
-    CPPUNIT_ASSERT(mCore->OnUpstreamAnswer(run + 1, Whole("b"), At(1)).empty());
+    CPPUNIT_ASSERT(mCore->OnUpstreamAnswer(run + 1, CompleteAnswer("b"), At(1)).empty());
     CPPUNIT_ASSERT(
-      mCore->OnAlternateAnswer(run, RequestOutcome::Answered, {}, Whole("b"), At(1)).empty());
+      mCore->OnAlternateAnswer(run, RequestOutcome::Answered, {}, CompleteAnswer("b"), At(1))
+        .empty());
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
-                         Outcome(mCore->OnUpstreamAnswer(run, Whole("a"), At(2))));
-    CPPUNIT_ASSERT(mCore->OnUpstreamAnswer(run, Whole("a"), At(3)).empty());
+                         Outcome(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(2))));
+    CPPUNIT_ASSERT(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(3)).empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(3), Drops("unmatched_answer"));
   }
 
@@ -319,7 +322,7 @@
     limits.mMaxRefused = 1;
     Reset(limits);
     const RequestId kept = NewId();
-    mCore->OnUpstreamAnswer(Start(kept), Whole("a"), At(1));
+    mCore->OnUpstreamAnswer(Start(kept), CompleteAnswer("a"), At(1));
     const RequestId refused = NewId();
     CPPUNIT_ASSERT(RefusalReason::RecordsFull == Reason(Send(refused, 1, 2)));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(Send(NewId(), 1, 2)));
@@ -338,9 +341,9 @@
     Send(NewId());
     mCore->OnPlannedStop(At(1));
     CPPUNIT_ASSERT(RefusalReason::Draining == Reason(Send(NewId(), 1, 2)));
-    const HomeActions next = mCore->OnUpstreamAnswer(run, Whole("a"), At(3));
+    const HomeActions next = mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(3));
     const HomeActions last =
-      mCore->OnUpstreamAnswer(Only<RunAtUpstream>(next).mRun, Whole("b"), At(4));
+      mCore->OnUpstreamAnswer(Only<RunAtUpstream>(next).mRun, CompleteAnswer("b"), At(4));
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), Outcome(last));
     CPPUNIT_ASSERT(!mCore->Active());
   }
@@ -354,7 +357,7 @@
     mCore->OnLease(false, At(0));
     const RunId run = Only<RunAtUpstream>(mCore->OnRequest(request, At(0))).mRun;
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
-                         Outcome(mCore->OnUpstreamAnswer(run, Whole("a"), At(1))));
+                         Outcome(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(1))));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), mCore->Records().Size());
   }
 
--- a/unittests/Request/RelayCoreTest.cpp
+++ b/unittests/Request/RelayCoreTest.cpp
@@ -88,17 +88,19 @@
   {
     const AttemptKey key = Sent().mKey;
     const AttemptKey other = Sent().mKey;
-    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, CutShort("a")).empty());
+    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, TruncatedAnswer("a")).empty());
     const AttemptKey second = Next().mKey;
     CPPUNIT_ASSERT(second.mId == key.mId && second.mAttempt > key.mAttempt);
-    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, Whole("late")).empty());
+    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, CompleteAnswer("late")).empty());
     CPPUNIT_ASSERT(
-      Answer({key.mId, second.mAttempt + 1}, RequestOutcome::Answered, Whole("x")).empty());
-    const auto answer = Only<AnswerCaller>(Answer(second, RequestOutcome::Answered, Whole("a")));
+      Answer({key.mId, second.mAttempt + 1}, RequestOutcome::Answered, CompleteAnswer("x"))
+        .empty());
+    const auto answer =
+      Only<AnswerCaller>(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")));
     CPPUNIT_ASSERT(answer.mId == key.mId && answer.mAnswer.mAnswer.mBody == BytesOf("a"));
-    CPPUNIT_ASSERT(Answer(second, RequestOutcome::Answered, Whole("a")).empty());
+    CPPUNIT_ASSERT(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
-                         Outcome(Answer(other, RequestOutcome::Answered, Whole("b"))));
+                         Outcome(Answer(other, RequestOutcome::Answered, CompleteAnswer("b"))));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestDrops, "late_answer"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), Count(metric::kRequestDrops, "unmatched_answer"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestRetries, "link_lost"));
@@ -178,8 +180,9 @@
                          Outcome(Answer(sent.mKey, RequestOutcome::Cancelled)));
     const SendToAgent raced = Sent();
     mCore->OnCallerCancelled(mHandle, At(1));
-    CPPUNIT_ASSERT_EQUAL(std::string("answered"),
-                         Outcome(Answer(raced.mKey, RequestOutcome::Answered, Whole("a"))));
+    CPPUNIT_ASSERT_EQUAL(
+      std::string("answered"),
+      Outcome(Answer(raced.mKey, RequestOutcome::Answered, CompleteAnswer("a"))));
     const SendToAgent lost = Sent();
     mCore->OnCallerCancelled(mHandle, At(1));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
--- a/unittests/Request/RequestHistory.cpp
+++ b/unittests/Request/RequestHistory.cpp
@@ -13,9 +13,9 @@
                  const IdHistory::Run& aRun)
 {
   if (aHistory.mIdempotent) {
-    return aRun.mAttempt >> kTryBits == aClaim.mCovers >> kTryBits;
+    return aRun.mAttempt >> kTryBits == aClaim.mLastAttempt >> kTryBits;
   }
-  return aRun.mAttempt <= aClaim.mCovers;
+  return aRun.mAttempt <= aClaim.mLastAttempt;
 }
 
 std::string CheckClaim(const IdHistory& aHistory, const IdHistory::Claim& aClaim)
@@ -25,7 +25,7 @@
     case RequestOutcome::Answered:
       return std::any_of(runs.begin(), runs.end(),
                          [&aClaim](const IdHistory::Run& aRun) {
-                           return !aRun.mProduced.empty() && aRun.mProduced == aClaim.mBody;
+                           return !aRun.mAnswer.empty() && aRun.mAnswer == aClaim.mBody;
                          })
                ? ""
                : "an answer that no run produced";
@@ -43,21 +43,22 @@
 
 } // namespace
 
-std::size_t RequestHistory::Started(const RequestId& aId, Attempt aAttempt)
+std::size_t RequestHistory::AddRun(const RequestId& aId, Attempt aAttempt)
 {
   auto& runs = mIds[aId].mRuns;
   runs.push_back({aAttempt, {}});
   return runs.size() - 1;
 }
 
-void RequestHistory::Produced(const RequestId& aId, std::size_t aRun, Bytes aBody)
+void RequestHistory::SetAnswer(const RequestId& aId, std::size_t aRun, Bytes aBody)
 {
-  mIds[aId].mRuns.at(aRun).mProduced = std::move(aBody);
+  mIds[aId].mRuns.at(aRun).mAnswer = std::move(aBody);
 }
 
-void RequestHistory::Claimed(const RequestId& aId, Attempt aCovers, const RequestAnswer& aAnswer)
+void RequestHistory::AddClaim(const RequestId& aId, Attempt aLastAttempt,
+                              const RequestAnswer& aAnswer)
 {
-  mIds[aId].mClaims.push_back({aCovers, aAnswer.mOutcome, aAnswer.mAnswer.mBody});
+  mIds[aId].mClaims.push_back({aLastAttempt, aAnswer.mOutcome, aAnswer.mAnswer.mBody});
 }
 
 std::vector<std::string> RequestHistory::Check() const
--- a/unittests/Request/RequestHistory.h
+++ b/unittests/Request/RequestHistory.h
@@ -17,11 +17,11 @@
   struct Run
   {
     Attempt mAttempt = 0;
-    Bytes mProduced; ///< Empty when the run did not end.
+    Bytes mAnswer; ///< Empty when the run did not end.
   };
   struct Claim
   {
-    Attempt mCovers = 0; ///< Highest attempt that the claim is about.
+    Attempt mLastAttempt = 0; ///< Highest attempt that the claim is about.
     RequestOutcome mOutcome = RequestOutcome::Unknown;
     Bytes mBody;
   };
@@ -34,12 +34,12 @@
 class RequestHistory
 {
 public:
-  void Sent(const RequestId& aId, bool aIdempotent) { mIds[aId].mIdempotent = aIdempotent; }
+  void AddRequest(const RequestId& aId, bool aIdempotent) { mIds[aId].mIdempotent = aIdempotent; }
   /// An upstream begins to run a request; returns the number of the run within its id.
-  std::size_t Started(const RequestId& aId, Attempt aAttempt);
-  void Produced(const RequestId& aId, std::size_t aRun, Bytes aBody);
-  /// Someone stated an outcome for all attempts up to aCovers.
-  void Claimed(const RequestId& aId, Attempt aCovers, const RequestAnswer& aAnswer);
+  std::size_t AddRun(const RequestId& aId, Attempt aAttempt);
+  void SetAnswer(const RequestId& aId, std::size_t aRun, Bytes aBody);
+  /// Someone stated an outcome for all attempts up to aLastAttempt.
+  void AddClaim(const RequestId& aId, Attempt aLastAttempt, const RequestAnswer& aAnswer);
 
   /// The violations found, one text each.
   std::vector<std::string> Check() const;
--- a/unittests/Request/RequestHistoryTest.cpp
+++ b/unittests/Request/RequestHistoryTest.cpp
@@ -21,13 +21,13 @@
   RequestId Id(bool aIdempotent = false)
   {
     const RequestId id = RequestId::Make(kWallStartMs, mRandom);
-    mHistory.Sent(id, aIdempotent);
+    mHistory.AddRequest(id, aIdempotent);
     return id;
   }
 
   void Run(const RequestId& aId, Attempt aAttempt, std::string_view aBody)
   {
-    mHistory.Produced(aId, mHistory.Started(aId, aAttempt), BytesOf(aBody));
+    mHistory.SetAnswer(aId, mHistory.AddRun(aId, aAttempt), BytesOf(aBody));
   }
 
   std::size_t Violations() const { return mHistory.Check().size(); }
@@ -36,10 +36,10 @@
   void CorrectHistoryIsAccepted()
   {
     const RequestId id = Id();
-    mHistory.Claimed(id, MakeAttempt(1, 0), NotRunBecause({}));
+    mHistory.AddClaim(id, MakeAttempt(1, 0), NotRunBecause({}));
     Run(id, MakeAttempt(1, 1), "a");
-    mHistory.Claimed(id, MakeAttempt(1, 1), AnsweredWith({200, "", BytesOf("a")}));
-    mHistory.Claimed(id, MakeAttempt(2, 0), UnknownOutcome());
+    mHistory.AddClaim(id, MakeAttempt(1, 1), AnsweredReply({200, "", BytesOf("a")}));
+    mHistory.AddClaim(id, MakeAttempt(2, 0), UnknownReply());
     const RequestId idempotent = Id(true);
     Run(idempotent, MakeAttempt(1, 0), "b");
     Run(idempotent, MakeAttempt(1, 1), "c");
@@ -51,7 +51,7 @@
   {
     const RequestId id = Id();
     Run(id, 1, "a");
-    mHistory.Started(id, 2);
+    mHistory.AddRun(id, 2);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
   }
 
@@ -62,13 +62,13 @@
     const RequestId second = Id();
     Run(first, 1, "a");
     Run(second, 1, "b");
-    mHistory.Claimed(first, 1, AnsweredWith({200, "", BytesOf("b")}));
+    mHistory.AddClaim(first, 1, AnsweredReply({200, "", BytesOf("b")}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
     const RequestId open = Id();
-    mHistory.Started(open, 1);
-    mHistory.Claimed(open, 1, AnsweredWith({200, "", {}}));
+    mHistory.AddRun(open, 1);
+    mHistory.AddClaim(open, 1, AnsweredReply({200, "", {}}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), Violations());
-    mHistory.Claimed(first, 1, AnsweredWith({200, "", BytesOf("a-")}));
+    mHistory.AddClaim(first, 1, AnsweredReply({200, "", BytesOf("a-")}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), Violations());
   }
 
@@ -77,12 +77,12 @@
   void RunOfRefusedAttemptIsRefused()
   {
     const RequestId later = Id();
-    mHistory.Claimed(later, 3, NotRunBecause({}));
+    mHistory.AddClaim(later, 3, NotRunBecause({}));
     Run(later, 3, "a");
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
     const RequestId earlier = Id();
     Run(earlier, 2, "a");
-    mHistory.Claimed(earlier, 3, CancelledOutcome());
+    mHistory.AddClaim(earlier, 3, CancelledReply());
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), Violations());
   }
 
@@ -91,9 +91,9 @@
   {
     const RequestId id = Id(true);
     Run(id, MakeAttempt(1, 3), "a");
-    mHistory.Claimed(id, MakeAttempt(2, 255), NotRunBecause({}));
+    mHistory.AddClaim(id, MakeAttempt(2, 255), NotRunBecause({}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Violations());
-    mHistory.Claimed(id, MakeAttempt(1, 255), NotRunBecause({}));
+    mHistory.AddClaim(id, MakeAttempt(1, 255), NotRunBecause({}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
   }
 
--- a/unittests/Request/RequestRecordsTest.cpp
+++ b/unittests/Request/RequestRecordsTest.cpp
@@ -26,7 +26,7 @@
   static RequestRecords Owner(const char* aName, RecordLimits aLimits = {})
   {
     RequestRecords records(aName, kBuckets, aLimits);
-    records.CompleteFirst(0, 1);
+    records.AcquireAsFirstOwner(0, 1);
     return records;
   }
 
@@ -45,10 +45,10 @@
     std::vector<RequestId> ids;
     for (int i = 0; i < 4; ++i) {
       ids.push_back(NewId());
-      CPPUNIT_ASSERT(from.TryPending(ids.back(), 5));
+      CPPUNIT_ASSERT(from.TryAddPending(ids.back(), 5));
     }
-    from.Complete(ids[1], {200, "text/plain", {0, 255, 10}});
-    CPPUNIT_ASSERT(from.TryRefuse(ids[2], 5, {RefusalReason::Cold, Milliseconds(9)}));
+    from.MarkDone(ids[1], {200, "text/plain", {0, 255, 10}});
+    CPPUNIT_ASSERT(from.TryMarkRefused(ids[2], 5, {RefusalReason::Cold, Milliseconds(9)}));
     from.MarkUnknown(ids[3]);
     RequestRecords to("b", kBuckets);
     to.Acquire(0, 2);
@@ -59,7 +59,7 @@
     }
     CPPUNIT_ASSERT(RecordBucketState::Frozen == from.StateOf(0));
     CPPUNIT_ASSERT(RecordBucketState::Complete == to.StateOf(0));
-    from.Complete(ids[0], {200, "", {1}});
+    from.MarkDone(ids[0], {200, "", {1}});
     CPPUNIT_ASSERT(to.MergeRecord(from.ExportRecord(ids[0]), "a"));
     CPPUNIT_ASSERT(RecordState::Done == to.Find(ids[0])->mState);
   }
@@ -74,7 +74,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), b.Import(early, "a").value().size());
     a.Acquire(0, 3);
     CPPUNIT_ASSERT(a.Import(Exported(b.FreezeAndExport({0}, "a", 3, kWallStartMs)), "b"));
-    CPPUNIT_ASSERT(a.TryPending(NewId(), 1));
+    CPPUNIT_ASSERT(a.TryAddPending(NewId(), 1));
     b.Acquire(0, 4);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), b.Import(early, "a").value().size());
     CPPUNIT_ASSERT(RecordBucketState::Incomplete == b.StateOf(0));
@@ -102,28 +102,28 @@
   {
     RequestRecords a = Owner("a");
     const RequestId id = NewId();
-    CPPUNIT_ASSERT(a.TryPending(id, 1));
-    a.Complete(id, {});
+    CPPUNIT_ASSERT(a.TryAddPending(id, 1));
+    a.MarkDone(id, {});
     a.Expire(kWallStartMs + 600'001);
     CPPUNIT_ASSERT(a.Find(id) == nullptr);
     RequestRecords b("b", kBuckets);
     b.Acquire(0, 2);
     CPPUNIT_ASSERT(b.Import(Exported(a.FreezeAndExport({0}, "b", 2, kWallStartMs + 600'001)), "a"));
-    CPPUNIT_ASSERT(IdKnowledge::TooOld == b.Judge(id, kWallStartMs + 590'000));
+    CPPUNIT_ASSERT(IdFreshness::TooOld == b.CheckFreshness(id, kWallStartMs + 590'000));
   }
 
   // Guards against running an id that a lost owner may have run.
   void LostBucketForgetsUntilSkewBound()
   {
     RequestRecords records("a", kBuckets);
-    records.CompleteAfterLoss(0, kWallStartMs);
+    records.CompleteWithoutTransfer(0, kWallStartMs);
     CPPUNIT_ASSERT(RecordBucketState::NotOwned == records.StateOf(0));
     records.Acquire(0, 2);
-    records.CompleteAfterLoss(0, kWallStartMs);
+    records.CompleteWithoutTransfer(0, kWallStartMs);
     CPPUNIT_ASSERT_EQUAL(kWallStartMs + 30'000, records.CompleteSince(0));
-    CPPUNIT_ASSERT(IdKnowledge::TooOld == records.Judge(NewId(29'999), kWallStartMs));
-    CPPUNIT_ASSERT(IdKnowledge::New == records.Judge(NewId(30'000), kWallStartMs));
-    CPPUNIT_ASSERT(IdKnowledge::InFuture == records.Judge(NewId(30'001), kWallStartMs));
+    CPPUNIT_ASSERT(IdFreshness::TooOld == records.CheckFreshness(NewId(29'999), kWallStartMs));
+    CPPUNIT_ASSERT(IdFreshness::New == records.CheckFreshness(NewId(30'000), kWallStartMs));
+    CPPUNIT_ASSERT(IdFreshness::InFuture == records.CheckFreshness(NewId(30'001), kWallStartMs));
   }
 
   // Guards against a second run of hundreds of requests that were pending at a restart, and against
@@ -134,7 +134,7 @@
     std::vector<RequestId> ids;
     for (int i = 0; i < 500; ++i) {
       ids.push_back(NewId());
-      CPPUNIT_ASSERT(old.TryPending(ids.back(), 1));
+      CPPUNIT_ASSERT(old.TryAddPending(ids.back(), 1));
     }
     const Bytes wire = EncodeCbor(old.ExportAll(kWallStartMs));
     RequestRecords fresh("a", kBuckets);
@@ -144,7 +144,7 @@
     for (const RequestId& id : ids) {
       CPPUNIT_ASSERT(RecordState::Unknown == fresh.Find(id)->mState);
     }
-    old.Complete(ids[0], {200, "", {1}});
+    old.MarkDone(ids[0], {200, "", {1}});
     CPPUNIT_ASSERT(fresh.MergeRecord(old.ExportRecord(ids[0]), "peer"));
     CPPUNIT_ASSERT(RecordState::Done == fresh.Find(ids[0])->mState);
   }
@@ -156,10 +156,10 @@
     limits.mMaxBytes = 2 * kMaxKeptAnswerBytes + 10;
     RequestRecords records = Owner("a", limits);
     const std::vector<RequestId> ids{NewId(), NewId(), NewId()};
-    CPPUNIT_ASSERT(records.TryPending(ids[0], 1) && records.TryPending(ids[1], 1));
-    CPPUNIT_ASSERT(!records.TryPending(ids[2], 1));
+    CPPUNIT_ASSERT(records.TryAddPending(ids[0], 1) && records.TryAddPending(ids[1], 1));
+    CPPUNIT_ASSERT(!records.TryAddPending(ids[2], 1));
     for (int i = 0; i < 2; ++i) {
-      records.Complete(ids[i], {200, "", Bytes(kMaxKeptAnswerBytes, 1)});
+      records.MarkDone(ids[i], {200, "", Bytes(kMaxKeptAnswerBytes, 1)});
       CPPUNIT_ASSERT(records.Find(ids[i])->mAnswer.has_value());
     }
     CPPUNIT_ASSERT_EQUAL(2 * kMaxKeptAnswerBytes, records.BytesInUse());
@@ -172,15 +172,15 @@
   {
     RequestRecords a = Owner("a");
     const RequestId id = NewId();
-    CPPUNIT_ASSERT(a.TryRefuse(id, 1, {}));
+    CPPUNIT_ASSERT(a.TryMarkRefused(id, 1, {}));
     const Json refused = a.ExportRecord(id);
-    CPPUNIT_ASSERT(a.TryPending(id, 2));
+    CPPUNIT_ASSERT(a.TryAddPending(id, 2));
     RequestRecords b("b", kBuckets);
     CPPUNIT_ASSERT(b.MergeRecord(a.ExportRecord(id), "a"));
     CPPUNIT_ASSERT(b.MergeRecord(refused, "a"));
     CPPUNIT_ASSERT(RecordState::Pending == b.Find(id)->mState);
-    b.Join(id, 3);
-    CPPUNIT_ASSERT(a.TryRefuse(id, 2, {}));
+    b.RaiseAttempt(id, 3);
+    CPPUNIT_ASSERT(a.TryMarkRefused(id, 2, {}));
     CPPUNIT_ASSERT(b.MergeRecord(a.ExportRecord(id), "a"));
     CPPUNIT_ASSERT(RecordState::Refused == b.Find(id)->mState);
     CPPUNIT_ASSERT_EQUAL(Attempt(3), b.Find(id)->mAttempt);
@@ -191,8 +191,8 @@
   {
     RequestRecords a = Owner("a");
     const RequestId id = NewId();
-    CPPUNIT_ASSERT(a.TryPending(id, 1));
-    a.Complete(id, {200, "", Bytes(20, 7)});
+    CPPUNIT_ASSERT(a.TryAddPending(id, 1));
+    a.MarkDone(id, {200, "", Bytes(20, 7)});
     const Bytes valid = EncodeCbor(Exported(a.FreezeAndExport({0}, "b", 2, kWallStartMs)));
     std::size_t refused = 0;
     for (int round = 0; round < 3000; ++round) {
--- a/unittests/Request/RequestTestSupport.h
+++ b/unittests/Request/RequestTestSupport.h
@@ -50,13 +50,13 @@
 }
 
 /// An answer whose stream ended properly.
-inline ReceivedAnswer Whole(std::string_view aText)
+inline ReceivedAnswer CompleteAnswer(std::string_view aText)
 {
   return {UpstreamAnswer{200, "text/plain", BytesOf(aText)}, aText.size(), true};
 }
 
 /// An answer whose stream ended before its declared length.
-inline ReceivedAnswer CutShort(std::string_view aText)
+inline ReceivedAnswer TruncatedAnswer(std::string_view aText)
 {
   return {UpstreamAnswer{200, "text/plain", BytesOf(aText)}, aText.size() + 1, true};
 }
--- a/unittests/Request/RequestWorld.cpp
+++ b/unittests/Request/RequestWorld.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-RequestWorld::RequestWorld(std::uint64_t aSeed, std::optional<Scenario> aScenario)
+RequestSimulation::RequestSimulation(std::uint64_t aSeed, std::optional<Scenario> aScenario)
   : mScenario(aScenario)
   , mRandom(aSeed)
   , mTransfers(kBuckets)
@@ -38,33 +38,33 @@
   }
 }
 
-RequestWorld::~RequestWorld() = default;
+RequestSimulation::~RequestSimulation() = default;
 
-std::int64_t RequestWorld::Delay()
+std::int64_t RequestSimulation::Delay()
 {
   // Most messages take milliseconds, a few a good part of a request's deadline.
   return static_cast<std::int64_t>(Chance(0.05) ? mRandom.Below(400'000)
                                                 : 500 + mRandom.Below(8'000));
 }
 
-void RequestWorld::After(std::int64_t aDelay, Task aTask)
+void RequestSimulation::After(std::int64_t aDelay, Task aTask)
 {
   mEvents.push({mNow + aDelay, mOrder++, std::move(aTask)});
 }
 
-RequestTime RequestWorld::Time(std::int64_t aWallOffsetMs) const
+RequestTime RequestSimulation::Time(std::int64_t aWallOffsetMs) const
 {
   RequestTime time = At(mNow / 1000 + aWallOffsetMs);
   time.mNow = TimePoint(std::chrono::microseconds(1'000'000'000 + mNow));
   return time;
 }
 
-RequestTime RequestWorld::TimeOf(const Agent& aAgent) const
+RequestTime RequestSimulation::TimeOf(const Agent& aAgent) const
 {
   return Time(aAgent.mWallOffsetMs);
 }
 
-void RequestWorld::ScheduleTicks(std::int64_t aStart)
+void RequestSimulation::ScheduleTicks(std::int64_t aStart)
 {
   for (std::int64_t at = aStart; at < aStart + kBurstUs; at += kTickUs) {
     After(at, [this] {
@@ -80,7 +80,7 @@
   }
 }
 
-void RequestWorld::Run()
+void RequestSimulation::Run()
 {
   if (mScenario) {
     After(Scenario::kRequestUs, [this] { NewRequest(); });
--- a/unittests/Request/RequestWorld.h
+++ b/unittests/Request/RequestWorld.h
@@ -13,7 +13,7 @@
 namespace dandelionslip::requesttest {
 
 /// How often something worth checking happened; summed over seeds so that a test can require it.
-struct WorldTotals
+struct SimulationTotals
 {
   std::size_t mRequests = 0;
   std::size_t mRuns = 0;
@@ -51,17 +51,17 @@
 };
 
 /// One seeded run. Time is in microseconds since its start.
-class RequestWorld
+class RequestSimulation
 {
 public:
   /// Without a scenario, many requests meet many faults.
-  explicit RequestWorld(std::uint64_t aSeed, std::optional<Scenario> aScenario = {});
-  ~RequestWorld();
+  explicit RequestSimulation(std::uint64_t aSeed, std::optional<Scenario> aScenario = {});
+  ~RequestSimulation();
 
   void Run();
 
   const RequestHistory& History() const { return mHistory; }
-  const WorldTotals& Totals() const { return mTotals; }
+  const SimulationTotals& Totals() const { return mTotals; }
 
 private:
   static constexpr std::size_t kAgents = 3;
@@ -73,7 +73,7 @@
   struct Call;
   struct UpstreamRun;
   struct Transfer;
-  using Replied = std::function<void(const RequestAnswer&)>;
+  using OnReply = std::function<void(const RequestAnswer&)>;
   using Task = std::function<void()>;
   struct Event
   {
@@ -97,7 +97,7 @@
   void ScheduleBurst(std::int64_t aStart);
   void NewRequest();
   void SendCall(const std::shared_ptr<Call>& aCall);
-  void Withdraw(std::size_t aBalancer, ReplyHandle aHandle, std::int64_t aDelay);
+  void ScheduleCancel(std::size_t aBalancer, ReplyHandle aHandle, std::int64_t aDelay);
   void OnCallerReply(std::size_t aBalancer, const AnswerCaller& aReply);
   void PerformRelay(std::size_t aBalancer, const RelayActions& aActions);
   void SendAttempt(std::size_t aBalancer, const SendToAgent& aSend);
@@ -105,9 +105,9 @@
 
   // Agents and upstreams (RequestWorldAgents.cpp).
   void StartAgent(std::size_t aAgent);
-  void Deliver(std::size_t aAgent, const ArrivedRequest& aRequest, const Replied& aReplied,
+  void Deliver(std::size_t aAgent, const ArrivedRequest& aRequest, const OnReply& aOnReply,
                const Task& aLost, const AttemptKey& aKey);
-  void Arrive(std::size_t aAgent, ArrivedRequest aRequest, Replied aReplied, Task aLost,
+  void Arrive(std::size_t aAgent, ArrivedRequest aRequest, OnReply aOnReply, Task aLost,
               const AttemptKey& aKey);
   void PerformHome(std::size_t aAgent, const HomeActions& aActions);
   void PerformAnswer(std::size_t aAgent, const AnswerSender& aAnswer);
@@ -117,7 +117,7 @@
   void CancelRunAt(std::size_t aAgent, RunId aRun);
   void CancelAt(std::size_t aAgent, const AttemptKey& aKey);
   void DropLinks(std::size_t aAgent);
-  ReceivedAnswer OnTheWire(const UpstreamAnswer& aAnswer);
+  ReceivedAnswer Transmit(const UpstreamAnswer& aAnswer);
 
   // Ownership and failures (RequestWorldControl.cpp).
   void ScheduleFaults(std::int64_t aStart);
@@ -129,7 +129,7 @@
   void MoveBuckets();
   void AskForBucket(std::uint32_t aBucket, std::uint32_t aGeneration);
   void CrashAgent(std::size_t aAgent);
-  void CutOff(std::size_t aAgent);
+  void CutOffFromControl(std::size_t aAgent);
   void RestartAgent(std::size_t aAgent);
   void FinishRestart(std::size_t aAgent, std::int64_t aGiveUpAt);
   void CrashUpstream(std::size_t aAgent);
@@ -149,7 +149,7 @@
   ReplyHandle mNextHandle = 1;
   std::vector<std::shared_ptr<Call>> mCalls;
   RequestHistory mHistory;
-  WorldTotals mTotals;
+  SimulationTotals mTotals;
 };
 
 } // namespace dandelionslip::requesttest
--- a/unittests/Request/RequestWorldAgents.cpp
+++ b/unittests/Request/RequestWorldAgents.cpp
@@ -3,7 +3,7 @@
 
 namespace dandelionslip::requesttest {
 
-void RequestWorld::StartAgent(std::size_t aAgent)
+void RequestSimulation::StartAgent(std::size_t aAgent)
 {
   Agent& agent = *mAgents[aAgent];
   HomeSettings settings;
@@ -23,15 +23,15 @@
 }
 
 // Sends a request with delays, loss of the link and, for recorded requests, duplicates.
-void RequestWorld::Deliver(std::size_t aAgent, const ArrivedRequest& aRequest,
-                           const Replied& aReplied, const Task& aLost, const AttemptKey& aKey)
+void RequestSimulation::Deliver(std::size_t aAgent, const ArrivedRequest& aRequest,
+                                const OnReply& aOnReply, const Task& aLost, const AttemptKey& aKey)
 {
   const int copies = !aRequest.mIdempotent && Chance(0.1) ? 2 : 1;
   const bool linkFails = Chance(0.06);
   for (int i = 0; i < copies; ++i) {
     if (!linkFails || Chance(0.5)) {
-      After(Delay(), [this, aAgent, aRequest, aReplied, aLost, aKey] {
-        Arrive(aAgent, aRequest, aReplied, aLost, aKey);
+      After(Delay(), [this, aAgent, aRequest, aOnReply, aLost, aKey] {
+        Arrive(aAgent, aRequest, aOnReply, aLost, aKey);
       });
     }
   }
@@ -40,8 +40,8 @@
   }
 }
 
-void RequestWorld::Arrive(std::size_t aAgent, ArrivedRequest aRequest, Replied aReplied, Task aLost,
-                          const AttemptKey& aKey)
+void RequestSimulation::Arrive(std::size_t aAgent, ArrivedRequest aRequest, OnReply aOnReply,
+                               Task aLost, const AttemptKey& aKey)
 {
   Agent& agent = *mAgents[aAgent];
   if (!agent.mCore) {
@@ -50,11 +50,11 @@
   }
   aRequest.mHandle = mNextHandle++;
   agent.mReplies[aRequest.mHandle] = {aKey, !aRequest.mIdempotent && !aRequest.mRelayed,
-                                      std::move(aReplied), std::move(aLost)};
+                                      std::move(aOnReply), std::move(aLost)};
   PerformHome(aAgent, agent.mCore->OnRequest(std::move(aRequest), TimeOf(agent)));
 }
 
-void RequestWorld::PerformHome(std::size_t aAgent, const HomeActions& aActions)
+void RequestSimulation::PerformHome(std::size_t aAgent, const HomeActions& aActions)
 {
   for (const HomeAction& action : aActions) {
     if (const auto* run = std::get_if<RunAtUpstream>(&action)) {
@@ -79,18 +79,18 @@
   }
 }
 
-void RequestWorld::PerformAnswer(std::size_t aAgent, const AnswerSender& aAnswer)
+void RequestSimulation::PerformAnswer(std::size_t aAgent, const AnswerSender& aAnswer)
 {
   const auto open = mAgents[aAgent]->mReplies.extract(aAnswer.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const OpenReply& reply = open.mapped();
   if (reply.mRecorded) {
-    mHistory.Claimed(reply.mKey.mId, reply.mKey.mAttempt, aAnswer.mAnswer);
+    mHistory.AddClaim(reply.mKey.mId, reply.mKey.mAttempt, aAnswer.mAnswer);
   }
-  reply.mReplied(aAnswer.mAnswer);
+  reply.mOnReply(aAnswer.mAnswer);
 }
 
-void RequestWorld::RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun)
+void RequestSimulation::RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun)
 {
   auto run = std::make_shared<UpstreamRun>();
   mAgents[aAgent]->mRuns[aRun.mRun] = run;
@@ -110,15 +110,15 @@
       EndRun(aAgent, number, failed);
       return;
     }
-    const std::size_t index = mHistory.Started(aRun.mId, aRun.mAttempt);
+    const std::size_t index = mHistory.AddRun(aRun.mId, aRun.mAttempt);
     ++mTotals.mRuns;
     const std::string body = aRun.mId.ToString() + "#" + std::to_string(index);
     After(10'000 + Delay() * 4, [this, run, aRun, aAgent, number, index, body] {
       if (run->mEnded) {
         return;
       }
-      mHistory.Produced(aRun.mId, index, BytesOf(body));
-      const ReceivedAnswer received = OnTheWire({200, "text/plain", BytesOf(body)});
+      mHistory.SetAnswer(aRun.mId, index, BytesOf(body));
+      const ReceivedAnswer received = Transmit({200, "text/plain", BytesOf(body)});
       EndRun(aAgent, number, [this, number, received](HomeCore& aCore) {
         return aCore.OnUpstreamAnswer(number, received, Time(0));
       });
@@ -127,8 +127,8 @@
 }
 
 // Reports the end of a run to the process that started it, after a delay.
-void RequestWorld::EndRun(std::size_t aAgent, RunId aRun,
-                          std::function<HomeActions(HomeCore&)> aEnd)
+void RequestSimulation::EndRun(std::size_t aAgent, RunId aRun,
+                               std::function<HomeActions(HomeCore&)> aEnd)
 {
   const auto found = mAgents[aAgent]->mRuns.find(aRun);
   if (found == mAgents[aAgent]->mRuns.end()) {
@@ -145,7 +145,7 @@
   });
 }
 
-void RequestWorld::Relay(std::size_t aAgent, const RelayToAlternate& aRelay)
+void RequestSimulation::Relay(std::size_t aAgent, const RelayToAlternate& aRelay)
 {
   auto run = std::make_shared<UpstreamRun>();
   mAgents[aAgent]->mRuns[aRelay.mRun] = run;
@@ -175,12 +175,12 @@
   run->mAlternate = std::pair(to, key);
   // The first of several replies ends the run; EndRun ignores the others.
   const std::uint64_t incarnation = mAgents[aAgent]->mIncarnation;
-  const auto replied = [this, aAgent, number, incarnation](const RequestAnswer& aAnswer) {
+  const auto onReply = [this, aAgent, number, incarnation](const RequestAnswer& aAnswer) {
     if (mAgents[aAgent]->mIncarnation != incarnation) {
       return;
     }
     EndRun(aAgent, number,
-           [this, number, aAnswer, received = OnTheWire(aAnswer.mAnswer)](HomeCore& aCore) {
+           [this, number, aAnswer, received = Transmit(aAnswer.mAnswer)](HomeCore& aCore) {
              return aCore.OnAlternateAnswer(
                number, aAnswer.mOutcome, aAnswer.mRefusal.value_or(Refusal{}), received, Time(0));
            });
@@ -190,10 +190,10 @@
       lost(true);
     }
   };
-  Deliver(to, request, replied, linkLost, key);
+  Deliver(to, request, onReply, linkLost, key);
 }
 
-void RequestWorld::CancelRunAt(std::size_t aAgent, RunId aRun)
+void RequestSimulation::CancelRunAt(std::size_t aAgent, RunId aRun)
 {
   const auto found = mAgents[aAgent]->mRuns.find(aRun);
   if (found == mAgents[aAgent]->mRuns.end()) {
@@ -211,7 +211,7 @@
   }
 }
 
-void RequestWorld::CancelAt(std::size_t aAgent, const AttemptKey& aKey)
+void RequestSimulation::CancelAt(std::size_t aAgent, const AttemptKey& aKey)
 {
   std::vector<ReplyHandle> handles;
   for (const auto& [handle, reply] : mAgents[aAgent]->mReplies) {
@@ -228,7 +228,7 @@
 }
 
 // Breaks the links to an agent whose process ended.
-void RequestWorld::DropLinks(std::size_t aAgent)
+void RequestSimulation::DropLinks(std::size_t aAgent)
 {
   mAgents[aAgent]->mRuns.clear();
   for (const auto& [handle, reply] : std::exchange(mAgents[aAgent]->mReplies, {})) {
@@ -236,7 +236,7 @@
   }
 }
 
-ReceivedAnswer RequestWorld::OnTheWire(const UpstreamAnswer& aAnswer)
+ReceivedAnswer RequestSimulation::Transmit(const UpstreamAnswer& aAnswer)
 {
   ReceivedAnswer received{aAnswer, aAnswer.mBody.size(), true};
   if (!received.mAnswer.mBody.empty() && Chance(0.04)) {
--- a/unittests/Request/RequestWorldCallers.cpp
+++ b/unittests/Request/RequestWorldCallers.cpp
@@ -3,7 +3,7 @@
 
 namespace dandelionslip::requesttest {
 
-void RequestWorld::ScheduleBurst(std::int64_t aStart)
+void RequestSimulation::ScheduleBurst(std::int64_t aStart)
 {
   constexpr int kRequests = 25;
   for (int i = 0; i < kRequests; ++i) {
@@ -11,7 +11,7 @@
   }
 }
 
-void RequestWorld::NewRequest()
+void RequestSimulation::NewRequest()
 {
   // An old id is resent now and then, as a caller does that was cut off for long.
   if (!mCalls.empty() && Chance(0.2)) {
@@ -22,13 +22,13 @@
   const auto wallOffsetMs = static_cast<std::int64_t>(mRandom.Below(14'000)) - 7'000;
   call->mId = RequestId::Make(Time(wallOffsetMs).mWallMs, mRandom);
   call->mIdempotent = Chance(0.15);
-  mHistory.Sent(call->mId, call->mIdempotent);
+  mHistory.AddRequest(call->mId, call->mIdempotent);
   mCalls.push_back(call);
   ++mTotals.mRequests;
   SendCall(call);
 }
 
-void RequestWorld::SendCall(const std::shared_ptr<Call>& aCall)
+void RequestSimulation::SendCall(const std::shared_ptr<Call>& aCall)
 {
   const std::size_t index = mRandom.Below(kBalancers);
   const ReplyHandle handle = mNextHandle++;
@@ -44,30 +44,31 @@
   ++aCall->mOpen;
   mBalancers[index]->mCalls[handle] = {aCall, request.mCallerAttempt};
   if (Chance(0.1)) {
-    Withdraw(index, handle, static_cast<std::int64_t>(mRandom.Below(200'000)));
+    ScheduleCancel(index, handle, static_cast<std::int64_t>(mRandom.Below(200'000)));
   }
   if (aCall->mAttempt < 4 && Chance(0.08)) {
     // The caller's link fails. It resends at once; the balancer notices later.
-    Withdraw(index, handle, static_cast<std::int64_t>(mRandom.Below(400'000)));
+    ScheduleCancel(index, handle, static_cast<std::int64_t>(mRandom.Below(400'000)));
     After(static_cast<std::int64_t>(mRandom.Below(50'000)), [this, aCall] { SendCall(aCall); });
   }
   PerformRelay(index, mBalancers[index]->mCore->OnRequest(std::move(request), Time(0)));
 }
 
-void RequestWorld::Withdraw(std::size_t aBalancer, ReplyHandle aHandle, std::int64_t aDelay)
+void RequestSimulation::ScheduleCancel(std::size_t aBalancer, ReplyHandle aHandle,
+                                       std::int64_t aDelay)
 {
   After(aDelay, [this, aBalancer, aHandle] {
     PerformRelay(aBalancer, mBalancers[aBalancer]->mCore->OnCallerCancelled(aHandle, Time(0)));
   });
 }
 
-void RequestWorld::OnCallerReply(std::size_t aBalancer, const AnswerCaller& aReply)
+void RequestSimulation::OnCallerReply(std::size_t aBalancer, const AnswerCaller& aReply)
 {
   const auto open = mBalancers[aBalancer]->mCalls.extract(aReply.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const auto [call, attempt] = open.mapped();
   --call->mOpen;
-  mHistory.Claimed(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mAnswer);
+  mHistory.AddClaim(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mAnswer);
   const RequestOutcome outcome = aReply.mAnswer.mOutcome;
   CPPUNIT_ASSERT_MESSAGE("an internal outcome reached a caller",
                          outcome != RequestOutcome::NotHome);
@@ -81,7 +82,7 @@
   }
 }
 
-void RequestWorld::PerformRelay(std::size_t aBalancer, const RelayActions& aActions)
+void RequestSimulation::PerformRelay(std::size_t aBalancer, const RelayActions& aActions)
 {
   for (const RelayAction& action : aActions) {
     if (const auto* send = std::get_if<SendToAgent>(&action)) {
@@ -94,7 +95,7 @@
   }
 }
 
-void RequestWorld::SendAttempt(std::size_t aBalancer, const SendToAgent& aSend)
+void RequestSimulation::SendAttempt(std::size_t aBalancer, const SendToAgent& aSend)
 {
   ArrivedRequest request;
   request.mId = aSend.mKey.mId;
@@ -105,10 +106,10 @@
   request.mClass = aSend.mClass;
   request.mBody = aSend.mBody;
   const AttemptKey key = aSend.mKey;
-  const std::uint64_t life = mBalancers[aBalancer]->mLife;
-  const auto toCore = [this, aBalancer, life](auto aEvent) {
-    After(Delay(), [this, aBalancer, life, aEvent] {
-      if (mBalancers[aBalancer]->mLife == life) {
+  const std::uint64_t crashCount = mBalancers[aBalancer]->mCrashCount;
+  const auto toCore = [this, aBalancer, crashCount](auto aEvent) {
+    After(Delay(), [this, aBalancer, crashCount, aEvent] {
+      if (mBalancers[aBalancer]->mCrashCount == crashCount) {
         PerformRelay(aBalancer, aEvent(*mBalancers[aBalancer]->mCore));
       }
     });
@@ -123,19 +124,19 @@
     lost(false);
     return;
   }
-  const auto replied = [this, key, toCore](const RequestAnswer& aAnswer) {
-    toCore([this, key, aAnswer, received = OnTheWire(aAnswer.mAnswer)](RelayCore& aCore) {
+  const auto onReply = [this, key, toCore](const RequestAnswer& aAnswer) {
+    toCore([this, key, aAnswer, received = Transmit(aAnswer.mAnswer)](RelayCore& aCore) {
       return aCore.OnAgentAnswer(key, aAnswer.mOutcome, aAnswer.mRefusal, received, Time(0));
     });
   };
   Deliver(
-    agent, request, replied, [lost] { lost(true); }, key);
+    agent, request, onReply, [lost] { lost(true); }, key);
 }
 
-void RequestWorld::CrashBalancer(std::size_t aBalancer)
+void RequestSimulation::CrashBalancer(std::size_t aBalancer)
 {
   Balancer& balancer = *mBalancers[aBalancer];
-  ++balancer.mLife;
+  ++balancer.mCrashCount;
   balancer.mCore.reset();
   balancer.mRegistry = std::make_unique<MetricsRegistry>();
   RelaySettings settings;
--- a/unittests/Request/RequestWorldControl.cpp
+++ b/unittests/Request/RequestWorldControl.cpp
@@ -9,7 +9,7 @@
 
 } // namespace
 
-void RequestWorld::ScheduleFaults(std::int64_t aStart)
+void RequestSimulation::ScheduleFaults(std::int64_t aStart)
 {
   const auto at = [this, aStart](Task aTask) {
     After(aStart + 50'000 + static_cast<std::int64_t>(mRandom.Below(1'500'000)), std::move(aTask));
@@ -17,11 +17,12 @@
   for (int i = 0; i < 5; ++i) {
     at([this] { MoveBuckets(); });
   }
-  using Fault = void (RequestWorld::*)(std::size_t);
-  constexpr std::array<std::pair<Fault, double>, 4> kFaults{{{&RequestWorld::CrashAgent, 0.5},
-                                                             {&RequestWorld::CutOff, 0.4},
-                                                             {&RequestWorld::RestartAgent, 0.6},
-                                                             {&RequestWorld::CrashUpstream, 0.5}}};
+  using Fault = void (RequestSimulation::*)(std::size_t);
+  constexpr std::array<std::pair<Fault, double>, 4> kFaults{
+    {{&RequestSimulation::CrashAgent, 0.5},
+     {&RequestSimulation::CutOffFromControl, 0.4},
+     {&RequestSimulation::RestartAgent, 0.6},
+     {&RequestSimulation::CrashUpstream, 0.5}}};
   for (const auto& [fault, share] : kFaults) {
     if (Chance(share)) {
       at([this, fault = fault] { (this->*fault)(mRandom.Below(kAgents)); });
@@ -33,7 +34,7 @@
 }
 
 // Lets what the only request depends on fail.
-void RequestWorld::Inject(Fault aFault)
+void RequestSimulation::Inject(Fault aFault)
 {
   const std::shared_ptr<Call> call = mCalls.front();
   const std::size_t home = mOwners[BucketOf(call->mId, kBuckets)];
@@ -41,7 +42,7 @@
     case Fault::CallerLink:
       for (std::size_t i = 0; i < kBalancers; ++i) {
         for (const auto& [handle, open] : mBalancers[i]->mCalls) {
-          Withdraw(i, handle, Delay());
+          ScheduleCancel(i, handle, Delay());
         }
       }
       SendCall(call);
@@ -63,33 +64,33 @@
       RestartAgent(home);
       break;
     case Fault::ControlContact:
-      CutOff(home);
+      CutOffFromControl(home);
       break;
   }
 }
 
 // Tells the current life of an agent about a change; waits while a planned restart is under way.
-void RequestWorld::Control(std::size_t aAgent, std::function<HomeActions(HomeCore&)> aEvent)
+void RequestSimulation::Control(std::size_t aAgent, std::function<HomeActions(HomeCore&)> aEvent)
 {
   Agent& agent = *mAgents[aAgent];
   if (agent.mCore) {
     PerformHome(aAgent, aEvent(*agent.mCore));
     return;
   }
-  After(20'000, [this, aAgent, life = agent.mLife, aEvent = std::move(aEvent)] {
-    if (mAgents[aAgent]->mLife == life) {
+  After(20'000, [this, aAgent, crashCount = agent.mCrashCount, aEvent = std::move(aEvent)] {
+    if (mAgents[aAgent]->mCrashCount == crashCount) {
       Control(aAgent, aEvent);
     }
   });
 }
 
-bool RequestWorld::IsUsable(std::size_t aAgent) const
+bool RequestSimulation::IsUsable(std::size_t aAgent) const
 {
   const Agent& agent = *mAgents[aAgent];
   return agent.mCore && !agent.mLost && !agent.mStopping;
 }
 
-std::optional<std::size_t> RequestWorld::PickOwner(std::size_t aNot)
+std::optional<std::size_t> RequestSimulation::PickOwner(std::size_t aNot)
 {
   std::vector<std::size_t> usable;
   for (std::size_t i = 0; i < kAgents; ++i) {
@@ -103,7 +104,7 @@
   return usable[mRandom.Below(usable.size())];
 }
 
-void RequestWorld::SetOwner(std::uint32_t aBucket, std::size_t aOwner)
+void RequestSimulation::SetOwner(std::uint32_t aBucket, std::size_t aOwner)
 {
   mOwners[aBucket] = aOwner;
   for (std::size_t i = 0; i < kBalancers; ++i) {
@@ -111,7 +112,7 @@
   }
 }
 
-void RequestWorld::MoveBuckets()
+void RequestSimulation::MoveBuckets()
 {
   ++mGeneration;
   for (std::uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
@@ -122,8 +123,9 @@
     }
     mTransfers[bucket] = std::make_unique<Transfer>(Transfer{mGeneration, from, *to});
     SetOwner(bucket, *to);
-    After(Delay(), [this, bucket, generation = mGeneration, to = *to, life = mAgents[*to]->mLife] {
-      if (mAgents[to]->mLife == life) {
+    After(Delay(), [this, bucket, generation = mGeneration, to = *to,
+                    crashCount = mAgents[*to]->mCrashCount] {
+      if (mAgents[to]->mCrashCount == crashCount) {
         Control(to, [this, bucket, generation](HomeCore& aCore) {
           return aCore.OnBucketAcquired(bucket, generation, Time(0));
         });
@@ -134,7 +136,7 @@
 }
 
 // Asks the previous owner again and again, as messages are lost, until the bucket is complete.
-void RequestWorld::AskForBucket(std::uint32_t aBucket, std::uint32_t aGeneration)
+void RequestSimulation::AskForBucket(std::uint32_t aBucket, std::uint32_t aGeneration)
 {
   const Transfer* transfer = mTransfers[aBucket].get();
   if (transfer == nullptr || transfer->mGeneration != aGeneration) {
@@ -155,7 +157,7 @@
   }
   After(60'000, [this, aBucket, aGeneration] { AskForBucket(aBucket, aGeneration); });
   for (int copy = Chance(0.2) ? 2 : 1; copy > 0; --copy) {
-    After(Delay(), [this, aBucket, aGeneration, from, to, life = asker.mLife] {
+    After(Delay(), [this, aBucket, aGeneration, from, to, crashCount = asker.mCrashCount] {
       Agent& owner = *mAgents[from];
       if (!owner.mCore || Chance(0.15)) {
         return;
@@ -165,28 +167,29 @@
       if (!table || Chance(0.15)) {
         return;
       }
-      After(Delay(), [this, to, life, name = owner.mName, message = EncodeCbor(table.value())] {
-        if (mAgents[to]->mLife != life || !mAgents[to]->mCore) {
-          return;
-        }
-        ++mTotals.mHandoffs;
-        HomeCore& core = *mAgents[to]->mCore;
-        PerformHome(
-          to,
-          core.OnHandoff(DecodeCbor(message, name).value(), name, TimeOf(*mAgents[to])).value());
-      });
+      After(
+        Delay(), [this, to, crashCount, name = owner.mName, message = EncodeCbor(table.value())] {
+          if (mAgents[to]->mCrashCount != crashCount || !mAgents[to]->mCore) {
+            return;
+          }
+          ++mTotals.mHandoffs;
+          HomeCore& core = *mAgents[to]->mCore;
+          PerformHome(
+            to,
+            core.OnHandoff(DecodeCbor(message, name).value(), name, TimeOf(*mAgents[to])).value());
+        });
     });
   }
 }
 
-void RequestWorld::CrashAgent(std::size_t aAgent)
+void RequestSimulation::CrashAgent(std::size_t aAgent)
 {
   if (!IsUsable(aAgent) || !PickOwner(aAgent)) {
     return;
   }
   Agent& agent = *mAgents[aAgent];
   ++mTotals.mCrashes;
-  ++agent.mLife;
+  ++agent.mCrashCount;
   agent.mCore.reset();
   DropLinks(aAgent);
   After(kLeaseUs, [this, aAgent] { DeclareLost(aAgent); });
@@ -197,7 +200,7 @@
 }
 
 // The agent loses control contact: its own lease ends before control declares it lost.
-void RequestWorld::CutOff(std::size_t aAgent)
+void RequestSimulation::CutOffFromControl(std::size_t aAgent)
 {
   if (!IsUsable(aAgent) || !PickOwner(aAgent)) {
     return;
@@ -209,7 +212,7 @@
   After(900'000, [this, aAgent] {
     Agent& back = *mAgents[aAgent];
     for (std::uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
-      PerformHome(aAgent, back.mCore->OnBucketDropped(bucket, mGeneration, TimeOf(back)));
+      PerformHome(aAgent, back.mCore->OnBucketTakenOver(bucket, mGeneration, TimeOf(back)));
     }
     ++mGeneration;
     back.mLost = false;
@@ -218,7 +221,7 @@
   });
 }
 
-void RequestWorld::RestartAgent(std::size_t aAgent)
+void RequestSimulation::RestartAgent(std::size_t aAgent)
 {
   if (!IsUsable(aAgent)) {
     return;
@@ -230,7 +233,7 @@
   FinishRestart(aAgent, mNow + static_cast<std::int64_t>(mRandom.Below(200'000)));
 }
 
-void RequestWorld::FinishRestart(std::size_t aAgent, std::int64_t aGiveUpAt)
+void RequestSimulation::FinishRestart(std::size_t aAgent, std::int64_t aGiveUpAt)
 {
   Agent& agent = *mAgents[aAgent];
   if (agent.mCore->Active() && mNow < aGiveUpAt) {
@@ -247,7 +250,7 @@
   });
 }
 
-void RequestWorld::CrashUpstream(std::size_t aAgent)
+void RequestSimulation::CrashUpstream(std::size_t aAgent)
 {
   std::vector<RunId> runs;
   for (const auto& [number, run] : mAgents[aAgent]->mRuns) {
@@ -261,7 +264,7 @@
   }
 }
 
-void RequestWorld::DeclareLost(std::size_t aAgent)
+void RequestSimulation::DeclareLost(std::size_t aAgent)
 {
   mAgents[aAgent]->mLost = true;
   ++mGeneration;
@@ -279,16 +282,17 @@
   }
   for (std::size_t i = 0; i < kAgents; ++i) {
     if (i != aAgent && !mAgents[i]->mLost) {
-      After(Delay(), [this, i, name = mAgents[aAgent]->mName, life = mAgents[i]->mLife] {
-        if (mAgents[i]->mLife == life) {
-          Control(i, [this, name](HomeCore& aCore) { return aCore.OnAgentLost(name, Time(0)); });
-        }
-      });
+      After(
+        Delay(), [this, i, name = mAgents[aAgent]->mName, crashCount = mAgents[i]->mCrashCount] {
+          if (mAgents[i]->mCrashCount == crashCount) {
+            Control(i, [this, name](HomeCore& aCore) { return aCore.OnAgentLost(name, Time(0)); });
+          }
+        });
     }
   }
 }
 
-void RequestWorld::Reassign(std::uint32_t aBucket, std::size_t aLost)
+void RequestSimulation::Reassign(std::uint32_t aBucket, std::size_t aLost)
 {
   const auto to = PickOwner(aLost);
   if (!to) {
@@ -297,7 +301,7 @@
   // The lost agent may not have got the bucket yet; whoever had it before must have let go of it.
   if (const auto transfer = std::move(mTransfers[aBucket]); transfer && mAgents[transfer->mFrom]) {
     Control(transfer->mFrom, [this, aBucket, generation = mGeneration](HomeCore& aCore) {
-      return aCore.OnBucketDropped(aBucket, generation, Time(0));
+      return aCore.OnBucketTakenOver(aBucket, generation, Time(0));
     });
   }
   ++mTotals.mLostOwners;
--- a/unittests/Request/RequestWorldParts.h
+++ b/unittests/Request/RequestWorldParts.h
@@ -1,4 +1,4 @@
-// The nodes of RequestWorld.
+// The nodes of RequestSimulation.
 #pragma once
 
 #include "RequestWorld.h"
@@ -16,7 +16,7 @@
 }
 
 /// A run at a fake upstream or at an alternate's agent.
-struct RequestWorld::UpstreamRun
+struct RequestSimulation::UpstreamRun
 {
   bool mEnded = false;
   bool mCancelled = false;
@@ -28,17 +28,17 @@
 {
   AttemptKey mKey;
   bool mRecorded = false; ///< Neither idempotent nor relayed.
-  std::function<void(const RequestAnswer&)> mReplied;
+  std::function<void(const RequestAnswer&)> mOnReply;
   std::function<void()> mLost;
 };
 
-struct RequestWorld::Agent
+struct RequestSimulation::Agent
 {
   std::string mName;
   std::uint64_t mIncarnation = 0;
   std::int64_t mWallOffsetMs = 0;
-  std::uint64_t mLife = 0; ///< Changes with a crash; messages from control are for one life.
-  bool mLost = false;      ///< Declared lost by control.
+  std::uint64_t mCrashCount = 0; ///< Changes with a crash; messages from control are for one life.
+  bool mLost = false;            ///< Declared lost by control.
   bool mStopping = false;
   std::unique_ptr<FixedSlots> mSlots;
   std::unique_ptr<MetricsRegistry> mRegistry;
@@ -48,7 +48,7 @@
 };
 
 /// One request of a caller over all its resends.
-struct RequestWorld::Call
+struct RequestSimulation::Call
 {
   RequestId mId;
   bool mIdempotent = false;
@@ -56,7 +56,7 @@
   std::size_t mOpen = 0; ///< Messages without a reply.
 };
 
-struct RequestWorld::Balancer : RequestTargets
+struct RequestSimulation::Balancer : RequestTargets
 {
   std::optional<std::string> HomeOf(ServiceId /*aService*/, const RequestId& aId) const override
   {
@@ -73,7 +73,7 @@
     std::shared_ptr<Call> mCall;
     std::uint32_t mAttempt = 0;
   };
-  std::uint64_t mLife = 0;
+  std::uint64_t mCrashCount = 0;
   std::vector<std::size_t> mOwners; ///< Perhaps outdated.
   std::unique_ptr<MetricsRegistry> mRegistry;
   std::unique_ptr<RelayCore> mCore;
@@ -81,7 +81,7 @@
 };
 
 /// A bucket on its way to a new owner.
-struct RequestWorld::Transfer
+struct RequestSimulation::Transfer
 {
   std::uint32_t mGeneration = 0;
   std::size_t mFrom = 0;
--- a/unittests/Request/RequestWorldTest.cpp
+++ b/unittests/Request/RequestWorldTest.cpp
@@ -16,10 +16,10 @@
 
   static constexpr std::uint64_t kSeeds = 1000;
 
-  static void CheckSeed(std::uint64_t aSeed, WorldTotals& aTotals,
+  static void CheckSeed(std::uint64_t aSeed, SimulationTotals& aTotals,
                         std::optional<Scenario> aScenario = {})
   {
-    RequestWorld world(aSeed, aScenario);
+    RequestSimulation world(aSeed, aScenario);
     world.Run();
     const auto violations = world.History().Check();
     CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(aSeed) + ": " +
@@ -27,12 +27,13 @@
                            violations.empty());
     CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(aSeed) + ": messages without a reply",
                                  std::size_t(0), world.Totals().mUnanswered);
-    constexpr std::array kMembers{
-      &WorldTotals::mRequests, &WorldTotals::mRuns,       &WorldTotals::mAnswered,
-      &WorldTotals::mNotRun,   &WorldTotals::mUnknown,    &WorldTotals::mCancelled,
-      &WorldTotals::mResends,  &WorldTotals::mRelayed,    &WorldTotals::mHandoffs,
-      &WorldTotals::mCrashes,  &WorldTotals::mLostOwners, &WorldTotals::mRecordUpdates,
-      &WorldTotals::mRestarts};
+    constexpr std::array kMembers{&SimulationTotals::mRequests,   &SimulationTotals::mRuns,
+                                  &SimulationTotals::mAnswered,   &SimulationTotals::mNotRun,
+                                  &SimulationTotals::mUnknown,    &SimulationTotals::mCancelled,
+                                  &SimulationTotals::mResends,    &SimulationTotals::mRelayed,
+                                  &SimulationTotals::mHandoffs,   &SimulationTotals::mCrashes,
+                                  &SimulationTotals::mLostOwners, &SimulationTotals::mRecordUpdates,
+                                  &SimulationTotals::mRestarts};
     for (const auto member : kMembers) {
       aTotals.*member += world.Totals().*member;
     }
@@ -45,7 +46,7 @@
     constexpr std::int64_t kLifeUs = 100'000;
     for (const Fault fault : {Fault::CallerLink, Fault::Balancer, Fault::Agent, Fault::Upstream,
                               Fault::Restart, Fault::ControlContact}) {
-      WorldTotals totals;
+      SimulationTotals totals;
       for (std::int64_t at = 500; at < kLifeUs; at += 1'000) {
         CheckSeed(static_cast<std::uint64_t>(at), totals,
                   Scenario{fault, Scenario::kRequestUs + at});
@@ -60,7 +61,7 @@
   // message that never gets a reply.
   void HistoriesAreCorrect()
   {
-    WorldTotals totals;
+    SimulationTotals totals;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       CheckSeed(seed, totals);
     }
