--- a/include/dandelionslip/Request/HandedRecords.h
+++ b/include/dandelionslip/Request/HandedRecords.h
@@ -1,4 +1,4 @@
-// Lists the buckets of a record hand-off message.
+// Lists the buckets of a bucket transfer message.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -10,7 +10,7 @@
 
 namespace dandelionslip {
 
-/// One bucket of a hand-off message.
+/// One bucket of a transfer message.
 struct HandedBucket
 {
   std::uint32_t mBucket = 0;
@@ -19,6 +19,6 @@
 
 /// Lists the buckets of a message that HomeCore::FreezeAndExport returned. Fails with InvalidInput
 /// when the message cannot be decoded.
-Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aHandoff, std::string_view aPeer);
+Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aTransfer, std::string_view aPeer);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/HomeActions.h
+++ b/include/dandelionslip/Request/HomeActions.h
@@ -50,7 +50,7 @@
   RunId mRun = 0;
 };
 
-/// Send the record of a request that ended after its bucket was handed off. The receiver, the
+/// Send the record of a request that ended after its bucket was transferred. The receiver, the
 /// bucket's new owner, passes it to HomeCore::OnRecordUpdate.
 struct SendRecord
 {
--- a/include/dandelionslip/Request/HomeCore.h
+++ b/include/dandelionslip/Request/HomeCore.h
@@ -21,7 +21,7 @@
   std::uint32_t mSlots = 4;
   RecordLimits mRecords;
   Milliseconds mHopAllowance{2};  ///< Subtracted from the remaining time at each hop.
-  std::size_t mMaxDeferred = 256; ///< Largest number of requests that wait for a bucket hand-off.
+  std::size_t mMaxDeferred = 256; ///< Largest number of requests that wait for a bucket transfer.
 };
 
 /// The agent that a bucket's owner relays a request to when it can neither run nor queue it.
@@ -86,8 +86,8 @@
   /// This agent became the owner of a bucket that had no owner before aGeneration.
   HomeActions OnBucketFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration,
                                  const RequestTime& aTime);
-  /// The hand-off message of the previous owner arrived.
-  Result<HomeActions> OnHandoff(const Json& aHandoff, std::string_view aPeer,
+  /// The transfer message of the previous owner arrived.
+  Result<HomeActions> OnHandoff(const Json& aTransfer, std::string_view aPeer,
                                 const RequestTime& aTime);
   /// The previous owner's lease has ended, so it cannot hand the bucket over. Has an effect only on
   /// an incomplete bucket: when the loss is known before the bucket is acquired, call it again
@@ -105,7 +105,7 @@
   Result<Json> FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
                                const std::string& aNewOwner, std::uint32_t aGeneration,
                                const RequestTime& aTime);
-  /// A record arrived whose request ended at the previous owner after the hand-off.
+  /// A record arrived of a request that ended at the previous owner after the bucket transfer.
   Result<HomeActions> OnRecordUpdate(const Json& aRecord, std::string_view aPeer,
                                      const RequestTime& aTime);
   /// Another agent's lease has ended; the outcome of requests that it was still running is unknown.
@@ -115,7 +115,7 @@
   Json ExportAll(const RequestTime& aTime);
   Result<void> ImportAll(const Json& aTable, std::string_view aPeer);
 
-  /// Whether requests are queued, running or waiting for the hand-off of their bucket.
+  /// Whether requests are queued, running or waiting for the transfer of their bucket.
   bool Active() const;
   std::size_t Running() const;
   std::size_t Queued() const;
--- a/include/dandelionslip/Request/RequestRecords.h
+++ b/include/dandelionslip/Request/RequestRecords.h
@@ -60,7 +60,7 @@
   NotOwned,   ///< Another agent decides about the ids.
   Incomplete, ///< Owned, but the previous owner's records have not arrived.
   Complete,   ///< Owned; every id that was seen and is not older than CompleteSince has a record.
-  Frozen,     ///< Handed off to another agent; the records only answer resends.
+  Frozen,     ///< Transferred to another agent; the records only answer resends.
 };
 
 std::span<const EnumName<RecordBucketState>> EnumNames(RecordBucketState);
@@ -113,7 +113,7 @@
   void Expire(std::int64_t aWallMs);
 
   RecordBucketState StateOf(std::uint32_t aBucket) const;
-  /// The agent that a frozen bucket was handed off to.
+  /// The agent that a frozen bucket was transferred to.
   const std::string& NewOwner(std::uint32_t aBucket) const;
   /// Timestamp from which on every id that was seen in a complete bucket has a record. Milliseconds
   /// since 1970.
@@ -131,25 +131,25 @@
   /// Completes an incomplete bucket whose previous owner was lost with its records. Nothing is
   /// known about ids generated until aWallMs, by a clock that is ahead by kClockSkewBound at most.
   void CompleteWithoutTransfer(std::uint32_t aBucket, std::int64_t aWallMs);
-  /// Another agent became the owner in aGeneration without a hand-off. Has no effect unless
+  /// Another agent became the owner in aGeneration without a transfer. Has no effect unless
   /// aGeneration is newer than the bucket's.
   void MarkTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration);
 
-  /// Freezes the buckets for a hand-off to aNewOwner, the owner in aGeneration, and returns the
-  /// hand-off message with their records. Call it again with the same arguments when the message
+  /// Freezes the buckets for a transfer to aNewOwner, the owner in aGeneration, and returns the
+  /// transfer message with their records. Call it again with the same arguments when the message
   /// was lost. Fails without any change: with InvalidInput when a bucket is out of range, with
-  /// Unavailable when it is incomplete, not owned, frozen for another hand-off, or was acquired in
+  /// Unavailable when it is incomplete, not owned, frozen for another transfer, or was acquired in
   /// aGeneration or later.
   Result<Json> FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
                                const std::string& aNewOwner, std::uint32_t aGeneration,
                                std::int64_t aWallMs);
 
-  /// Imports a hand-off message. Completes those of its buckets that are incomplete and were
+  /// Imports a transfer message. Completes those of its buckets that are incomplete and were
   /// acquired here in the generation of the message, and returns them. Ignores the others, so that
   /// a late or repeated message has no effect. An invalid message changes nothing. The number of
   /// records may exceed the limit afterwards; of answers beyond the byte limit only the digests are
   /// kept.
-  Result<std::vector<std::uint32_t>> Import(const Json& aHandoff, std::string_view aPeer);
+  Result<std::vector<std::uint32_t>> Import(const Json& aTransfer, std::string_view aPeer);
 
   /// Returns all records and bucket states for the next process of this agent.
   Json ExportAll(std::int64_t aWallMs);
--- a/lib/Request/HandedRecords.cpp
+++ b/lib/Request/HandedRecords.cpp
@@ -1,4 +1,4 @@
-// Reads the bucket list of hand-off messages.
+// Reads the bucket list of transfer messages.
 #include "dandelionslip/Request/HandedRecords.h"
 
 #include "RecordWire.h"
@@ -7,9 +7,9 @@
 
 namespace dandelionslip {
 
-Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aHandoff, std::string_view aPeer)
+Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aTransfer, std::string_view aPeer)
 {
-  const auto table = FromJson<TableWire>(aHandoff, aPeer);
+  const auto table = FromJson<TableWire>(aTransfer, aPeer);
   if (!table) {
     return table.as_failure();
   }
--- a/lib/Request/HomeArrival.cpp
+++ b/lib/Request/HomeArrival.cpp
@@ -1,4 +1,4 @@
-// What happens to a request when it arrives at an agent.
+// Decides what to do with a request that arrived at an agent.
 #include "HomeInternals.h"
 
 #include <algorithm>
@@ -27,7 +27,7 @@
     Reply(aRequest.mHandle, NotRunBecause({RefusalReason::BadRequestId, Milliseconds(0)}));
     return;
   }
-  // A message for an earlier process may have reached that process too.
+  // The request was meant for an earlier process of this agent, which may have run it.
   if (aRequest.mRelayed && aRequest.mTargetIncarnation != mSettings.mIncarnation) {
     Reply(aRequest.mHandle, UnknownReply());
     return;
@@ -45,7 +45,7 @@
       Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::HandoffPending));
       return;
     }
-    // Another agent may own the bucket by now, so nothing may be recorded about a new attempt.
+    // Another agent may own the bucket by now, so this one must not decide about a new attempt.
     if (!mLeaseValid) {
       Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::NoControl));
       return;
@@ -62,7 +62,8 @@
   Dispatch(AddJob(std::move(aRequest), aDeadline), aTime);
 }
 
-// Handles a resend. A refused record lets a higher attempt pass.
+// Handles a request whose id has a record; false when it has none. Also returns false when the
+// record is Refused and covers only lower attempts, because a higher attempt may run.
 bool HomeCore::Internals::ReplyFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline)
 {
   const RequestRecord* record = RecordsFor(aRequest.mRelayed).Find(*aRequest.mId);
@@ -87,7 +88,7 @@
   auto& index = JobIndexFor(aRequest.mRelayed);
   const auto found = index.find(*aRequest.mId);
   if (found == index.end()) {
-    // Only records that arrived in a hand-off are pending without a job.
+    // Only records that arrived in a bucket transfer are pending without a job.
     RequestJob& job = AddJob(aRequest, aDeadline);
     job.mPhase = JobPhase::AtPreviousOwner;
     return;
@@ -101,24 +102,25 @@
   }
 }
 
-// Decides about an attempt without looking at the upstream; true when that settled it.
+// Replies to an attempt that must not run because of its id or because the process stops; false
+// when it may run.
 bool HomeCore::Internals::RefuseIfNotRunnable(const ArrivedRequest& aRequest,
                                               const RequestTime& aTime)
 {
   RequestRecords& table = RecordsFor(aRequest.mRelayed);
   const bool known = table.Find(*aRequest.mId) != nullptr;
-  const IdFreshness knowledge =
+  const IdFreshness freshness =
     known ? IdFreshness::New
           : table.CheckFreshness(*aRequest.mId, aTime.mWallMs, aRequest.mMayHaveRun);
-  if (knowledge == IdFreshness::TooOld) {
+  if (freshness == IdFreshness::TooOld) {
     Reply(aRequest.mHandle, UnknownReply());
     return true;
   }
-  if (knowledge == IdFreshness::InFuture) {
+  if (freshness == IdFreshness::InFuture) {
     const Refusal refusal{RefusalReason::BadRequestId, Milliseconds(0)};
     const auto ahead = Milliseconds(aRequest.mId->TimestampMs() - aTime.mWallMs);
-    // The refusal has to be remembered until the id is too old; a record for a far-off timestamp
-    // would stay for as long, so such an id is neither run nor called "not run".
+    // The reply "not run" needs a record that stays until the id is too old. For a timestamp far
+    // ahead the record would stay for as long, so the reply is "unknown"; the request does not run.
     if (ahead > mSettings.mRecords.mRetention) {
       mCounters.CountRefusal(refusal.mReason);
       Reply(aRequest.mHandle, UnknownReply(refusal));
@@ -143,8 +145,8 @@
   mDeferred.push_back({std::move(aRequest), aDeadline});
 }
 
-// Refuses an attempt that has no pending record. Without room to remember the refusal, a late copy
-// of the attempt could still run, so the outcome is then unknown.
+// Refuses an attempt that has no pending record. When there is no room for a record of the refusal,
+// a late copy of the attempt could still run, so the reply is "unknown".
 void HomeCore::Internals::RefuseAttempt(const ArrivedRequest& aRequest, const Refusal& aRefusal)
 {
   mCounters.CountRefusal(aRefusal.mReason);
--- a/lib/Request/HomeBuckets.cpp
+++ b/lib/Request/HomeBuckets.cpp
@@ -1,19 +1,20 @@
-// Ownership changes of buckets and the restart of the agent.
+// Changes of bucket ownership, and export and import of all records for a restart of the agent.
 #include "HomeInternals.h"
 
 namespace dandelionslip {
 
-// Handles the held requests again; those whose bucket is still incomplete are held again.
+// Handles the deferred requests again. Those whose bucket is still incomplete are deferred again.
 void HomeCore::Internals::ProcessDeferred(const RequestTime& aTime)
 {
-  std::list<DeferredRequest> held;
-  held.swap(mDeferred);
-  for (DeferredRequest& request : held) {
+  std::list<DeferredRequest> deferred;
+  deferred.swap(mDeferred);
+  for (DeferredRequest& request : deferred) {
     Arrive(std::move(request.mRequest), request.mDeadline, aTime);
   }
 }
 
-// Answers resends of a request that ran at the bucket's previous owner.
+// Replies to resends of a request that ran at the bucket's previous owner, once its record says how
+// it ended.
 void HomeCore::Internals::FinishJobAtPreviousOwner(const RequestId& aId)
 {
   const auto found = mOwnedJobs.find(aId);
@@ -41,10 +42,10 @@
   return mInternals->TakeActions();
 }
 
-Result<HomeActions> HomeCore::OnHandoff(const Json& aHandoff, std::string_view aPeer,
+Result<HomeActions> HomeCore::OnHandoff(const Json& aTransfer, std::string_view aPeer,
                                         const RequestTime& aTime)
 {
-  const auto taken = mInternals->mRecords.Import(aHandoff, aPeer);
+  const auto taken = mInternals->mRecords.Import(aTransfer, aPeer);
   if (!taken) {
     return taken.as_failure();
   }
--- a/lib/Request/HomeCore.cpp
+++ b/lib/Request/HomeCore.cpp
@@ -1,13 +1,14 @@
-// Entry points of HomeCore.
+// Event functions of HomeCore.
 #include "HomeInternals.h"
 
 namespace dandelionslip {
 
 namespace {
 
-// Run ids of later incarnations are higher, so that an answer to a run of an earlier process never
-// matches one of this process. An incarnation is a start time in milliseconds, and no process
-// starts 4 million runs in each millisecond of its life.
+// Low bits of a run id, which count the runs; the incarnation stands above them. An answer to a run
+// of an earlier process must not match a run of this one, so run ids of a later incarnation have to
+// be higher. They are, because an incarnation is a start time in milliseconds, and a process does
+// not start 4 million runs per millisecond.
 constexpr std::uint32_t kRunCounterBits = 22;
 
 } // namespace
@@ -23,7 +24,8 @@
   , mQueue(2 * static_cast<std::size_t>(mSettings.mSlots))
   , mNextRun((mSettings.mIncarnation << kRunCounterBits) + 1)
 {
-  // Relayed messages name the incarnation they are for, so this table misses none of them.
+  // Relayed requests name the incarnation that they are meant for, and those for an earlier one are
+  // not run. So this table has a record of every relayed request that ran.
   mRelayedRecords.AcquireAsFirstOwner(0, 1);
 }
 
@@ -33,7 +35,7 @@
   return found == mJobs.end() ? nullptr : &found->second;
 }
 
-// Jobs end while they are visited, so visits go through a copy of the keys.
+// Returns a copy of the keys of mJobs, for loops that end jobs.
 std::vector<std::uint64_t> HomeCore::Internals::JobTokens() const
 {
   std::vector<std::uint64_t> tokens;
@@ -70,10 +72,10 @@
                                        const RequestTime& aTime)
 {
   if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
-    const bool whole = aAnswer.IsComplete();
-    const RunResult cut = job->mCancelSent ? RunResult::Cancelled : RunResult::Failed;
-    mInternals->ReleaseSlot(*job, whole ? RunResult::Succeeded : cut, aTime);
-    if (whole) {
+    const bool complete = aAnswer.IsComplete();
+    const RunResult truncated = job->mCancelSent ? RunResult::Cancelled : RunResult::Failed;
+    mInternals->ReleaseSlot(*job, complete ? RunResult::Succeeded : truncated, aTime);
+    if (complete) {
       mInternals->EndAnswered(*job, aAnswer.mAnswer);
     } else {
       mInternals->mCounters.CountDrop(RequestDrop::Truncated);
--- a/lib/Request/HomeEnds.cpp
+++ b/lib/Request/HomeEnds.cpp
@@ -1,4 +1,4 @@
-// How requests end: record, replies, and the report to a bucket's new owner.
+// Ends requests: updates the record, replies to all waiters, and informs a bucket's new owner.
 #include "HomeInternals.h"
 
 namespace dandelionslip {
@@ -11,8 +11,9 @@
   FinishJob(aJob, AnsweredReply(aAnswer));
 }
 
-// Without room to remember the refusal the request is recorded as unknown: it did not run, but a
-// record of its own would have to stay.
+// When there is no room for a refused record, the request ends as unknown although it did not run:
+// without a record, a late copy of the attempt could still run. An unknown record takes the place
+// of the pending one.
 void HomeCore::Internals::EndRefused(RequestJob& aJob, const Refusal& aRefusal, bool aCancelled)
 {
   RequestRecords& table = RecordsFor(aJob.mRequest.mRelayed);
@@ -34,7 +35,7 @@
   FinishJob(aJob, UnknownReply());
 }
 
-// Ends a request that ran elsewhere with what its record now says.
+// Ends a request that ran at the bucket's previous owner, according to its record.
 void HomeCore::Internals::EndFromRecord(RequestJob& aJob)
 {
   const RequestRecord* record = mRecords.Find(aJob.mId);
--- a/lib/Request/HomeInternals.h
+++ b/lib/Request/HomeInternals.h
@@ -1,4 +1,4 @@
-// State and steps of HomeCore.
+// State and internal functions of HomeCore.
 #pragma once
 
 #include "HomeJob.h"
@@ -11,7 +11,7 @@
 
 namespace dandelionslip {
 
-/// A request that waits until its bucket's history is settled.
+/// A request that waits until its bucket is complete.
 struct DeferredRequest
 {
   ArrivedRequest mRequest;
@@ -23,7 +23,7 @@
   Internals(HomeSettings aSettings, SlotAdmission& aSlots, AlternateLookup aAlternate,
             MetricsRegistry& aRegistry);
 
-  // Arrival (HomeArrival.cpp).
+  // Arrival of requests (AgentRequestArrival.cpp).
   void Arrive(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
   void HandleNonIdempotent(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
   bool ReplyFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline);
@@ -33,7 +33,7 @@
   void RefuseAttempt(const ArrivedRequest& aRequest, const Refusal& aRefusal);
   RequestJob& AddJob(ArrivedRequest aRequest, TimePoint aDeadline);
 
-  // Runs (HomeRuns.cpp).
+  // Queue, runs and relay (AgentRequestRuns.cpp).
   void Dispatch(RequestJob& aJob, const RequestTime& aTime);
   void Enqueue(RequestJob& aJob, const RequestTime& aTime);
   void StartRun(RequestJob& aJob, const RequestTime& aTime);
@@ -43,7 +43,7 @@
   void ReleaseSlot(const RequestJob& aJob, RunResult aResult, const RequestTime& aTime);
   void CancelJob(RequestJob& aJob);
 
-  // Ends (HomeEnds.cpp).
+  // End of requests (AgentRequestEnds.cpp).
   void EndAnswered(RequestJob& aJob, const UpstreamAnswer& aAnswer);
   void EndRefused(RequestJob& aJob, const Refusal& aRefusal, bool aCancelled = false);
   void EndUnknown(RequestJob& aJob);
@@ -53,14 +53,14 @@
   void Reply(ReplyHandle aHandle, RequestAnswer aAnswer);
   void ReportToNewOwner(const RequestId& aId);
 
-  // Time and withdrawal (HomeTime.cpp).
+  // Cancellation and deadlines (AgentRequestDeadlines.cpp).
   void Cancel(ReplyHandle aHandle);
   void RemoveWaiter(RequestJob& aJob, ReplyHandle aHandle);
   void EndOverdueWaiters(const RequestTime& aTime);
   void EndOverdueDeferred(const RequestTime& aTime);
   void RefuseQueuedNonIdempotent(const Refusal& aRefusal);
 
-  // Buckets (HomeBuckets.cpp).
+  // Bucket ownership (AgentRequestBuckets.cpp).
   void ProcessDeferred(const RequestTime& aTime);
   void FinishJobAtPreviousOwner(const RequestId& aId);
 
--- a/lib/Request/HomeJob.h
+++ b/lib/Request/HomeJob.h
@@ -1,4 +1,4 @@
-// One request in progress at an agent.
+// A request in progress at an agent.
 #pragma once
 
 #include "dandelionslip/Request/HomeActions.h"
@@ -13,28 +13,29 @@
   AtPreviousOwner, ///< Runs at the bucket's previous owner; only resends wait here.
 };
 
-/// A message that waits for the outcome.
+/// A received message that waits for the outcome of a request.
 struct JobWaiter
 {
   ReplyHandle mHandle = 0;
   TimePoint mDeadline;
 };
 
-/// A request with everyone who waits for it.
+/// A request in progress, with all messages that wait for its outcome: the first attempt and its
+/// resends.
 struct RequestJob
 {
   std::uint64_t mToken = 0;
   ArrivedRequest mRequest;
-  RequestId mId; ///< Nil for an idempotent request without an id.
+  RequestId mId; ///< The nil UUID for an idempotent request without an id.
   JobPhase mPhase = JobPhase::Queued;
   RunId mRun = 0;
   TimePoint mStarted;
-  TimePoint mDeadline; ///< Latest deadline of its waiters.
+  TimePoint mDeadline; ///< Latest deadline of all waiters there have been.
   bool mTriedAlternate = false;
   bool mCancelSent = false;
   std::vector<JobWaiter> mWaiters;
 
-  /// Whether a record decides about this request.
+  /// Whether the request has a record; idempotent requests have none.
   bool IsRecorded() const { return !mRequest.mIdempotent; }
 };
 
--- a/lib/Request/HomeRuns.cpp
+++ b/lib/Request/HomeRuns.cpp
@@ -1,4 +1,4 @@
-// Starting requests at the upstream, in the queue or at the alternate.
+// Runs requests at the upstream, queues them, or relays them to the alternate agent.
 #include "HomeInternals.h"
 
 #include <algorithm>
@@ -35,7 +35,7 @@
     StartRun(aJob, aTime);
     return;
   }
-  // A relayed request does not wait here: its home agent chose this one to avoid waiting.
+  // A relayed request is not queued: its owner relayed it so that it does not have to wait.
   if (aJob.mRequest.mRelayed) {
     EndRefused(aJob, *refusal);
     return;
@@ -72,7 +72,8 @@
                                       aJob.mRequest.mBody});
 }
 
-// Passes a request that cannot run here to the alternate, once; the record stays here.
+// Relays a request that cannot run here to the alternate agent, but only once; this agent keeps the
+// record. Refuses the request when it cannot be relayed.
 void HomeCore::Internals::RelayOrRefuse(RequestJob& aJob, const Refusal& aRefusal,
                                         const RequestTime& aTime)
 {
@@ -110,7 +111,8 @@
   }
 }
 
-// Ends the bookkeeping of a run; null when no run of this phase has the id.
+// Returns the job of a run that ended, and forgets the run. Null when no job in this phase has the
+// run.
 RequestJob* HomeCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
 {
   const auto found = mJobByRun.find(aRun);
@@ -137,7 +139,7 @@
   mSlots.Finished(aTime.mNow, latency, aResult);
 }
 
-// Asks for the end of a run that nobody waits for; the record stays pending until the run ends.
+// Cancels the run of a job without waiters. The record stays pending until the run ends.
 void HomeCore::Internals::CancelJob(RequestJob& aJob)
 {
   if (!aJob.mCancelSent) {
--- a/lib/Request/HomeTime.cpp
+++ b/lib/Request/HomeTime.cpp
@@ -1,4 +1,4 @@
-// Deadlines, withdrawal and loss of the lease.
+// Cancellation, deadlines and loss of the lease.
 #include "HomeInternals.h"
 
 #include <algorithm>
@@ -11,13 +11,13 @@
     RemoveWaiter(mJobs.at(found->second), aHandle);
     return;
   }
-  const auto held =
-    std::find_if(mDeferred.begin(), mDeferred.end(), [aHandle](const DeferredRequest& aHeld) {
-      return aHeld.mRequest.mHandle == aHandle;
+  const auto deferred =
+    std::find_if(mDeferred.begin(), mDeferred.end(), [aHandle](const DeferredRequest& aDeferred) {
+      return aDeferred.mRequest.mHandle == aHandle;
     });
-  if (held != mDeferred.end()) {
-    mDeferred.erase(held);
-    // The previous owner may have run it.
+  if (deferred != mDeferred.end()) {
+    mDeferred.erase(deferred);
+    // An earlier attempt may have run at the previous owner.
     Reply(aHandle, UnknownReply());
   }
 }
@@ -27,7 +27,8 @@
   const bool last = aJob.mWaiters.size() == 1;
   if (last && aJob.mPhase == JobPhase::Queued) {
     mQueue.Remove(aJob.mToken);
-    // A late copy of the attempt is told that it did not run, as if its deadline had passed.
+    // The refusal is for the record: a late copy of the attempt gets the reply "not run", as if the
+    // deadline had passed.
     EndRefused(aJob, {RefusalReason::Deadline, Milliseconds(0)}, true);
     return;
   }
@@ -56,7 +57,7 @@
         overdue.push_back(waiter.mHandle);
       }
     }
-    // A queued request is refused as a whole by the queue once its latest deadline has passed.
+    // StartQueued refuses a queued request once its latest deadline has passed.
     if (job.mPhase == JobPhase::Queued && overdue.size() == job.mWaiters.size()) {
       continue;
     }
@@ -68,19 +69,20 @@
 
 void HomeCore::Internals::EndOverdueDeferred(const RequestTime& aTime)
 {
-  for (auto held = mDeferred.begin(); held != mDeferred.end();) {
-    if (aTime.mNow < held->mDeadline) {
-      ++held;
+  for (auto deferred = mDeferred.begin(); deferred != mDeferred.end();) {
+    if (aTime.mNow < deferred->mDeadline) {
+      ++deferred;
       continue;
     }
-    Reply(held->mRequest.mHandle,
+    Reply(deferred->mRequest.mHandle,
           UnknownReply(Refusal{RefusalReason::HandoffPending, Milliseconds(0)}));
-    held = mDeferred.erase(held);
+    deferred = mDeferred.erase(deferred);
   }
 }
 
-// A queued request has not run and, without a lease, must not. Another owner that takes the bucket
-// over answers "unknown" for ids of this age, so the refusal stays true.
+// Called when the lease has ended: queued requests have not run and must not run without a lease.
+// The reply "not run" stays true, because a new owner that takes the bucket over without its
+// records replies "unknown" for ids of this age.
 void HomeCore::Internals::RefuseQueuedNonIdempotent(const Refusal& aRefusal)
 {
   for (const std::uint64_t token : JobTokens()) {
--- a/lib/Request/RecordHandoff.cpp
+++ b/lib/Request/RecordHandoff.cpp
@@ -1,4 +1,4 @@
-// Ownership of buckets and the transfer of their records.
+// States of buckets, and the transfer of their records to other agents and other processes.
 #include "RecordWire.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
   return EnumNames(aState)[static_cast<std::size_t>(aState)];
 }
 
-// Orders exported records, so that equal tables give equal messages.
+// Sorts exported records, so that tables with the same records give the same message.
 void SortById(std::vector<RecordWire>& aRecords)
 {
   std::sort(
@@ -84,11 +84,11 @@
                   std::to_string(mBuckets));
   }
   const Bucket& bucket = mBucketStates[aBucket];
-  const bool first =
+  const bool canFreeze =
     bucket.mState == RecordBucketState::Complete && aGeneration > bucket.mGeneration;
-  const bool again = bucket.mState == RecordBucketState::Frozen &&
-                     aGeneration == bucket.mGeneration && aNewOwner == bucket.mNewOwner;
-  if (first || again) {
+  const bool isRepeated = bucket.mState == RecordBucketState::Frozen &&
+                          aGeneration == bucket.mGeneration && aNewOwner == bucket.mNewOwner;
+  if (canFreeze || isRepeated) {
     return Ok();
   }
   return Fail(ErrorCode::Unavailable, "records.freeze", aNewOwner,
@@ -113,7 +113,8 @@
     bucket.mState = RecordBucketState::Frozen;
     bucket.mGeneration = aGeneration;
     bucket.mNewOwner = aNewOwner;
-    // Records older than the cut-off are gone here, and the clock of the new owner may be behind.
+    // Records below the cut-off have expired here. The wall clock of the new owner may be behind,
+    // so that it would take their ids for new without this bound.
     bucket.mCompleteSince = std::max(bucket.mCompleteSince, mCutoffMs);
     table.mBuckets.push_back({.mBucket = index,
                               .mGeneration = aGeneration,
@@ -129,10 +130,10 @@
   return ToJson(table);
 }
 
-Result<std::vector<std::uint32_t>> RequestRecords::Import(const Json& aHandoff,
+Result<std::vector<std::uint32_t>> RequestRecords::Import(const Json& aTransfer,
                                                           std::string_view aPeer)
 {
-  const auto table = FromJson<TableWire>(aHandoff, aPeer);
+  const auto table = FromJson<TableWire>(aTransfer, aPeer);
   if (!table) {
     return table.as_failure();
   }
--- a/lib/Request/RecordMerge.cpp
+++ b/lib/Request/RecordMerge.cpp
@@ -1,17 +1,18 @@
-// Combines a record received from another agent with what is known here.
+// Merges a record that another agent or process sent into the table.
 #include "dandelionslip/Request/RequestRecords.h"
 
 #include <algorithm>
 
 namespace dandelionslip {
 
-// Done and unknown are final for an id and hold wherever they were found. A pending record that is
-// held here ends only by its own run.
+// Done and Unknown are final, whichever agent they come from; Done replaces Unknown. A request that
+// is pending at this agent ends only by its own run, whatever the incoming record says.
 void RequestRecords::Merge(const RequestId& aId, RequestRecord aIncoming)
 {
   const RequestRecord* found = Find(aId);
   if (found == nullptr) {
-    // A pending record that names this agent belongs to an earlier process of it.
+    // A pending record that names this agent was added by an earlier process, which may have run
+    // the request.
     if (IsOwnPending(aIncoming)) {
       aIncoming.mState = RecordState::Unknown;
     }
@@ -38,8 +39,10 @@
     : MergeRefused(aId, local, std::move(aIncoming));
 }
 
-// The local record is refused or held elsewhere. A pending record is newer than a refusal only if
-// it began with a higher attempt; otherwise the refusal is how that pending record ended.
+// Merges a pending record. The local record is Refused, or Pending at another agent. The incoming
+// record is newer only if it was added for a higher attempt than the local one covers (Refused) or
+// was added for (Pending). Otherwise the local record stays; if it is a refusal, it says how the
+// incoming pending request ended.
 void RequestRecords::MergePending(const RequestId& aId, RequestRecord aLocal,
                                   RequestRecord aIncoming)
 {
@@ -53,8 +56,9 @@
   Store(aId, std::move(aLocal));
 }
 
-// A refusal ends a pending record held elsewhere only if it covers the attempt that began it; a
-// lower one is a late message about an earlier attempt.
+// Merges a refused record. The local record is Refused, or Pending at another agent. A refusal ends
+// a pending record only if it covers the attempt that the record was added for; a refusal of a
+// lower attempt is a late message about an earlier record.
 void RequestRecords::MergeRefused(const RequestId& aId, const RequestRecord& aLocal,
                                   RequestRecord aIncoming)
 {
--- a/lib/Request/RecordWire.cpp
+++ b/lib/Request/RecordWire.cpp
@@ -1,4 +1,4 @@
-// Conversion of request records to and from their message form.
+// Converts request records to and from messages.
 #include "RecordWire.h"
 
 #include <array>
--- a/lib/Request/RecordWire.h
+++ b/lib/Request/RecordWire.h
@@ -1,4 +1,4 @@
-// Message forms of request records.
+// Messages that carry request records.
 #pragma once
 
 #include "dandelionslip/Request/RequestRecords.h"
@@ -13,10 +13,10 @@
   Attempt mAttempt = 0;
   Attempt mFirstAttempt = 0;
   std::string mRunningAgent;
-  bool mKept = false; ///< Whether the answer itself is included.
+  bool mKept = false; ///< Whether the answer itself is included, not only its digest.
   std::uint32_t mStatus = 0;
   std::string mContentType;
-  Json mBody; ///< A binary value, or null.
+  Json mBody; ///< A binary value when mKept is set, else null.
   std::uint64_t mLength = 0;
   std::uint64_t mHash = 0;
   RefusalReason mReason = RefusalReason::NoUpstream;
@@ -41,7 +41,7 @@
   aVisitor.Optional("retry_after_ms", aValue.mRetryAfter, {0, 3'600'000});
 }
 
-/// Completeness of one bucket in a message.
+/// State of one bucket in a message.
 struct BucketWire
 {
   std::uint32_t mBucket = 0;
@@ -61,7 +61,7 @@
   aVisitor.Optional("new_owner", aValue.mNewOwner);
 }
 
-/// A set of buckets with their records.
+/// Message with the states and records of buckets.
 struct TableWire
 {
   std::int64_t mCutoffMs = 0;
@@ -77,7 +77,7 @@
   aVisitor.Field("records", aValue.mRecords);
 }
 
-/// The message form of a record.
+/// Converts a record to its message form.
 RecordWire EncodeRecord(const RequestId& aId, const RequestRecord& aRecord);
 
 /// A record with its id.
--- a/lib/Request/RelayAttempts.cpp
+++ b/lib/Request/RelayAttempts.cpp
@@ -1,4 +1,4 @@
-// Attempts of a request: choice of the agent, matching of answers, retries.
+// Attempts of a request: choice of the agent, handling of replies, retries.
 #include "RelayInternals.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Whether a later attempt of a refused request can succeed within its deadline.
+// Whether a request that was refused for this reason can succeed in a later attempt.
 bool IsTransient(RefusalReason aReason)
 {
   switch (aReason) {
@@ -70,6 +70,7 @@
   return ChooseLessLoaded(candidates);
 }
 
+// Of two random candidates, returns the one with fewer attempts in flight.
 std::string RelayCore::Internals::ChooseLessLoaded(const std::vector<std::string>& aCandidates)
 {
   const std::size_t first = mRandom.Below(aCandidates.size());
@@ -83,7 +84,8 @@
   return aCandidates[firstBetter ? first : second];
 }
 
-// Ends the newest attempt of a request; null when the key is not that of an attempt in flight.
+// Returns the exchange whose attempt in flight has the key, and ends the attempt. Null when there
+// is none.
 CallerExchange* RelayCore::Internals::TakeAttempt(const AttemptKey& aKey)
 {
   const auto found = mByCallerAttempt.find({aKey.mId, aKey.mAttempt >> kTryBits});
@@ -114,8 +116,8 @@
 void RelayCore::Internals::HandleNotRun(CallerExchange& aExchange, const Refusal& aRefusal,
                                         const RequestTime& aTime)
 {
-  // The home agent's record covers all lower attempts. Attempts of an idempotent request have no
-  // record, so the refusal says nothing about earlier ones.
+  // A refusal by the owner of the bucket covers all lower attempts, because its record does.
+  // Idempotent requests have no record, so a refusal says nothing about their earlier attempts.
   aExchange.mMayHaveRun = aExchange.mRequest.mIdempotent && aExchange.mMayHaveRunBefore;
   aExchange.mLastRefusal = aRefusal;
   if (!IsTransient(aRefusal.mReason)) {
@@ -154,7 +156,8 @@
     DenyRetry(aExchange, RetryDenial::Deadline);
     return;
   }
-  // Going on to the right agent adds no load to an upstream and is not charged.
+  // An attempt at an agent that does not own the bucket puts no load on an upstream, so the retry
+  // takes nothing from the budget.
   const CallerRequest& request = aExchange.mRequest;
   if (aReason != RetryReason::NotHome &&
       !mBudget.TryRetry(request.mService, request.mCaller, aTime.mNow)) {
@@ -162,7 +165,8 @@
     return;
   }
   mCounters.CountRetry(aReason);
-  // A delay of nothing still ends the present step, so that a tick makes one attempt at most.
+  // Even without a delay the retry waits for a later tick, so that one tick makes at most one
+  // attempt for a request.
   SetTimer(aExchange, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
 }
 
--- a/lib/Request/RelayCore.cpp
+++ b/lib/Request/RelayCore.cpp
@@ -1,4 +1,4 @@
-// Entry points of RelayCore; how requests begin and end.
+// Event functions of RelayCore, and start and end of requests.
 #include "RelayInternals.h"
 
 #include <algorithm>
@@ -46,7 +46,7 @@
   exchange.mId = used;
   exchange.mTryOwnerFirst = !aRequest.mIdempotent || hasId;
   exchange.mDeadline = aTime.mNow + aRequest.mRemaining;
-  // An earlier attempt of the caller, perhaps through another balancer, may still run.
+  // An earlier attempt of the caller, perhaps through another balancer, may have run.
   exchange.mMayHaveRun = hasId && aRequest.mCallerAttempt > 1;
   mByHandle[aRequest.mHandle] = token;
   mByCallerAttempt[{used, aRequest.mCallerAttempt}] = token;
@@ -76,7 +76,7 @@
   mExchanges.erase(aExchange.mToken);
 }
 
-// The most that can be said truthfully when no answer was received.
+// Replies "unknown" when an attempt may have run, otherwise "cancelled" or "not run".
 void RelayCore::Internals::FinishWithoutAnswer(CallerExchange& aExchange)
 {
   if (aExchange.mMayHaveRun) {
@@ -191,10 +191,10 @@
 
 RelayActions RelayCore::OnTick(const RequestTime& aTime)
 {
-  // Each step ends the exchange or moves its wake-up into the future.
-  auto& wakeUps = mInternals->mTimers;
-  while (!wakeUps.empty() && wakeUps.begin()->first <= aTime.mNow) {
-    CallerExchange& exchange = mInternals->mExchanges.at(wakeUps.begin()->second);
+  // Each pass ends the exchange or sets its timer to a later time.
+  auto& timers = mInternals->mTimers;
+  while (!timers.empty() && timers.begin()->first <= aTime.mNow) {
+    CallerExchange& exchange = mInternals->mExchanges.at(timers.begin()->second);
     if (aTime.mNow >= exchange.mDeadline) {
       mInternals->EndOverdue(exchange);
     } else {
--- a/lib/Request/RelayInternals.h
+++ b/lib/Request/RelayInternals.h
@@ -1,4 +1,4 @@
-// State and steps of RelayCore.
+// State and internal functions of RelayCore.
 #pragma once
 
 #include "dandelionslip/Request/RelayCore.h"
@@ -9,24 +9,22 @@
 
 namespace dandelionslip {
 
-/// One request of a caller with its attempts.
+/// One request of a caller, with its attempts at agents.
 struct CallerExchange
 {
   std::uint64_t mToken = 0;
   CallerRequest mRequest;
   RequestId mId;
-  bool mTryOwnerFirst = false; ///< Goes to the home agent of its id first.
+  bool mTryOwnerFirst = false; ///< The first try goes to the owner of the id's bucket.
   TimePoint mDeadline;
   std::uint32_t mTries = 0;
   bool mInFlight = false;
-  AttemptKey mKey; ///< The newest attempt.
-  std::string mAgent;
-  TimePoint mTimerAt; ///< The next attempt is due, or, when in flight, the deadline.
+  AttemptKey mKey;    ///< The newest attempt.
+  std::string mAgent; ///< Receiver of the newest attempt.
+  TimePoint mTimerAt; ///< While an attempt is in flight: the deadline. Else: time of the next try.
   bool mCancelled = false;
-  /// Whether an attempt that left the balancer may run or have run.
-  bool mMayHaveRun = false;
-  /// mMayHaveRun before the newest attempt.
-  bool mMayHaveRunBefore = false;
+  bool mMayHaveRun = false;       ///< Whether any attempt, also of the caller, may have run.
+  bool mMayHaveRunBefore = false; ///< Value of mMayHaveRun before the newest attempt.
   std::optional<Refusal> mLastRefusal;
   std::optional<AnswerDigest> mDigest;
 };
@@ -36,7 +34,7 @@
   Internals(RelaySettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
             MetricsRegistry& aRegistry);
 
-  // Requests and their ends (RelayCore.cpp).
+  // Start and end of requests (BalancerRequestCore.cpp).
   void Accept(CallerRequest aRequest, const RequestTime& aTime);
   void Cancel(CallerExchange& aExchange);
   void Finish(CallerExchange& aExchange, RequestAnswer aAnswer);
@@ -44,7 +42,7 @@
   void EndOverdue(CallerExchange& aExchange);
   void Reply(ReplyHandle aHandle, const RequestId& aId, RequestAnswer aAnswer);
 
-  // Attempts (RelayAttempts.cpp).
+  // Attempts at agents (BalancerRequestAttempts.cpp).
   void Send(CallerExchange& aExchange, const RequestTime& aTime);
   std::optional<std::string> ChooseAgent(const CallerExchange& aExchange);
   std::string ChooseLessLoaded(const std::vector<std::string>& aCandidates);
--- a/lib/Request/RequestCounters.cpp
+++ b/lib/Request/RequestCounters.cpp
@@ -1,4 +1,4 @@
-// Labels and registration of the request path's counters.
+// Label values and registration of the request counters.
 #include "dandelionslip/Request/RequestCounters.h"
 
 #include "dandelionslip/Request/RequestMetricNames.h"
--- a/lib/Request/RequestId.cpp
+++ b/lib/Request/RequestId.cpp
@@ -1,4 +1,4 @@
-// Parsing, making and hashing of request ids.
+// Parsing, generating and hashing of request ids.
 #include "dandelionslip/Request/RequestId.h"
 
 #include "dandelionslip/Support/Hash.h"
--- a/lib/Request/RequestOutcome.cpp
+++ b/lib/Request/RequestOutcome.cpp
@@ -1,4 +1,4 @@
-// Names and builders of request outcomes.
+// Names of outcomes and builders of replies.
 #include "dandelionslip/Request/RequestOutcome.h"
 
 #include <array>
--- a/lib/Request/RequestQueue.cpp
+++ b/lib/Request/RequestQueue.cpp
@@ -1,4 +1,4 @@
-// Order, fairness and deadlines of waiting requests.
+// Order, fairness and deadlines of queued requests.
 #include "dandelionslip/Request/RequestQueue.h"
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 std::optional<Refusal> RequestQueue::CheckDeadline(TimePoint aDeadline, TimePoint aNow,
                                                    std::size_t aAhead, std::size_t aRunning) const
 {
-  // With n running requests one ends every n-th part of a run time, so the wait for a turn is that
-  // part for every request ahead and for the one whose slot is needed.
+  // While n requests run, one ends every n-th part of the expected run time. The wait takes one
+  // such part for each request ahead, and one until this request gets its own slot.
   const auto running = static_cast<std::int64_t>(std::max<std::size_t>(aRunning, 1));
   const auto turns = static_cast<std::int64_t>(aRunning == 0 ? aAhead : aAhead + 1);
   const RuntimeClock::duration wait = mExpectedRunTime * turns / running;
@@ -46,9 +46,9 @@
 
 const QueueEntry* RequestQueue::Front() const
 {
-  for (const CallerQueues& lines : mQueuesByClass) {
-    if (!lines.empty()) {
-      return &lines.front().mEntries.front();
+  for (const CallerQueues& queues : mQueuesByClass) {
+    if (!queues.empty()) {
+      return &queues.front().mEntries.front();
     }
   }
   return nullptr;
@@ -56,31 +56,31 @@
 
 QueueEntry RequestQueue::Pop()
 {
-  const auto lines = std::find_if(mQueuesByClass.begin(), mQueuesByClass.end(),
-                                  [](const CallerQueues& aLines) { return !aLines.empty(); });
-  CallerQueue& line = lines->front();
-  const QueueEntry entry = line.mEntries.front();
-  line.mEntries.pop_front();
+  const auto queues = std::find_if(mQueuesByClass.begin(), mQueuesByClass.end(),
+                                   [](const CallerQueues& aQueues) { return !aQueues.empty(); });
+  CallerQueue& queue = queues->front();
+  const QueueEntry entry = queue.mEntries.front();
+  queue.mEntries.pop_front();
   --mSize;
-  if (line.mEntries.empty()) {
-    lines->pop_front();
+  if (queue.mEntries.empty()) {
+    queues->pop_front();
     return entry;
   }
-  lines->splice(lines->end(), *lines, lines->begin());
+  queues->splice(queues->end(), *queues, queues->begin());
   return entry;
 }
 
 bool RequestQueue::Remove(std::uint64_t aToken)
 {
   const auto matches = [aToken](const QueueEntry& aEntry) { return aEntry.mToken == aToken; };
-  for (CallerQueues& lines : mQueuesByClass) {
-    for (auto line = lines.begin(); line != lines.end(); ++line) {
-      if (std::erase_if(line->mEntries, matches) == 0) {
+  for (CallerQueues& queues : mQueuesByClass) {
+    for (auto queue = queues.begin(); queue != queues.end(); ++queue) {
+      if (std::erase_if(queue->mEntries, matches) == 0) {
         continue;
       }
       --mSize;
-      if (line->mEntries.empty()) {
-        lines.erase(line);
+      if (queue->mEntries.empty()) {
+        queues.erase(queue);
       }
       return true;
     }
@@ -90,9 +90,9 @@
 
 void RequestQueue::SetDeadline(std::uint64_t aToken, TimePoint aDeadline)
 {
-  for (CallerQueues& lines : mQueuesByClass) {
-    for (CallerQueue& line : lines) {
-      for (QueueEntry& entry : line.mEntries) {
+  for (CallerQueues& queues : mQueuesByClass) {
+    for (CallerQueue& queue : queues) {
+      for (QueueEntry& entry : queue.mEntries) {
         if (entry.mToken == aToken) {
           entry.mDeadline = aDeadline;
         }
@@ -104,9 +104,9 @@
 std::vector<QueueEntry> RequestQueue::TakeOverdue(TimePoint aNow)
 {
   std::vector<QueueEntry> overdue;
-  for (const CallerQueues& lines : mQueuesByClass) {
-    for (const CallerQueue& line : lines) {
-      for (const QueueEntry& entry : line.mEntries) {
+  for (const CallerQueues& queues : mQueuesByClass) {
+    for (const CallerQueue& queue : queues) {
+      for (const QueueEntry& entry : queue.mEntries) {
         if (aNow >= entry.mDeadline || aNow + mExpectedRunTime > entry.mDeadline) {
           overdue.push_back(entry);
         }
@@ -121,24 +121,24 @@
 
 void RequestQueue::ObserveRunTime(RuntimeClock::duration aRunTime)
 {
-  // The latest run counts for an eighth: a few runs are enough to follow a change of speed, and one
-  // slow run does not refuse the next requests.
-  constexpr std::int64_t kShare = 8;
+  // Weight 1/8 of the newest run: a few runs are enough to follow a change of speed, and one slow
+  // run does not make the queue refuse the next requests.
+  constexpr std::int64_t kInverseWeight = 8;
   mExpectedRunTime = mExpectedRunTime.count() == 0
                        ? aRunTime
-                       : mExpectedRunTime + (aRunTime - mExpectedRunTime) / kShare;
+                       : mExpectedRunTime + (aRunTime - mExpectedRunTime) / kInverseWeight;
 }
 
 void RequestQueue::Append(const QueueEntry& aEntry)
 {
-  CallerQueues& lines = mQueuesByClass[static_cast<std::size_t>(aEntry.mClass)];
-  auto line = std::find_if(lines.begin(), lines.end(), [&aEntry](const CallerQueue& aLine) {
-    return aLine.mCaller == aEntry.mCaller;
+  CallerQueues& queues = mQueuesByClass[static_cast<std::size_t>(aEntry.mClass)];
+  auto queue = std::find_if(queues.begin(), queues.end(), [&aEntry](const CallerQueue& aQueue) {
+    return aQueue.mCaller == aEntry.mCaller;
   });
-  if (line == lines.end()) {
-    line = lines.insert(lines.end(), CallerQueue{aEntry.mCaller, {}});
+  if (queue == queues.end()) {
+    queue = queues.insert(queues.end(), CallerQueue{aEntry.mCaller, {}});
   }
-  line->mEntries.push_back(aEntry);
+  queue->mEntries.push_back(aEntry);
   ++mSize;
 }
 
@@ -146,19 +146,20 @@
 {
   const auto own = static_cast<std::size_t>(aEntry.mClass);
   for (std::size_t index = mQueuesByClass.size(); index-- > own;) {
-    CallerQueues& lines = mQueuesByClass[index];
-    if (lines.empty()) {
+    CallerQueues& queues = mQueuesByClass[index];
+    if (queues.empty()) {
       continue;
     }
-    const auto longest = std::max_element(lines.begin(), lines.end(),
+    const auto longest = std::max_element(queues.begin(), queues.end(),
                                           [](const CallerQueue& aLeft, const CallerQueue& aRight) {
                                             return aLeft.mEntries.size() < aRight.mEntries.size();
                                           });
-    const auto same = std::find_if(lines.begin(), lines.end(), [&aEntry](const CallerQueue& aLine) {
-      return aLine.mCaller == aEntry.mCaller;
-    });
-    const std::size_t held = same == lines.end() ? 0 : same->mEntries.size();
-    if (index == own && longest->mEntries.size() < held + 2) {
+    const auto same =
+      std::find_if(queues.begin(), queues.end(), [&aEntry](const CallerQueue& aQueue) {
+        return aQueue.mCaller == aEntry.mCaller;
+      });
+    const std::size_t queued = same == queues.end() ? 0 : same->mEntries.size();
+    if (index == own && longest->mEntries.size() < queued + 2) {
       return {};
     }
     const QueueEntry displaced = longest->mEntries.back();
@@ -173,18 +174,18 @@
   const auto own = static_cast<std::size_t>(aEntry.mClass);
   std::size_t ahead = 0;
   for (std::size_t index = 0; index < own; ++index) {
-    for (const CallerQueue& line : mQueuesByClass[index]) {
-      ahead += line.mEntries.size();
+    for (const CallerQueue& queue : mQueuesByClass[index]) {
+      ahead += queue.mEntries.size();
     }
   }
-  std::size_t held = 0;
-  for (const CallerQueue& line : mQueuesByClass[own]) {
-    held = line.mCaller == aEntry.mCaller ? line.mEntries.size() : held;
+  std::size_t queued = 0;
+  for (const CallerQueue& queue : mQueuesByClass[own]) {
+    queued = queue.mCaller == aEntry.mCaller ? queue.mEntries.size() : queued;
   }
-  // With turns in rotation, no other caller gets more than held + 1 turns before this entry.
-  for (const CallerQueue& line : mQueuesByClass[own]) {
-    const bool same = line.mCaller == aEntry.mCaller;
-    ahead += same ? held : std::min(line.mEntries.size(), held + 1);
+  // The callers take turns, so no other caller gets more than queued + 1 turns before this entry.
+  for (const CallerQueue& queue : mQueuesByClass[own]) {
+    const bool same = queue.mCaller == aEntry.mCaller;
+    ahead += same ? queued : std::min(queue.mEntries.size(), queued + 1);
   }
   return ahead;
 }
--- a/lib/Request/RequestRecords.cpp
+++ b/lib/Request/RequestRecords.cpp
@@ -1,4 +1,4 @@
-// Life of single records and their bounds.
+// Adding, updating and removing of single records, and the limits of the table.
 #include "dandelionslip/Request/RequestRecords.h"
 
 #include "dandelionslip/Support/Hash.h"
@@ -38,18 +38,18 @@
                                            bool aMayHaveRun)
 {
   RaiseCutoff(aWallMs);
-  const std::int64_t made = aId.TimestampMs();
-  const bool lost = aMayHaveRun && made < mBucketStates[BucketFor(aId)].mCompleteSince;
-  if (lost || made < mCutoffMs) {
+  const std::int64_t timestamp = aId.TimestampMs();
+  const bool lost = aMayHaveRun && timestamp < mBucketStates[BucketFor(aId)].mCompleteSince;
+  if (lost || timestamp < mCutoffMs) {
     return IdFreshness::TooOld;
   }
-  return made > aWallMs + kClockSkewBound.count() ? IdFreshness::InFuture : IdFreshness::New;
+  return timestamp > aWallMs + kClockSkewBound.count() ? IdFreshness::InFuture : IdFreshness::New;
 }
 
 bool RequestRecords::TryAddPending(const RequestId& aId, Attempt aAttempt)
 {
-  const std::size_t others = mRecords.size() - mRefusedCount;
-  if (others >= mLimits.mMaxRecords || mBytesInUse + kMaxKeptAnswerBytes > mLimits.mMaxBytes) {
+  const std::size_t notRefused = mRecords.size() - mRefusedCount;
+  if (notRefused >= mLimits.mMaxRecords || mBytesInUse + kMaxKeptAnswerBytes > mLimits.mMaxBytes) {
     return false;
   }
   RequestRecord record = MakeRecord(RecordState::Pending, aAttempt, mSelf);
@@ -124,7 +124,7 @@
       lost.push_back(id);
     }
   }
-  // The table has no order of its own; sorted ids give equal runs for equal seeds.
+  // The hash map has no fixed order. Sorting makes test runs with the same seed repeatable.
   std::sort(lost.begin(), lost.end());
   for (const RequestId& id : lost) {
     MarkUnknown(id);
--- a/lib/Request/RetryBackoff.cpp
+++ b/lib/Request/RetryBackoff.cpp
@@ -1,4 +1,4 @@
-// Full-jitter delays.
+// Back-off delays with full jitter.
 #include "dandelionslip/Request/RetryBackoff.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 RuntimeClock::duration FullJitterDelay(std::uint32_t aRetry, const BackoffLimits& aLimits,
                                        Random& aRandom)
 {
-  // A larger shift would only exceed the largest window.
+  // More doublings would only exceed the largest window.
   constexpr std::uint32_t kMaxDoublings = 16;
   const Milliseconds window =
     std::min(aLimits.mLargest, aLimits.mFirst * (1U << std::min(aRetry, kMaxDoublings)));
--- a/lib/Request/RetryBudget.cpp
+++ b/lib/Request/RetryBudget.cpp
@@ -1,4 +1,4 @@
-// Token buckets for retries.
+// Token buckets that limit retries.
 #include "dandelionslip/Request/RetryBudget.h"
 
 #include <algorithm>
@@ -19,9 +19,9 @@
 bool RetryBudget::TryRetry(ServiceId aService, CallerKey aCaller, TimePoint aNow)
 {
   Bucket& bucket = BucketFor({aService, aCaller}, aNow);
-  // Ten additions of 0.1 give slightly less than 1.
-  constexpr double kRounding = 1e-9;
-  if (bucket.mTokens < 1 - kRounding) {
+  // Ten additions of 0.1 in floating point give slightly less than 1.
+  constexpr double kTolerance = 1e-9;
+  if (bucket.mTokens < 1 - kTolerance) {
     return false;
   }
   bucket.mTokens = std::max(0.0, bucket.mTokens - 1);
@@ -53,8 +53,8 @@
     mLeastRecentlyUsed.pop_front();
     mBuckets.erase(oldest);
   }
-  const auto place = mLeastRecentlyUsed.insert(mLeastRecentlyUsed.end(), aKey);
-  return mBuckets.emplace(aKey, Bucket{1, aNow, place}).first->second;
+  const auto position = mLeastRecentlyUsed.insert(mLeastRecentlyUsed.end(), aKey);
+  return mBuckets.emplace(aKey, Bucket{1, aNow, position}).first->second;
 }
 
 } // namespace dandelionslip
--- a/unittests/Request/HomeCoreTest.cpp
+++ b/unittests/Request/HomeCoreTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the agent's request handling: the outcome table and each step's failures.
+// Tests of the request handling of an agent.
 #include "RequestTestSupport.h"
 
 #include "dandelionslip/Request/RequestMetricNames.h"
@@ -12,20 +12,20 @@
 class HomeCoreTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(HomeCoreTest);
-  CPPUNIT_TEST(WholeAnswerIsGivenToEveryResend);
+  CPPUNIT_TEST(ResendsGetTheCompleteAnswer);
   CPPUNIT_TEST(RefusedAttemptNeverRuns);
-  CPPUNIT_TEST(FailedRunIsUnknownForever);
+  CPPUNIT_TEST(FailedRunIsNeverRepeated);
   CPPUNIT_TEST(OnlyQueuedRequestsAreCancelled);
-  CPPUNIT_TEST(CancellationRacesTheAnswer);
-  CPPUNIT_TEST(DeadlineEndsEveryPhase);
+  CPPUNIT_TEST(AnswerAfterCancellationIsKept);
+  CPPUNIT_TEST(DeadlineEndsQueuedAndRunningRequests);
   CPPUNIT_TEST(OldAndFutureIdsNeverRun);
-  CPPUNIT_TEST(NothingStartsWithoutLease);
+  CPPUNIT_TEST(NonIdempotentRequestsNeedALease);
   CPPUNIT_TEST(FullAgentRelaysOnce);
-  CPPUNIT_TEST(ShedRequestMovesToTheAlternate);
-  CPPUNIT_TEST(MessageForEarlierProcessNeverRuns);
-  CPPUNIT_TEST(CrossedAnswersAreDropped);
-  CPPUNIT_TEST(FullRecordTableRefusesBeforeTheRun);
-  CPPUNIT_TEST(DrainingFinishesQueuedRequests);
+  CPPUNIT_TEST(ShedRequestIsRelayed);
+  CPPUNIT_TEST(RequestForEarlierProcessNeverRuns);
+  CPPUNIT_TEST(UnmatchedAnswersAreDropped);
+  CPPUNIT_TEST(FullRecordTableRefusesNewRequests);
+  CPPUNIT_TEST(PlannedStopFinishesQueuedRequests);
   CPPUNIT_TEST(IdempotentRequestsNeedNoRecord);
   CPPUNIT_TEST_SUITE_END();
 
@@ -33,7 +33,7 @@
   void setUp() override { Reset({}); }
 
 private:
-  // A core with one slot, a valid lease and all buckets.
+  // Makes a core that has one slot, a valid lease and all buckets.
   void Reset(RecordLimits aLimits)
   {
     HomeSettings settings;
@@ -67,7 +67,7 @@
     return mCore->OnRequest(request, At(aMs));
   }
 
-  // Starts a request and returns its run.
+  // Sends a request that starts at once, and returns its run.
   RunId Start(const RequestId& aId) { return Only<RunAtUpstream>(Send(aId)).mRun; }
 
   // The outcome of the only reply among the actions.
@@ -94,8 +94,8 @@
       .Value();
   }
 
-  // Guards against a second run for a resend, and against a resend left without the answer.
-  void WholeAnswerIsGivenToEveryResend()
+  // Guards against a second run for a resend, and against a resend that does not get the answer.
+  void ResendsGetTheCompleteAnswer()
   {
     const RequestId id = NewId();
     const RunId run = Start(id);
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(body.size()), later.mDigest.value().mLength);
   }
 
-  // Guards against a false "not run": a late copy of a refused attempt must be refused as well.
+  // Guards against a wrong "not run": a late copy of a refused attempt must not run.
   void RefusedAttemptNeverRuns()
   {
     const RequestId id = NewId();
@@ -129,8 +129,8 @@
     CPPUNIT_ASSERT(mSlots->mResults == std::vector{RunResult::Shed});
   }
 
-  // Guards against another run after one that may have happened.
-  void FailedRunIsUnknownForever()
+  // Guards against a second run when it is unknown whether the first one happened.
+  void FailedRunIsNeverRepeated()
   {
     const RequestId lost = NewId();
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), Drops("cut_short"));
   }
 
-  // Guards against "cancelled" for a request that may have run.
+  // Guards against the reply "cancelled" for a request that may have run.
   void OnlyQueuedRequestsAreCancelled()
   {
     const RequestId running = NewId();
@@ -164,8 +164,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(Send(running, 2, 3)));
   }
 
-  // Guards against losing an answer that was on its way when its caller withdrew.
-  void CancellationRacesTheAnswer()
+  // Guards against the loss of an answer that arrives after its caller cancelled the request.
+  void AnswerAfterCancellationIsKept()
   {
     const RequestId id = NewId();
     const RunId run = Start(id);
@@ -175,8 +175,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), Outcome(Send(id, 2, 3)));
   }
 
-  // Guards against callers that wait past their deadline, and against runs that start after it.
-  void DeadlineEndsEveryPhase()
+  // Guards against a caller that waits past its deadline, and against a run that starts after it.
+  void DeadlineEndsQueuedAndRunningRequests()
   {
     const RequestId running = NewId();
     const RunId run = Start(running);
@@ -187,7 +187,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), OutcomeName(replies[0].mAnswer));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), OutcomeName(replies[1].mAnswer));
     CPPUNIT_ASSERT(All<RunAtUpstream>(mCore->OnUpstreamFailed(run, At(1001))).empty());
-    // A run that takes 900 ms makes a request with 800 ms left hopeless.
+    // After a run of 900 ms, a request with 800 ms left is expected to miss its deadline.
     const RunId slow = Only<RunAtUpstream>(Send(NewId(2000), 1, 2000)).mRun;
     mCore->OnUpstreamAnswer(slow, CompleteAnswer("slow"), At(2900));
     ArrivedRequest late;
@@ -196,7 +196,7 @@
     CPPUNIT_ASSERT(RefusalReason::Deadline == Reason(mCore->OnRequest(late, At(3000))));
   }
 
-  // Guards against a run of an id whose record may be gone or would never expire.
+  // Guards against a run of an id whose record may have expired, or would expire far too late.
   void OldAndFutureIdsNeverRun()
   {
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(Send(NewId(-600'001))));
@@ -215,8 +215,9 @@
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Send(ahead, 1, 50'000)));
   }
 
-  // Guards against two owners that both run an id while one is cut off from control.
-  void NothingStartsWithoutLease()
+  // Guards against two runs of one id: while an agent has no contact to control, another agent can
+  // become the owner.
+  void NonIdempotentRequestsNeedALease()
   {
     const RequestId running = NewId();
     const RunId run = Start(running);
@@ -232,8 +233,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<RunAtUpstream>(Send(NewId(), 1, 5)).size());
   }
 
-  // Guards against relaying one attempt twice, and against an outcome that the alternate did not
-  // confirm.
+  // Guards against relaying one attempt twice, and against a reply that the alternate agent's reply
+  // does not support.
   void FullAgentRelaysOnce()
   {
     mAlternate = AlternateAgent{"u2", 9};
@@ -269,8 +270,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Send(ids[2], 2, 3)));
   }
 
-  // Guards against giving up a request that the upstream refused while another one can run it.
-  void ShedRequestMovesToTheAlternate()
+  // Guards against refusing a request that the upstream refused although the alternate can run it.
+  void ShedRequestIsRelayed()
   {
     mAlternate = AlternateAgent{"u2", 9};
     const RunId run = Start(NewId());
@@ -280,8 +281,8 @@
                          Outcome(mCore->OnAlternateFailed(relayed.mRun, false, At(2))));
   }
 
-  // Guards against a second run of a relayed request after the alternate's agent restarted.
-  void MessageForEarlierProcessNeverRuns()
+  // Guards against a second run of a relayed request after the alternate agent restarted.
+  void RequestForEarlierProcessNeverRuns()
   {
     ArrivedRequest request;
     request.mHandle = 500;
@@ -300,8 +301,8 @@
       All<AnswerSender>(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(1))).size());
   }
 
-  // Guards against an answer given to another request.
-  void CrossedAnswersAreDropped()
+  // Guards against passing an answer to a caller of another request.
+  void UnmatchedAnswersAreDropped()
   {
     const RunId run = Start(NewId());
     CPPUNIT_ASSERT(mCore->OnUpstreamAnswer(run + 1, CompleteAnswer("b"), At(1)).empty());
@@ -314,8 +315,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(3), Drops("unmatched_answer"));
   }
 
-  // Guards against forgetting a record to make room, and against running without one.
-  void FullRecordTableRefusesBeforeTheRun()
+  // Guards against removing a record to make room for a new one, and against a run without a
+  // record.
+  void FullRecordTableRefusesNewRequests()
   {
     RecordLimits limits;
     limits.mMaxRecords = 1;
@@ -334,8 +336,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(Send(kept, 3, 10)));
   }
 
-  // Guards against a planned stop that drops queued requests or takes new ones.
-  void DrainingFinishesQueuedRequests()
+  // Guards against a planned stop that drops queued requests or accepts new ones.
+  void PlannedStopFinishesQueuedRequests()
   {
     const RunId run = Start(NewId());
     Send(NewId());
@@ -348,7 +350,7 @@
     CPPUNIT_ASSERT(!mCore->Active());
   }
 
-  // Guards against idempotent requests filling the record table or waiting for a bucket.
+  // Guards against idempotent requests that fill the record table or need a valid lease.
   void IdempotentRequestsNeedNoRecord()
   {
     ArrivedRequest request;
--- a/unittests/Request/RelayCoreTest.cpp
+++ b/unittests/Request/RelayCoreTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the balancer's request handling.
+// Tests of the request handling of a balancer.
 #include "RequestTestSupport.h"
 
 #include "dandelionslip/Request/RequestMetricNames.h"
@@ -25,14 +25,14 @@
 class RelayCoreTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RelayCoreTest);
-  CPPUNIT_TEST(OnlyWholeMatchingAnswersAreDelivered);
-  CPPUNIT_TEST(NotRunNeedsProof);
+  CPPUNIT_TEST(OnlyCompleteMatchingAnswersAreDelivered);
+  CPPUNIT_TEST(NotRunOnlyWhenCertain);
   CPPUNIT_TEST(UnknownOutcomeIsNeverRetried);
-  CPPUNIT_TEST(LostLinkAsksTheRecordAgain);
-  CPPUNIT_TEST(DeadlineBoundsEverything);
-  CPPUNIT_TEST(CancellationIsPassedOn);
-  CPPUNIT_TEST(BadIdsAreRefused);
-  CPPUNIT_TEST(IdempotentRequestsMoveOn);
+  CPPUNIT_TEST(LostLinkIsRetriedWithTheSameId);
+  CPPUNIT_TEST(DeadlineEndsRequestsAndRetries);
+  CPPUNIT_TEST(CancellationIsForwardedToTheAgent);
+  CPPUNIT_TEST(InvalidIdsAreRefused);
+  CPPUNIT_TEST(IdempotentRequestsAreRetriedAtAnotherAgent);
   CPPUNIT_TEST(BudgetEndsRetries);
   CPPUNIT_TEST_SUITE_END();
 
@@ -70,7 +70,7 @@
                                 std::move(aReceived), At(aMs));
   }
 
-  // The attempt that follows within the next second.
+  // The attempt that the core sends when the time aMs has come.
   SendToAgent Next(std::int64_t aMs = 1001) { return Only<SendToAgent>(mCore->OnTick(At(aMs))); }
 
   static std::string Outcome(const RelayActions& aActions)
@@ -83,8 +83,8 @@
     return mRegistry->CounterFor(aName, "reason=\"" + std::string(aReason) + "\"").Value();
   }
 
-  // Guards against truncated answers and answers of another attempt or request.
-  void OnlyWholeMatchingAnswersAreDelivered()
+  // Guards against passing on a truncated answer, or one of another attempt or request.
+  void OnlyCompleteMatchingAnswersAreDelivered()
   {
     const AttemptKey key = Sent().mKey;
     const AttemptKey other = Sent().mKey;
@@ -106,8 +106,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestRetries, "link_lost"));
   }
 
-  // Guards against "not run" without the home agent's word when something may have been sent.
-  void NotRunNeedsProof()
+  // Guards against a wrong "not run": when an attempt may have been sent, only the owner's reply
+  // proves that it did not run.
+  void NotRunOnlyWhenCertain()
   {
     const AttemptKey refused = Sent().mKey;
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Answer(refused, RequestOutcome::NotRun, {},
@@ -121,13 +122,13 @@
     const AttemptKey lost = Next(2500).mKey;
     mCore->OnAgentUnreachable(lost, true, At(2501));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(mCore->OnTick(At(4001))));
-    // An earlier attempt of the caller may run although this balancer never sent one.
+    // An earlier attempt of the caller may have run although this balancer never sent one.
     mTargets.mHome.reset();
     CPPUNIT_ASSERT(Send(false, 2, "01ba60d3-4f94-7fe5-a827-585279c8b01e", 5000).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(mCore->OnTick(At(7000))));
   }
 
-  // Guards against a second run by a retry after an outcome that the home agent calls unknown.
+  // Guards against a second run: the owner's reply "unknown" must not be followed by a retry.
   void UnknownOutcomeIsNeverRetried()
   {
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
@@ -135,8 +136,8 @@
     CPPUNIT_ASSERT(!mCore->Active());
   }
 
-  // Guards against giving up, or changing the id, when only the link to the home agent failed.
-  void LostLinkAsksTheRecordAgain()
+  // Guards against giving up, or changing the id, when only the link to the owner failed.
+  void LostLinkIsRetriedWithTheSameId()
   {
     const SendToAgent first = Sent();
     CPPUNIT_ASSERT(mCore->OnAgentUnreachable(first.mKey, true, At(1)).empty());
@@ -155,8 +156,8 @@
       Outcome(Answer(third.mKey, RequestOutcome::NotRun, {}, RefusalReason::Deadline, 1901)));
   }
 
-  // Guards against callers left waiting and retries past the deadline, also when the clock jumps.
-  void DeadlineBoundsEverything()
+  // Guards against replies and retries after the deadline, also when the clock jumps.
+  void DeadlineEndsRequestsAndRetries()
   {
     const SendToAgent sent = Sent();
     CPPUNIT_ASSERT(sent.mRemaining < Milliseconds(2000));
@@ -170,8 +171,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestRetriesDenied, "deadline"));
   }
 
-  // Guards against work for callers that left, and against a lost answer that raced the cancel.
-  void CancellationIsPassedOn()
+  // Guards against runs for callers that cancelled, and against the loss of an answer that arrives
+  // after the cancellation.
+  void CancellationIsForwardedToTheAgent()
   {
     const SendToAgent sent = Sent();
     CPPUNIT_ASSERT(Only<CancelAtAgent>(mCore->OnCallerCancelled(mHandle, At(1))).mKey == sent.mKey);
@@ -192,8 +194,9 @@
                          Outcome(mCore->OnCallerCancelled(mHandle, At(3))));
   }
 
-  // Guards against running a request at most once under an id that cannot be remembered.
-  void BadIdsAreRefused()
+  // Guards against accepting an id for which no record can be kept, although the request must run
+  // at most once.
+  void InvalidIdsAreRefused()
   {
     const auto refused = Only<AnswerCaller>(Send(false, 1, "not an id"));
     CPPUNIT_ASSERT(refused.mAnswer.mRefusal.value().mReason == RefusalReason::BadRequestId);
@@ -206,8 +209,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendToAgent>(Send(false, 2, id)).size());
   }
 
-  // Guards against idempotent requests that fail with one agent, and against uneven choice.
-  void IdempotentRequestsMoveOn()
+  // Guards against an idempotent request that fails because one agent does, and against uneven load
+  // on the agents.
+  void IdempotentRequestsAreRetriedAtAnotherAgent()
   {
     const SendToAgent first = Sent(true);
     CPPUNIT_ASSERT(Answer(first.mKey, RequestOutcome::Unknown).empty());
--- a/unittests/Request/RequestHistory.cpp
+++ b/unittests/Request/RequestHistory.cpp
@@ -1,4 +1,4 @@
-// Checks of request histories.
+// Checks request histories.
 #include "RequestHistory.h"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace {
 
-// The check for claims about idempotent requests compares only the caller's attempt, because each
-// of their attempts may run.
+// Whether a run contradicts the claim that its attempt did not run. Every try of an idempotent
+// request may run, so for these only runs of the same caller attempt count.
 bool Contradicts(const IdHistory& aHistory, const IdHistory::Claim& aClaim,
                  const IdHistory::Run& aRun)
 {
--- a/unittests/Request/RequestHistory.h
+++ b/unittests/Request/RequestHistory.h
@@ -1,4 +1,4 @@
-// Records what callers, agents and upstreams observed, and checks it afterwards.
+// Records what callers, agents and upstreams observed, so that a test can check it afterwards.
 #pragma once
 
 #include "dandelionslip/Request/Attempt.h"
@@ -11,7 +11,7 @@
 
 namespace dandelionslip::requesttest {
 
-/// What happened to one request id. Order within a list is the order of events.
+/// What happened to one request id. Each list is in the order of the events.
 struct IdHistory
 {
   struct Run
@@ -30,18 +30,18 @@
   std::vector<Claim> mClaims; ///< Made by home agents and, on top, by balancers to callers.
 };
 
-/// Observations of one concurrent run of the system.
+/// Observations of one run of the simulation.
 class RequestHistory
 {
 public:
   void AddRequest(const RequestId& aId, bool aIdempotent) { mIds[aId].mIdempotent = aIdempotent; }
-  /// An upstream begins to run a request; returns the number of the run within its id.
+  /// An upstream started to run a request; returns the index of the run within its id.
   std::size_t AddRun(const RequestId& aId, Attempt aAttempt);
   void SetAnswer(const RequestId& aId, std::size_t aRun, Bytes aBody);
-  /// Someone stated an outcome for all attempts up to aLastAttempt.
+  /// An agent or balancer replied with an outcome for all attempts up to aLastAttempt.
   void AddClaim(const RequestId& aId, Attempt aLastAttempt, const RequestAnswer& aAnswer);
 
-  /// The violations found, one text each.
+  /// Returns a description of each violation found.
   std::vector<std::string> Check() const;
 
   const std::map<RequestId, IdHistory>& Ids() const { return mIds; }
--- a/unittests/Request/RequestHistoryTest.cpp
+++ b/unittests/Request/RequestHistoryTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the history checker with histories that it has to refuse.
+// Tests of the history checker with histories in which it has to report violations.
 #include "RequestHistory.h"
 #include "RequestTestSupport.h"
 
@@ -12,9 +12,9 @@
 {
   CPPUNIT_TEST_SUITE(RequestHistoryTest);
   CPPUNIT_TEST(CorrectHistoryIsAccepted);
-  CPPUNIT_TEST(SecondRunIsRefused);
-  CPPUNIT_TEST(ForeignOrUnfinishedAnswerIsRefused);
-  CPPUNIT_TEST(RunOfRefusedAttemptIsRefused);
+  CPPUNIT_TEST(SecondRunIsReported);
+  CPPUNIT_TEST(ForeignOrUnfinishedAnswerIsReported);
+  CPPUNIT_TEST(RunOfRefusedAttemptIsReported);
   CPPUNIT_TEST(IdempotentClaimsAreCheckedByCallerAttempt);
   CPPUNIT_TEST_SUITE_END();
 
@@ -32,7 +32,7 @@
 
   std::size_t Violations() const { return mHistory.Check().size(); }
 
-  // Guards against a checker that refuses everything.
+  // Guards against a checker that reports violations in every history.
   void CorrectHistoryIsAccepted()
   {
     const RequestId id = Id();
@@ -46,8 +46,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Violations());
   }
 
-  // Guards against a checker that misses a duplicate run, finished or not.
-  void SecondRunIsRefused()
+  // Guards against a checker that misses a second run, finished or not.
+  void SecondRunIsReported()
   {
     const RequestId id = Id();
     Run(id, 1, "a");
@@ -55,8 +55,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
   }
 
-  // Guards against a checker that accepts another request's answer, or one before the run ended.
-  void ForeignOrUnfinishedAnswerIsRefused()
+  // Guards against a checker that accepts the answer of another request, or an answer of an
+  // unfinished run.
+  void ForeignOrUnfinishedAnswerIsReported()
   {
     const RequestId first = Id();
     const RequestId second = Id();
@@ -72,9 +73,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), Violations());
   }
 
-  // Guards against a checker that misses a false "not run", whether the run is later or earlier,
-  // and of the same or a lower attempt.
-  void RunOfRefusedAttemptIsRefused()
+  // Guards against a checker that misses a wrong "not run": the run may come after or before the
+  // claim, and may be of the same or a lower attempt.
+  void RunOfRefusedAttemptIsReported()
   {
     const RequestId later = Id();
     mHistory.AddClaim(later, 3, NotRunBecause({}));
--- a/unittests/Request/RequestIdTest.cpp
+++ b/unittests/Request/RequestIdTest.cpp
@@ -10,13 +10,13 @@
 class RequestIdTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RequestIdTest);
-  CPPUNIT_TEST(TextFormIsStable);
-  CPPUNIT_TEST(OtherTextsAreRefused);
+  CPPUNIT_TEST(ParseReversesToString);
+  CPPUNIT_TEST(InvalidTextsAreRejected);
   CPPUNIT_TEST(OrderFollowsTimestamps);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against ids that change on their way through text, or whose timestamp is lost.
-  void TextFormIsStable()
+  // Guards against an id or timestamp that changes when an id is converted to text and back.
+  void ParseReversesToString()
   {
     const std::string text = "017f22e2-79b0-7cc3-98c4-dc0c0c07398f"; // Example of RFC 9562.
     const RequestId id = RequestId::Parse(text).value();
@@ -30,8 +30,8 @@
     }
   }
 
-  // Guards against ids without a usable timestamp being taken for requests that run at most once.
-  void OtherTextsAreRefused()
+  // Guards against ids without a usable timestamp, for which records could not expire.
+  void InvalidTextsAreRejected()
   {
     for (const char* text :
          {"", "017f22e2-79b0-4cc3-98c4-dc0c0c07398f", "017f22e2-79b0-7cc3-18c4-dc0c0c07398f",
@@ -41,7 +41,7 @@
     }
   }
 
-  // Guards against records that do not expire in the order of their age.
+  // Guards against an order of ids other than by age, on which the expiry of records relies.
   void OrderFollowsTimestamps()
   {
     Random random(12);
--- a/unittests/Request/RequestQueueTest.cpp
+++ b/unittests/Request/RequestQueueTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the queue, the retry budget and the back-off.
+// Tests of the request queue, the retry budget and the back-off delay.
 #include "RequestTestSupport.h"
 
 namespace dandelionslip {
@@ -12,10 +12,10 @@
   CPPUNIT_TEST_SUITE(RequestQueueTest);
   CPPUNIT_TEST(CallersTakeTurns);
   CPPUNIT_TEST(HigherClassesGoFirst);
-  CPPUNIT_TEST(FullQueueMakesRoomForOthers);
-  CPPUNIT_TEST(HopelessRequestsAreRefused);
+  CPPUNIT_TEST(FullQueueDisplacesEntries);
+  CPPUNIT_TEST(RequestsThatWouldMissTheirDeadlineAreRefused);
   CPPUNIT_TEST(BudgetBoundsRetries);
-  CPPUNIT_TEST(BudgetTracksBoundedCallers);
+  CPPUNIT_TEST(BudgetTracksLimitedNumberOfCallers);
   CPPUNIT_TEST(BackoffStaysInItsWindow);
   CPPUNIT_TEST_SUITE_END();
 
@@ -37,7 +37,7 @@
     return callers;
   }
 
-  // Guards against one caller that delays all others by sending many requests.
+  // Guards against one caller that delays all others with many requests.
   void CallersTakeTurns()
   {
     RequestQueue queue(10);
@@ -47,7 +47,7 @@
     CPPUNIT_ASSERT((Drain(queue) == std::vector<CallerKey>{1, 2, 3, 1, 2, 1}));
   }
 
-  // Guards against bulk work that delays feeds and quotes.
+  // Guards against bulk requests that delay feeds and quotes.
   void HigherClassesGoFirst()
   {
     RequestQueue queue(10);
@@ -57,8 +57,8 @@
     CPPUNIT_ASSERT((Drain(queue) == std::vector<CallerKey>{1, 2, 3}));
   }
 
-  // Guards against a short queue that one caller or class occupies as a whole.
-  void FullQueueMakesRoomForOthers()
+  // Guards against one caller or class that occupies the whole queue.
+  void FullQueueDisplacesEntries()
   {
     RequestQueue queue(3);
     for (int i = 0; i < 3; ++i) {
@@ -75,8 +75,8 @@
     CPPUNIT_ASSERT_EQUAL(CallerKey(4), queue.Front()->mCaller);
   }
 
-  // Guards against running what can no longer be answered in time.
-  void HopelessRequestsAreRefused()
+  // Guards against running requests that can no longer be answered in time.
+  void RequestsThatWouldMissTheirDeadlineAreRefused()
   {
     RequestQueue queue(10);
     queue.ObserveRunTime(Milliseconds(100));
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT(queue.ExpectedRunTime() < Milliseconds(11));
   }
 
-  // Guards against retries that multiply the load of an outage.
+  // Guards against retries that multiply the load during an outage.
   void BudgetBoundsRetries()
   {
     RetryBudget budget;
@@ -112,8 +112,8 @@
     CPPUNIT_ASSERT_EQUAL(3, retries);
   }
 
-  // Guards against memory or retries that grow with the number of callers.
-  void BudgetTracksBoundedCallers()
+  // Guards against memory use or retries that grow with the number of callers.
+  void BudgetTracksLimitedNumberOfCallers()
   {
     RetryBudgetLimits limits;
     limits.mMaxCallers = 100;
--- a/unittests/Request/RequestRecordsTest.cpp
+++ b/unittests/Request/RequestRecordsTest.cpp
@@ -1,4 +1,4 @@
-// Tests of record hand-off, restart and bounds.
+// Tests of the transfer, restart and limits of request records.
 #include "RequestTestSupport.h"
 
 namespace dandelionslip {
@@ -10,15 +10,15 @@
 class RequestRecordsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RequestRecordsTest);
-  CPPUNIT_TEST(HandoffKeepsEveryState);
-  CPPUNIT_TEST(LateHandoffHasNoEffect);
-  CPPUNIT_TEST(FrozenBucketGoesToOneOwner);
-  CPPUNIT_TEST(HandoffCoversExpiredRecords);
-  CPPUNIT_TEST(LostBucketForgetsUntilSkewBound);
+  CPPUNIT_TEST(TransferKeepsEveryRecordState);
+  CPPUNIT_TEST(LateTransferHasNoEffect);
+  CPPUNIT_TEST(FrozenBucketHasOneNewOwner);
+  CPPUNIT_TEST(TransferCoversExpiredRecords);
+  CPPUNIT_TEST(IdsUpToSkewBoundAreTooOldAfterLoss);
   CPPUNIT_TEST(RestartMakesPendingUnknown);
   CPPUNIT_TEST(AnswerOfStartedRequestIsAlwaysKept);
   CPPUNIT_TEST(LateRefusalDoesNotEndNewerAttempt);
-  CPPUNIT_TEST(AlteredMessagesChangeNothing);
+  CPPUNIT_TEST(RejectedMessagesChangeNothing);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t kBuckets = 1;
@@ -38,8 +38,8 @@
     return aTable.value();
   }
 
-  // Guards against a hand-off that loses a record, and so permits a second run.
-  void HandoffKeepsEveryState()
+  // Guards against a transfer that loses a record and so permits a second run.
+  void TransferKeepsEveryRecordState()
   {
     RequestRecords from = Owner("a");
     std::vector<RequestId> ids;
@@ -64,8 +64,8 @@
     CPPUNIT_ASSERT(RecordState::Done == to.Find(ids[0])->mState);
   }
 
-  // Guards against a bucket that becomes complete with records of an earlier hand-off.
-  void LateHandoffHasNoEffect()
+  // Guards against a bucket that becomes complete with the records of an earlier transfer.
+  void LateTransferHasNoEffect()
   {
     RequestRecords a = Owner("a");
     RequestRecords b("b", kBuckets);
@@ -78,13 +78,13 @@
     b.Acquire(0, 4);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), b.Import(early, "a").value().size());
     CPPUNIT_ASSERT(RecordBucketState::Incomplete == b.StateOf(0));
-    // A late request for the first hand-off must not freeze the bucket again.
+    // A late request for the first transfer must not freeze the bucket again.
     CPPUNIT_ASSERT(!a.FreezeAndExport({0}, "b", 2, kWallStartMs));
     CPPUNIT_ASSERT(RecordBucketState::Complete == a.StateOf(0));
   }
 
-  // Guards against two owners that both complete a bucket from one export.
-  void FrozenBucketGoesToOneOwner()
+  // Guards against two new owners that both complete the bucket with one exported message.
+  void FrozenBucketHasOneNewOwner()
   {
     RequestRecords a = Owner("a");
     const Json first = Exported(a.FreezeAndExport({0}, "b", 2, kWallStartMs));
@@ -97,8 +97,8 @@
     CPPUNIT_ASSERT(!c.FreezeAndExport({7}, "d", 3, kWallStartMs));
   }
 
-  // Guards against a new owner with a slower clock that takes an expired id for a new one.
-  void HandoffCoversExpiredRecords()
+  // Guards against a new owner whose clock is behind and that takes an expired id for a new one.
+  void TransferCoversExpiredRecords()
   {
     RequestRecords a = Owner("a");
     const RequestId id = NewId();
@@ -112,8 +112,8 @@
     CPPUNIT_ASSERT(IdFreshness::TooOld == b.CheckFreshness(id, kWallStartMs + 590'000));
   }
 
-  // Guards against running an id that a lost owner may have run.
-  void LostBucketForgetsUntilSkewBound()
+  // Guards against a second run of an id that the lost owner may have run.
+  void IdsUpToSkewBoundAreTooOldAfterLoss()
   {
     RequestRecords records("a", kBuckets);
     records.CompleteWithoutTransfer(0, kWallStartMs);
@@ -126,8 +126,8 @@
     CPPUNIT_ASSERT(IdFreshness::InFuture == records.CheckFreshness(NewId(30'001), kWallStartMs));
   }
 
-  // Guards against a second run of hundreds of requests that were pending at a restart, and against
-  // an answer lost that the old process stated after its export.
+  // Guards against a second run of requests that were pending at a restart, and against the loss of
+  // an answer that the old process received after its export.
   void RestartMakesPendingUnknown()
   {
     RequestRecords old = Owner("a");
@@ -149,7 +149,7 @@
     CPPUNIT_ASSERT(RecordState::Done == fresh.Find(ids[0])->mState);
   }
 
-  // Guards against answers that a resend cannot get because others filled the table meanwhile.
+  // Guards against an answer that is not kept because others filled the table during the run.
   void AnswerOfStartedRequestIsAlwaysKept()
   {
     RecordLimits limits;
@@ -167,7 +167,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), records.BytesInUse());
   }
 
-  // Guards against a refusal of an earlier attempt that frees an id while a later one runs.
+  // Guards against a second run: a late refusal of an earlier attempt must not end the pending
+  // record of a later attempt that runs.
   void LateRefusalDoesNotEndNewerAttempt()
   {
     RequestRecords a = Owner("a");
@@ -186,8 +187,8 @@
     CPPUNIT_ASSERT_EQUAL(Attempt(3), b.Find(id)->mAttempt);
   }
 
-  // Guards against crashes and partial changes by damaged messages.
-  void AlteredMessagesChangeNothing()
+  // Guards against crashes and partial imports caused by damaged messages.
+  void RejectedMessagesChangeNothing()
   {
     RequestRecords a = Owner("a");
     const RequestId id = NewId();
--- a/unittests/Request/RequestWorld.cpp
+++ b/unittests/Request/RequestSimulation.cpp
@@ -1,5 +1,5 @@
-// Event loop of the request world.
-#include "RequestWorldParts.h"
+// Event loop of the request simulation.
+#include "RequestSimulationParts.h"
 
 namespace dandelionslip::requesttest {
 
@@ -7,8 +7,9 @@
 
 constexpr std::int64_t kTickUs = 10'000;
 constexpr std::int64_t kBurstUs = 3'500'000;
-// The second burst begins after the skew bound, when lost buckets take new ids again, the third
-// after the retention, when records have expired.
+// Start times of the bursts of requests. The second is later than the first by more than
+// kClockSkewBound, so that buckets whose owner was lost accept new ids again. The third is later by
+// more than the retention, so that records have expired.
 constexpr std::array<std::int64_t, 3> kBursts{0, 40'000'000, 660'000'000};
 
 constexpr std::int64_t kEndUs = 700'000'000;
@@ -42,7 +43,7 @@
 
 std::int64_t RequestSimulation::Delay()
 {
-  // Most messages take milliseconds, a few a good part of a request's deadline.
+  // Most messages take some milliseconds, a few up to 400 ms, a large part of a request's deadline.
   return static_cast<std::int64_t>(Chance(0.05) ? mRandom.Below(400'000)
                                                 : 500 + mRandom.Below(8'000));
 }
--- a/unittests/Request/RequestWorld.h
+++ b/unittests/Request/RequestSimulation.h
@@ -1,5 +1,4 @@
-// Several balancers, agents and upstreams that exchange messages in one process under seeded
-// faults.
+// Simulates balancers, agents and upstreams in one process, with seeded message delays and faults.
 #pragma once
 
 #include "RequestHistory.h"
@@ -12,7 +11,7 @@
 
 namespace dandelionslip::requesttest {
 
-/// How often something worth checking happened; summed over seeds so that a test can require it.
+/// Counts of events. Tests sum them over all seeds and require a minimum of each.
 struct SimulationTotals
 {
   std::size_t mRequests = 0;
@@ -28,10 +27,10 @@
   std::size_t mRecordUpdates = 0;
   std::size_t mCrashes = 0;
   std::size_t mRestarts = 0;
-  std::size_t mUnanswered = 0; ///< Requests that no reply reached although their balancer lived.
+  std::size_t mUnanswered = 0; ///< Requests without a reply although their balancer did not crash.
 };
 
-/// What fails while the only request of a scenario is under way.
+/// What fails while the only request of a scenario is in progress.
 enum class Fault
 {
   CallerLink,
@@ -42,7 +41,7 @@
   ControlContact,
 };
 
-/// A run with one request, sent at kRequestUs, and one fault.
+/// A simulation with one request, sent at kRequestUs, and one fault at mFaultUs.
 struct Scenario
 {
   static constexpr std::int64_t kRequestUs = 100'000;
@@ -50,11 +49,11 @@
   std::int64_t mFaultUs = 0;
 };
 
-/// One seeded run. Time is in microseconds since its start.
+/// One seeded simulation. Its time is in microseconds since the start.
 class RequestSimulation
 {
 public:
-  /// Without a scenario, many requests meet many faults.
+  /// Without a scenario, the simulation has many requests and random faults.
   explicit RequestSimulation(std::uint64_t aSeed, std::optional<Scenario> aScenario = {});
   ~RequestSimulation();
 
@@ -93,7 +92,7 @@
   RequestTime TimeOf(const Agent& aAgent) const;
   void ScheduleTicks(std::int64_t aStart);
 
-  // Callers (RequestWorldCallers.cpp).
+  // Callers (RequestSimulationCallers.cpp).
   void ScheduleBurst(std::int64_t aStart);
   void NewRequest();
   void SendCall(const std::shared_ptr<Call>& aCall);
@@ -103,11 +102,11 @@
   void SendAttempt(std::size_t aBalancer, const SendToAgent& aSend);
   void CrashBalancer(std::size_t aBalancer);
 
-  // Agents and upstreams (RequestWorldAgents.cpp).
+  // Agents and upstreams (RequestSimulationAgents.cpp).
   void StartAgent(std::size_t aAgent);
   void Deliver(std::size_t aAgent, const ArrivedRequest& aRequest, const OnReply& aOnReply,
-               const Task& aLost, const AttemptKey& aKey);
-  void Arrive(std::size_t aAgent, ArrivedRequest aRequest, OnReply aOnReply, Task aLost,
+               const Task& aOnLinkLost, const AttemptKey& aKey);
+  void Arrive(std::size_t aAgent, ArrivedRequest aRequest, OnReply aOnReply, Task aOnLinkLost,
               const AttemptKey& aKey);
   void PerformHome(std::size_t aAgent, const HomeActions& aActions);
   void PerformAnswer(std::size_t aAgent, const AnswerSender& aAnswer);
@@ -119,22 +118,22 @@
   void DropLinks(std::size_t aAgent);
   ReceivedAnswer Transmit(const UpstreamAnswer& aAnswer);
 
-  // Ownership and failures (RequestWorldControl.cpp).
+  // Ownership and failures (RequestSimulationControl.cpp).
   void ScheduleFaults(std::int64_t aStart);
   void Inject(Fault aFault);
-  void Control(std::size_t aAgent, std::function<HomeActions(HomeCore&)> aEvent);
+  void SendFromControl(std::size_t aAgent, std::function<HomeActions(HomeCore&)> aEvent);
   bool IsUsable(std::size_t aAgent) const;
   std::optional<std::size_t> PickOwner(std::size_t aNot);
   void SetOwner(std::uint32_t aBucket, std::size_t aOwner);
   void MoveBuckets();
-  void AskForBucket(std::uint32_t aBucket, std::uint32_t aGeneration);
+  void RequestTransfer(std::uint32_t aBucket, std::uint32_t aGeneration);
   void CrashAgent(std::size_t aAgent);
   void CutOffFromControl(std::size_t aAgent);
   void RestartAgent(std::size_t aAgent);
   void FinishRestart(std::size_t aAgent, std::int64_t aGiveUpAt);
   void CrashUpstream(std::size_t aAgent);
   void DeclareLost(std::size_t aAgent);
-  void Reassign(std::uint32_t aBucket, std::size_t aLost);
+  void Reassign(std::uint32_t aBucket, std::size_t aLostAgent);
 
   std::optional<Scenario> mScenario;
   Random mRandom;
@@ -143,7 +142,7 @@
   std::priority_queue<Event> mEvents;
   std::vector<std::unique_ptr<Agent>> mAgents;
   std::vector<std::unique_ptr<Balancer>> mBalancers;
-  std::vector<std::unique_ptr<Transfer>> mTransfers; ///< By bucket; null when settled.
+  std::vector<std::unique_ptr<Transfer>> mTransfers; ///< By bucket; null without a transfer.
   std::vector<std::size_t> mOwners;
   std::uint32_t mGeneration = 1;
   ReplyHandle mNextHandle = 1;
--- a/unittests/Request/RequestWorldAgents.cpp
+++ b/unittests/Request/RequestSimulationAgents.cpp
@@ -1,5 +1,5 @@
-// Agents and fake upstreams of the request world.
-#include "RequestWorldParts.h"
+// Agents and simulated upstreams of the request simulation.
+#include "RequestSimulationParts.h"
 
 namespace dandelionslip::requesttest {
 
@@ -22,35 +22,37 @@
   agent.mCore->OnLease(!agent.mLost, TimeOf(agent));
 }
 
-// Sends a request with delays, loss of the link and, for recorded requests, duplicates.
+// Sends a request to an agent after a delay. The link may fail, and a request that is not
+// idempotent may arrive twice.
 void RequestSimulation::Deliver(std::size_t aAgent, const ArrivedRequest& aRequest,
-                                const OnReply& aOnReply, const Task& aLost, const AttemptKey& aKey)
+                                const OnReply& aOnReply, const Task& aOnLinkLost,
+                                const AttemptKey& aKey)
 {
   const int copies = !aRequest.mIdempotent && Chance(0.1) ? 2 : 1;
   const bool linkFails = Chance(0.06);
   for (int i = 0; i < copies; ++i) {
     if (!linkFails || Chance(0.5)) {
-      After(Delay(), [this, aAgent, aRequest, aOnReply, aLost, aKey] {
-        Arrive(aAgent, aRequest, aOnReply, aLost, aKey);
+      After(Delay(), [this, aAgent, aRequest, aOnReply, aOnLinkLost, aKey] {
+        Arrive(aAgent, aRequest, aOnReply, aOnLinkLost, aKey);
       });
     }
   }
   if (linkFails) {
-    After(Delay(), aLost);
+    After(Delay(), aOnLinkLost);
   }
 }
 
 void RequestSimulation::Arrive(std::size_t aAgent, ArrivedRequest aRequest, OnReply aOnReply,
-                               Task aLost, const AttemptKey& aKey)
+                               Task aOnLinkLost, const AttemptKey& aKey)
 {
   Agent& agent = *mAgents[aAgent];
   if (!agent.mCore) {
-    aLost();
+    aOnLinkLost();
     return;
   }
   aRequest.mHandle = mNextHandle++;
   agent.mReplies[aRequest.mHandle] = {aKey, !aRequest.mIdempotent && !aRequest.mRelayed,
-                                      std::move(aOnReply), std::move(aLost)};
+                                      std::move(aOnReply), std::move(aOnLinkLost)};
   PerformHome(aAgent, agent.mCore->OnRequest(std::move(aRequest), TimeOf(agent)));
 }
 
@@ -70,7 +72,7 @@
       const Bytes message = EncodeCbor(send.mRecord);
       ++mTotals.mRecordUpdates;
       After(Delay(), [this, from, message, to = IndexOf(send.mAgent)] {
-        Control(to, [this, from, message, to](HomeCore& aCore) {
+        SendFromControl(to, [this, from, message, to](HomeCore& aCore) {
           const Json record = DecodeCbor(message, from).value();
           return aCore.OnRecordUpdate(record, from, TimeOf(*mAgents[to])).value();
         });
@@ -126,7 +128,7 @@
   });
 }
 
-// Reports the end of a run to the process that started it, after a delay.
+// Reports the end of a run, after a delay, if the process that started it still exists.
 void RequestSimulation::EndRun(std::size_t aAgent, RunId aRun,
                                std::function<HomeActions(HomeCore&)> aEnd)
 {
@@ -151,14 +153,14 @@
   mAgents[aAgent]->mRuns[aRelay.mRun] = run;
   ++mTotals.mRelayed;
   const RunId number = aRelay.mRun;
-  const auto lost = [this, aAgent, number](bool aSent) {
+  const auto linkFailed = [this, aAgent, number](bool aSent) {
     EndRun(aAgent, number, [this, number, aSent](HomeCore& aCore) {
       return aCore.OnAlternateFailed(number, aSent, Time(0));
     });
   };
   const std::size_t to = IndexOf(aRelay.mAgent);
   if (!mAgents[to]->mCore || Chance(0.05)) {
-    lost(false);
+    linkFailed(false);
     return;
   }
   ArrivedRequest request;
@@ -185,12 +187,12 @@
                number, aAnswer.mOutcome, aAnswer.mRefusal.value_or(Refusal{}), received, Time(0));
            });
   };
-  const auto linkLost = [this, aAgent, incarnation, lost] {
+  const auto linkFailedAfterSend = [this, aAgent, incarnation, linkFailed] {
     if (mAgents[aAgent]->mIncarnation == incarnation) {
-      lost(true);
+      linkFailed(true);
     }
   };
-  Deliver(to, request, onReply, linkLost, key);
+  Deliver(to, request, onReply, linkFailedAfterSend, key);
 }
 
 void RequestSimulation::CancelRunAt(std::size_t aAgent, RunId aRun)
@@ -227,15 +229,16 @@
   }
 }
 
-// Breaks the links to an agent whose process ended.
+// Reports the loss of all links to an agent whose process ended.
 void RequestSimulation::DropLinks(std::size_t aAgent)
 {
   mAgents[aAgent]->mRuns.clear();
   for (const auto& [handle, reply] : std::exchange(mAgents[aAgent]->mReplies, {})) {
-    After(Delay(), reply.mLost);
+    After(Delay(), reply.mOnLinkLost);
   }
 }
 
+// Returns the answer as its receiver sees it, sometimes truncated.
 ReceivedAnswer RequestSimulation::Transmit(const UpstreamAnswer& aAnswer)
 {
   ReceivedAnswer received{aAnswer, aAnswer.mBody.size(), true};
--- a/unittests/Request/RequestWorldCallers.cpp
+++ b/unittests/Request/RequestSimulationCallers.cpp
@@ -1,5 +1,5 @@
-// Callers and balancers of the request world.
-#include "RequestWorldParts.h"
+// Callers and balancers of the request simulation.
+#include "RequestSimulationParts.h"
 
 namespace dandelionslip::requesttest {
 
@@ -13,7 +13,7 @@
 
 void RequestSimulation::NewRequest()
 {
-  // An old id is resent now and then, as a caller does that was cut off for long.
+  // Sometimes an old id is resent, as by a caller that had no connection for a long time.
   if (!mCalls.empty() && Chance(0.2)) {
     SendCall(mCalls[mRandom.Below(mCalls.size())]);
     return;
@@ -47,7 +47,8 @@
     ScheduleCancel(index, handle, static_cast<std::int64_t>(mRandom.Below(200'000)));
   }
   if (aCall->mAttempt < 4 && Chance(0.08)) {
-    // The caller's link fails. It resends at once; the balancer notices later.
+    // The link to the caller fails. The caller resends soon, and the balancer notices the failure
+    // at another time.
     ScheduleCancel(index, handle, static_cast<std::int64_t>(mRandom.Below(400'000)));
     After(static_cast<std::int64_t>(mRandom.Below(50'000)), [this, aCall] { SendCall(aCall); });
   }
@@ -114,14 +115,14 @@
       }
     });
   };
-  const auto lost = [this, key, toCore](bool aSent) {
+  const auto linkFailed = [this, key, toCore](bool aSent) {
     toCore([this, key, aSent](RelayCore& aCore) {
       return aCore.OnAgentUnreachable(key, aSent, Time(0));
     });
   };
   const std::size_t agent = IndexOf(aSend.mAgent);
   if (!mAgents[agent]->mCore || Chance(0.02)) {
-    lost(false);
+    linkFailed(false);
     return;
   }
   const auto onReply = [this, key, toCore](const RequestAnswer& aAnswer) {
@@ -130,7 +131,7 @@
     });
   };
   Deliver(
-    agent, request, onReply, [lost] { lost(true); }, key);
+    agent, request, onReply, [linkFailed] { linkFailed(true); }, key);
 }
 
 void RequestSimulation::CrashBalancer(std::size_t aBalancer)
@@ -143,7 +144,7 @@
   settings.mBudget.mMaxTokens = 3;
   balancer.mCore =
     std::make_unique<RelayCore>(settings, balancer, mRandom.Next(), *balancer.mRegistry);
-  // The callers notice and resend through another connection.
+  // The callers notice the crash and resend through another connection.
   for (const auto& [handle, open] : std::exchange(balancer.mCalls, {})) {
     --open.mCall->mOpen;
     if (open.mCall->mAttempt < 4) {
--- a/unittests/Request/RequestWorldControl.cpp
+++ b/unittests/Request/RequestSimulationControl.cpp
@@ -1,5 +1,5 @@
-// Ownership changes, crashes and restarts of the request world.
-#include "RequestWorldParts.h"
+// Ownership changes, crashes and restarts of the request simulation.
+#include "RequestSimulationParts.h"
 
 namespace dandelionslip::requesttest {
 
@@ -33,7 +33,7 @@
   }
 }
 
-// Lets what the only request depends on fail.
+// Injects a fault into the part that the only request depends on.
 void RequestSimulation::Inject(Fault aFault)
 {
   const std::shared_ptr<Call> call = mCalls.front();
@@ -69,8 +69,10 @@
   }
 }
 
-// Tells the current life of an agent about a change; waits while a planned restart is under way.
-void RequestSimulation::Control(std::size_t aAgent, std::function<HomeActions(HomeCore&)> aEvent)
+// Passes an event from control to an agent. During a planned restart the event waits for the next
+// process; after a crash it is discarded.
+void RequestSimulation::SendFromControl(std::size_t aAgent,
+                                        std::function<HomeActions(HomeCore&)> aEvent)
 {
   Agent& agent = *mAgents[aAgent];
   if (agent.mCore) {
@@ -79,7 +81,7 @@
   }
   After(20'000, [this, aAgent, crashCount = agent.mCrashCount, aEvent = std::move(aEvent)] {
     if (mAgents[aAgent]->mCrashCount == crashCount) {
-      Control(aAgent, aEvent);
+      SendFromControl(aAgent, aEvent);
     }
   });
 }
@@ -126,17 +128,18 @@
     After(Delay(), [this, bucket, generation = mGeneration, to = *to,
                     crashCount = mAgents[*to]->mCrashCount] {
       if (mAgents[to]->mCrashCount == crashCount) {
-        Control(to, [this, bucket, generation](HomeCore& aCore) {
+        SendFromControl(to, [this, bucket, generation](HomeCore& aCore) {
           return aCore.OnBucketAcquired(bucket, generation, Time(0));
         });
-        AskForBucket(bucket, generation);
+        RequestTransfer(bucket, generation);
       }
     });
   }
 }
 
-// Asks the previous owner again and again, as messages are lost, until the bucket is complete.
-void RequestSimulation::AskForBucket(std::uint32_t aBucket, std::uint32_t aGeneration)
+// Requests a bucket from its previous owner every 60 ms, because messages are lost, until the
+// bucket is complete.
+void RequestSimulation::RequestTransfer(std::uint32_t aBucket, std::uint32_t aGeneration)
 {
   const Transfer* transfer = mTransfers[aBucket].get();
   if (transfer == nullptr || transfer->mGeneration != aGeneration) {
@@ -144,20 +147,20 @@
   }
   const std::size_t from = transfer->mFrom;
   const std::size_t to = transfer->mTo;
-  Agent& asker = *mAgents[to];
-  if (asker.mCore && asker.mCore->Records().StateOf(aBucket) == RecordBucketState::Complete) {
+  Agent& newOwner = *mAgents[to];
+  if (newOwner.mCore && newOwner.mCore->Records().StateOf(aBucket) == RecordBucketState::Complete) {
     mTransfers[aBucket].reset();
     return;
   }
   if (transfer->mFromLost) {
     // The loss may have been reported before the bucket was acquired.
-    Control(to, [this, aBucket, to](HomeCore& aCore) {
+    SendFromControl(to, [this, aBucket, to](HomeCore& aCore) {
       return aCore.OnPreviousOwnerLost(aBucket, TimeOf(*mAgents[to]));
     });
   }
-  After(60'000, [this, aBucket, aGeneration] { AskForBucket(aBucket, aGeneration); });
+  After(60'000, [this, aBucket, aGeneration] { RequestTransfer(aBucket, aGeneration); });
   for (int copy = Chance(0.2) ? 2 : 1; copy > 0; --copy) {
-    After(Delay(), [this, aBucket, aGeneration, from, to, crashCount = asker.mCrashCount] {
+    After(Delay(), [this, aBucket, aGeneration, from, to, crashCount = newOwner.mCrashCount] {
       Agent& owner = *mAgents[from];
       if (!owner.mCore || Chance(0.15)) {
         return;
@@ -199,7 +202,8 @@
   });
 }
 
-// The agent loses control contact: its own lease ends before control declares it lost.
+// Ends the contact between an agent and control for a while: the agent's lease expires, and then
+// control declares the agent lost.
 void RequestSimulation::CutOffFromControl(std::size_t aAgent)
 {
   if (!IsUsable(aAgent) || !PickOwner(aAgent)) {
@@ -275,39 +279,41 @@
       ++mTotals.mLostOwners;
       const std::size_t to = mTransfers[bucket]->mTo;
       mTransfers[bucket]->mFromLost = true;
-      Control(to, [this, bucket, to](HomeCore& aCore) {
+      SendFromControl(to, [this, bucket, to](HomeCore& aCore) {
         return aCore.OnPreviousOwnerLost(bucket, TimeOf(*mAgents[to]));
       });
     }
   }
   for (std::size_t i = 0; i < kAgents; ++i) {
     if (i != aAgent && !mAgents[i]->mLost) {
-      After(
-        Delay(), [this, i, name = mAgents[aAgent]->mName, crashCount = mAgents[i]->mCrashCount] {
-          if (mAgents[i]->mCrashCount == crashCount) {
-            Control(i, [this, name](HomeCore& aCore) { return aCore.OnAgentLost(name, Time(0)); });
-          }
-        });
+      After(Delay(),
+            [this, i, name = mAgents[aAgent]->mName, crashCount = mAgents[i]->mCrashCount] {
+              if (mAgents[i]->mCrashCount == crashCount) {
+                SendFromControl(
+                  i, [this, name](HomeCore& aCore) { return aCore.OnAgentLost(name, Time(0)); });
+              }
+            });
     }
   }
 }
 
-void RequestSimulation::Reassign(std::uint32_t aBucket, std::size_t aLost)
+void RequestSimulation::Reassign(std::uint32_t aBucket, std::size_t aLostAgent)
 {
-  const auto to = PickOwner(aLost);
+  const auto to = PickOwner(aLostAgent);
   if (!to) {
     return;
   }
-  // The lost agent may not have got the bucket yet; whoever had it before must have let go of it.
+  // If the lost agent had not received the bucket yet, the owner before it must not keep it: it
+  // learns that another agent owns the bucket now.
   if (const auto transfer = std::move(mTransfers[aBucket]); transfer && mAgents[transfer->mFrom]) {
-    Control(transfer->mFrom, [this, aBucket, generation = mGeneration](HomeCore& aCore) {
+    SendFromControl(transfer->mFrom, [this, aBucket, generation = mGeneration](HomeCore& aCore) {
       return aCore.OnBucketTakenOver(aBucket, generation, Time(0));
     });
   }
   ++mTotals.mLostOwners;
   const std::uint32_t generation = ++mGeneration;
   SetOwner(aBucket, *to);
-  Control(*to, [this, aBucket, generation, to = *to](HomeCore& aCore) {
+  SendFromControl(*to, [this, aBucket, generation, to = *to](HomeCore& aCore) {
     const RequestTime time = TimeOf(*mAgents[to]);
     aCore.OnBucketAcquired(aBucket, generation, time);
     return aCore.OnPreviousOwnerLost(aBucket, time);
--- a/unittests/Request/RequestWorldParts.h
+++ b/unittests/Request/RequestSimulationParts.h
@@ -1,7 +1,7 @@
-// The nodes of RequestSimulation.
+// Agents, balancers and other parts of RequestSimulation.
 #pragma once
 
-#include "RequestWorld.h"
+#include "RequestSimulation.h"
 
 namespace dandelionslip::requesttest {
 
@@ -15,7 +15,7 @@
   return static_cast<std::size_t>(aName[1] - '0');
 }
 
-/// A run at a fake upstream or at an alternate's agent.
+/// A run at a simulated upstream or at an alternate agent.
 struct RequestSimulation::UpstreamRun
 {
   bool mEnded = false;
@@ -23,13 +23,13 @@
   std::optional<std::pair<std::size_t, AttemptKey>> mAlternate;
 };
 
-/// A message whose sender waits for the reply.
+/// A received message whose sender waits for the reply.
 struct OpenReply
 {
   AttemptKey mKey;
   bool mRecorded = false; ///< Neither idempotent nor relayed.
   std::function<void(const RequestAnswer&)> mOnReply;
-  std::function<void()> mLost;
+  std::function<void()> mOnLinkLost;
 };
 
 struct RequestSimulation::Agent
@@ -37,7 +37,7 @@
   std::string mName;
   std::uint64_t mIncarnation = 0;
   std::int64_t mWallOffsetMs = 0;
-  std::uint64_t mCrashCount = 0; ///< Changes with a crash; messages from control are for one life.
+  std::uint64_t mCrashCount = 0; ///< Events from control are discarded after a crash.
   bool mLost = false;            ///< Declared lost by control.
   bool mStopping = false;
   std::unique_ptr<FixedSlots> mSlots;
@@ -74,13 +74,14 @@
     std::uint32_t mAttempt = 0;
   };
   std::uint64_t mCrashCount = 0;
-  std::vector<std::size_t> mOwners; ///< Perhaps outdated.
+  std::vector<std::size_t>
+    mOwners; ///< Owner of each bucket in the balancer's view; may be outdated.
   std::unique_ptr<MetricsRegistry> mRegistry;
   std::unique_ptr<RelayCore> mCore;
   std::map<ReplyHandle, OpenCall> mCalls;
 };
 
-/// A bucket on its way to a new owner.
+/// The transfer of a bucket to a new owner.
 struct RequestSimulation::Transfer
 {
   std::uint32_t mGeneration = 0;
--- a/unittests/Request/RequestWorldTest.cpp
+++ b/unittests/Request/RequestSimulationTest.cpp
@@ -1,5 +1,5 @@
-// Checks the histories of concurrent runs under faults.
-#include "RequestWorld.h"
+// Checks the request histories of simulations with faults.
+#include "RequestSimulation.h"
 
 namespace dandelionslip {
 
@@ -7,11 +7,11 @@
 
 using namespace requesttest;
 
-class RequestWorldTest : public CppUnit::TestFixture
+class RequestSimulationTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(RequestWorldTest);
-  CPPUNIT_TEST(EveryStepSurvivesEveryFault);
-  CPPUNIT_TEST(HistoriesAreCorrect);
+  CPPUNIT_TEST_SUITE(RequestSimulationTest);
+  CPPUNIT_TEST(SingleFaultAtEachMillisecond);
+  CPPUNIT_TEST(RandomFaultsKeepHistoriesCorrect);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint64_t kSeeds = 1000;
@@ -19,14 +19,14 @@
   static void CheckSeed(std::uint64_t aSeed, SimulationTotals& aTotals,
                         std::optional<Scenario> aScenario = {})
   {
-    RequestSimulation world(aSeed, aScenario);
-    world.Run();
-    const auto violations = world.History().Check();
+    RequestSimulation simulation(aSeed, aScenario);
+    simulation.Run();
+    const auto violations = simulation.History().Check();
     CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(aSeed) + ": " +
                              (violations.empty() ? "" : violations.front()),
                            violations.empty());
     CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(aSeed) + ": messages without a reply",
-                                 std::size_t(0), world.Totals().mUnanswered);
+                                 std::size_t(0), simulation.Totals().mUnanswered);
     constexpr std::array kMembers{&SimulationTotals::mRequests,   &SimulationTotals::mRuns,
                                   &SimulationTotals::mAnswered,   &SimulationTotals::mNotRun,
                                   &SimulationTotals::mUnknown,    &SimulationTotals::mCancelled,
@@ -35,13 +35,13 @@
                                   &SimulationTotals::mLostOwners, &SimulationTotals::mRecordUpdates,
                                   &SimulationTotals::mRestarts};
     for (const auto member : kMembers) {
-      aTotals.*member += world.Totals().*member;
+      aTotals.*member += simulation.Totals().*member;
     }
   }
 
-  // Guards against a step of a request at which the failure of one part breaks the rules: each part
-  // fails at each millisecond of the request's life.
-  void EveryStepSurvivesEveryFault()
+  // Guards against a moment at which the failure of one part causes a second run or a wrong reply:
+  // in each simulation one part fails, at one of the first 100 ms of a request.
+  void SingleFaultAtEachMillisecond()
   {
     constexpr std::int64_t kLifeUs = 100'000;
     for (const Fault fault : {Fault::CallerLink, Fault::Balancer, Fault::Agent, Fault::Upstream,
@@ -56,10 +56,10 @@
     }
   }
 
-  // Guards against a second run, a foreign answer or a false "not run" under any combination of
-  // lost, repeated, delayed and crossed messages, crashes, restarts and hand-offs, and against a
-  // message that never gets a reply.
-  void HistoriesAreCorrect()
+  // Guards against a second run, an answer of another request, a wrong "not run" and a request
+  // without a reply, under random combinations of lost, repeated, delayed and reordered messages,
+  // crashes, restarts and bucket transfers.
+  void RandomFaultsKeepHistoriesCorrect()
   {
     SimulationTotals totals;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -72,7 +72,7 @@
               << " handoffs=" << totals.mHandoffs << " lost_owners=" << totals.mLostOwners
               << " record_updates=" << totals.mRecordUpdates << " crashes=" << totals.mCrashes
               << " restarts=" << totals.mRestarts << std::flush;
-    // Without these the checks above would have had nothing to check.
+    // The checks above mean something only if these events happened often.
     CPPUNIT_ASSERT(totals.mAnswered > totals.mRequests / 3);
     for (const std::size_t count :
          {totals.mNotRun, totals.mUnknown, totals.mResends, totals.mRelayed, totals.mHandoffs,
@@ -85,7 +85,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RequestWorldTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RequestSimulationTest);
 
 } // namespace
 
--- a/unittests/Request/RequestTestSupport.h
+++ b/unittests/Request/RequestTestSupport.h
@@ -49,13 +49,13 @@
   return Bytes(aText.begin(), aText.end());
 }
 
-/// An answer whose stream ended properly.
+/// A complete answer.
 inline ReceivedAnswer CompleteAnswer(std::string_view aText)
 {
   return {UpstreamAnswer{200, "text/plain", BytesOf(aText)}, aText.size(), true};
 }
 
-/// An answer whose stream ended before its declared length.
+/// An answer that ended one byte before its declared length.
 inline ReceivedAnswer TruncatedAnswer(std::string_view aText)
 {
   return {UpstreamAnswer{200, "text/plain", BytesOf(aText)}, aText.size() + 1, true};
@@ -74,7 +74,7 @@
   return found;
 }
 
-/// The only action of one type; the test fails when there is none or more than one.
+/// The only action of one type; fails the test when there is none or more than one.
 template <typename T, typename Actions>
 T Only(const Actions& aActions)
 {
