--- a/lib/Request/RecordHandoff.cpp
+++ b/lib/Request/RecordHandoff.cpp
@@ -145,7 +145,7 @@
   for (const BucketWire& wire : table.value().mBuckets) {
     if (wire.mBucket >= mBuckets || wire.mNewOwner != mSelf) {
       return Fail(ErrorCode::InvalidInput, "records.import", std::string(aPeer),
-                  "bucket " + std::to_string(wire.mBucket) + " is not handed to this agent");
+                  "bucket " + std::to_string(wire.mBucket) + " is not transferred to this agent");
     }
     const Bucket& bucket = mBucketStates[wire.mBucket];
     if (bucket.mState == RecordBucketState::Incomplete && bucket.mGeneration == wire.mGeneration) {
