--- a/include/dandelionslip/Request/HomeCore.h
+++ b/include/dandelionslip/Request/HomeCore.h
@@ -89,19 +89,20 @@
   /// The transfer message of the previous owner arrived.
   Result<HomeActions> OnHandoff(const Json& aTransfer, std::string_view aPeer,
                                 const RequestTime& aTime);
-  /// The previous owner's lease has ended, so it cannot hand the bucket over. Has an effect only on
+  /// The previous owner's lease has ended, so it cannot transfer the bucket. Has an effect only on
   /// an incomplete bucket: when the loss is known before the bucket is acquired, call it again
   /// after OnBucketAcquired.
   HomeActions OnPreviousOwnerLost(std::uint32_t aBucket, const RequestTime& aTime);
-  /// Another agent owns the bucket in aGeneration and will not ask this agent for its records, for
-  /// one of two reasons:
+  /// Another agent owns the bucket in aGeneration and will not request the records of this agent,
+  /// for one of two reasons:
   /// - This agent's lease had ended. Call this before OnLease reports a valid lease again.
-  /// - The agent that was to ask was lost. Call this before OnPreviousOwnerLost is called at the
-  ///   owner in aGeneration.
+  /// - The agent that should have requested them was lost. Call this before OnPreviousOwnerLost is
+  ///   called at the owner in aGeneration.
   HomeActions OnBucketTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration,
                                 const RequestTime& aTime);
-  /// The owner in aGeneration asks for the records of buckets. Afterwards this agent decides about
-  /// no new id in them. Fails as RequestRecords::FreezeAndExport; the new owner asks again later.
+  /// The owner in aGeneration requests the records of buckets. Afterwards this agent decides about
+  /// no new id in them. Fails as RequestRecords::FreezeAndExport; the new owner then requests them
+  /// again later.
   Result<Json> FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
                                const std::string& aNewOwner, std::uint32_t aGeneration,
                                const RequestTime& aTime);
--- a/include/dandelionslip/Request/RequestRecords.h
+++ b/include/dandelionslip/Request/RequestRecords.h
@@ -22,12 +22,10 @@
 /// Limits of a record table.
 struct RecordLimits
 {
-  std::size_t mMaxRecords = 100'000; ///< Pending, done and unknown records.
-  std::size_t mMaxRefused = 400'000; ///< Refused records, which hold no answer.
-  std::size_t mMaxBytes =
-    64U << 20U; ///< Kept answers, including the room that pending records reserve.
-  Milliseconds mRetention{
-    600'000}; ///< Age of an id, by its timestamp, at which its record expires.
+  std::size_t mMaxRecords = 100'000;  ///< Pending, done and unknown records.
+  std::size_t mMaxRefused = 400'000;  ///< Refused records, which hold no answer.
+  std::size_t mMaxBytes = 64U << 20U; ///< Kept answers, and room reserved by pending records.
+  Milliseconds mRetention{600'000};   ///< A record expires when its id is older than this.
 };
 
 enum class RecordState
@@ -76,8 +74,8 @@
 /// Records by request id, and the state of each bucket. Not thread-safe.
 ///
 /// A record is removed only when its id is older than the retention. The timestamp below which
-/// records may have been removed never decreases, so that an id whose record has expired does not
-/// count as new after the wall clock stepped back.
+/// records may have been removed never decreases. So an id whose record has expired does not count
+/// as new again when the wall clock steps back.
 class RequestRecords
 {
 public:
@@ -105,8 +103,9 @@
   /// Raises the highest attempt that a record covers to aAttempt.
   void RaiseAttempt(const RequestId& aId, Attempt aAttempt);
 
-  /// Record how a request ended.
+  /// Records the answer of a request. The record keeps the answer itself if it is small enough.
   void MarkDone(const RequestId& aId, const UpstreamAnswer& aAnswer);
+  /// Records that it is unknown whether a request ran.
   void MarkUnknown(const RequestId& aId);
 
   /// Removes records whose id is older than the retention, except pending records of this agent.
@@ -115,8 +114,8 @@
   RecordBucketState StateOf(std::uint32_t aBucket) const;
   /// The agent that a frozen bucket was transferred to.
   const std::string& NewOwner(std::uint32_t aBucket) const;
-  /// Timestamp from which on every id that was seen in a complete bucket has a record. Milliseconds
-  /// since 1970.
+  /// In a complete bucket, every id that was seen and has at least this timestamp, in milliseconds
+  /// since 1970, has a record.
   std::int64_t CompleteSince(std::uint32_t aBucket) const;
   /// Generation in which the bucket entered its state.
   std::uint32_t GenerationOf(std::uint32_t aBucket) const;
--- a/include/dandelionslip/Request/RetryBudget.h
+++ b/include/dandelionslip/Request/RetryBudget.h
@@ -13,10 +13,9 @@
 /// Settings of a retry budget.
 struct RetryBudgetLimits
 {
-  double mSuccessShare = 0.1; ///< Tokens earned by each success.
-  double mTokensPerSecond =
-    1;                    ///< Tokens earned by time, so that a caller without successes can retry.
-  double mMaxTokens = 10; ///< Largest burst of retries.
+  double mSuccessShare = 0.1;     ///< Tokens earned by each success.
+  double mTokensPerSecond = 1;    ///< Tokens earned by time, so that an idle caller can retry.
+  double mMaxTokens = 10;         ///< Largest burst of retries.
   std::size_t mMaxCallers = 4096; ///< Callers beyond this number share one budget for each service.
   Milliseconds mIdle{60'000};     ///< A budget unused for this long can be given to another caller.
 };
--- a/lib/Request/HomeArrival.cpp
+++ b/lib/Request/HomeArrival.cpp
@@ -32,7 +32,7 @@
     Reply(aRequest.mHandle, UnknownReply());
     return;
   }
-  if (ReplyFromRecord(aRequest, aDeadline)) {
+  if (HandleResend(aRequest, aDeadline)) {
     return;
   }
   if (!aRequest.mRelayed) {
@@ -64,7 +64,7 @@
 
 // Handles a request whose id has a record; false when it has none. Also returns false when the
 // record is Refused and covers only lower attempts, because a higher attempt may run.
-bool HomeCore::Internals::ReplyFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline)
+bool HomeCore::Internals::HandleResend(const ArrivedRequest& aRequest, TimePoint aDeadline)
 {
   const RequestRecord* record = RecordsFor(aRequest.mRelayed).Find(*aRequest.mId);
   if (record == nullptr) {
@@ -78,7 +78,7 @@
     JoinPending(aRequest, aDeadline);
     return true;
   }
-  Reply(aRequest.mHandle, AnswerFromRecord(*record));
+  Reply(aRequest.mHandle, ReplyFor(*record));
   return true;
 }
 
--- a/lib/Request/HomeEnds.cpp
+++ b/lib/Request/HomeEnds.cpp
@@ -39,7 +39,7 @@
 void HomeCore::Internals::EndFromRecord(RequestJob& aJob)
 {
   const RequestRecord* record = mRecords.Find(aJob.mId);
-  FinishJob(aJob, record == nullptr ? UnknownReply() : AnswerFromRecord(*record));
+  FinishJob(aJob, record == nullptr ? UnknownReply() : ReplyFor(*record));
 }
 
 void HomeCore::Internals::FinishJob(RequestJob& aJob, const RequestAnswer& aAnswer)
@@ -60,7 +60,7 @@
   }
 }
 
-RequestAnswer HomeCore::Internals::AnswerFromRecord(const RequestRecord& aRecord) const
+RequestAnswer HomeCore::Internals::ReplyFor(const RequestRecord& aRecord) const
 {
   switch (aRecord.mState) {
     case RecordState::Done:
@@ -83,6 +83,7 @@
   mActions.emplace_back(AnswerSender{aHandle, std::move(aAnswer)});
 }
 
+// Sends the record of a request that ended to the new owner of its bucket, if there is one.
 void HomeCore::Internals::ReportToNewOwner(const RequestId& aId)
 {
   const std::uint32_t bucket = mRecords.BucketFor(aId);
--- a/lib/Request/HomeInternals.h
+++ b/lib/Request/HomeInternals.h
@@ -26,7 +26,7 @@
   // Arrival of requests (AgentRequestArrival.cpp).
   void Arrive(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
   void HandleNonIdempotent(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
-  bool ReplyFromRecord(const ArrivedRequest& aRequest, TimePoint aDeadline);
+  bool HandleResend(const ArrivedRequest& aRequest, TimePoint aDeadline);
   void JoinPending(const ArrivedRequest& aRequest, TimePoint aDeadline);
   bool RefuseIfNotRunnable(const ArrivedRequest& aRequest, const RequestTime& aTime);
   void Defer(ArrivedRequest aRequest, TimePoint aDeadline);
@@ -49,7 +49,7 @@
   void EndUnknown(RequestJob& aJob);
   void EndFromRecord(RequestJob& aJob);
   void FinishJob(RequestJob& aJob, const RequestAnswer& aAnswer);
-  RequestAnswer AnswerFromRecord(const RequestRecord& aRecord) const;
+  RequestAnswer ReplyFor(const RequestRecord& aRecord) const;
   void Reply(ReplyHandle aHandle, RequestAnswer aAnswer);
   void ReportToNewOwner(const RequestId& aId);
 
@@ -78,9 +78,9 @@
   AlternateLookup mAlternate;
   RequestCounters mCounters;
   RequestRecords mRecords;        ///< Ids whose bucket this agent owns or owned.
-  RequestRecords mRelayedRecords; ///< Ids that other home agents relayed to this one.
+  RequestRecords mRelayedRecords; ///< Ids that other agents relayed to this one.
   RequestQueue mQueue;
-  std::map<std::uint64_t, RequestJob> mJobs;
+  std::map<std::uint64_t, RequestJob> mJobs; ///< By token; the maps below hold tokens.
   std::unordered_map<RequestId, std::uint64_t, RequestIdHash> mOwnedJobs;
   std::unordered_map<RequestId, std::uint64_t, RequestIdHash> mRelayedJobs;
   std::unordered_map<RunId, std::uint64_t> mJobByRun;
--- a/lib/Request/HomeJob.h
+++ b/lib/Request/HomeJob.h
@@ -9,7 +9,7 @@
 {
   Queued,          ///< Waits for a slot; has not run.
   Running,         ///< Passed to the upstream.
-  AtAlternate,     ///< Passed to the alternate's agent.
+  AtAlternate,     ///< Relayed to the alternate agent.
   AtPreviousOwner, ///< Runs at the bucket's previous owner; only resends wait here.
 };
 
--- a/lib/Request/RelayCore.cpp
+++ b/lib/Request/RelayCore.cpp
@@ -46,7 +46,7 @@
   exchange.mId = used;
   exchange.mTryOwnerFirst = !aRequest.mIdempotent || hasId;
   exchange.mDeadline = aTime.mNow + aRequest.mRemaining;
-  // An earlier attempt of the caller, perhaps through another balancer, may have run.
+  // An earlier attempt of the caller, perhaps through another balancer, may run or have run.
   exchange.mMayHaveRun = hasId && aRequest.mCallerAttempt > 1;
   mByHandle[aRequest.mHandle] = token;
   mByCallerAttempt[{used, aRequest.mCallerAttempt}] = token;
--- a/lib/Request/RelayInternals.h
+++ b/lib/Request/RelayInternals.h
@@ -23,7 +23,8 @@
   std::string mAgent; ///< Receiver of the newest attempt.
   TimePoint mTimerAt; ///< While an attempt is in flight: the deadline. Else: time of the next try.
   bool mCancelled = false;
-  bool mMayHaveRun = false;       ///< Whether any attempt, also of the caller, may have run.
+  /// Whether an attempt of this balancer, or an earlier one of the caller, may run or have run.
+  bool mMayHaveRun = false;
   bool mMayHaveRunBefore = false; ///< Value of mMayHaveRun before the newest attempt.
   std::optional<Refusal> mLastRefusal;
   std::optional<AnswerDigest> mDigest;
