--- a/include/dandelionslip/Request/HomeActions.h
+++ b/include/dandelionslip/Request/AgentRequestActions.h
@@ -1,7 +1,7 @@
 // Actions that HomeCore returns for the agent process to perform.
 #pragma once
 
-#include "dandelionslip/Request/HomeEvents.h"
+#include "dandelionslip/Request/ReceivedRequest.h"
 
 #include <variant>
 #include <vector>
@@ -41,7 +41,7 @@
 struct AnswerSender
 {
   ReplyHandle mHandle = 0;
-  RequestAnswer mAnswer;
+  RequestReply mReply;
 };
 
 /// Cancel a run at the upstream or at the alternate agent (RST_STREAM).
@@ -58,8 +58,8 @@
   Json mRecord;
 };
 
-using HomeAction =
-  std::variant<RunAtUpstream, RelayToAlternate, AnswerSender, CancelRun, SendRecord>;
-using HomeActions = std::vector<HomeAction>;
+using AgentRequestAction =
+  std::variant<RunAtUpstream, RelayToAlternate, ReplyToSender, CancelRun, SendRecord>;
+using AgentRequestActions = std::vector<AgentRequestAction>;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/HomeCore.h
+++ b/include/dandelionslip/Request/AgentRequestCore.h
@@ -1,7 +1,7 @@
 // Request handling of an agent: records, queue, runs at the upstream, relay to the alternate.
 #pragma once
 
-#include "dandelionslip/Request/HomeActions.h"
+#include "dandelionslip/Request/AgentRequestActions.h"
 #include "dandelionslip/Request/RequestCounters.h"
 #include "dandelionslip/Request/RequestRecords.h"
 #include "dandelionslip/Request/SlotAdmission.h"
@@ -13,7 +13,7 @@
 namespace dandelionslip {
 
 /// Settings of one agent's request handling.
-struct HomeSettings
+struct AgentRequestSettings
 {
   std::string mSelf; ///< Member name of this agent.
   std::uint64_t mIncarnation = 0;
@@ -47,9 +47,9 @@
 {
 public:
   /// aSlots and aRegistry outlive the core.
-  HomeCore(HomeSettings aSettings, SlotAdmission& aSlots, AlternateLookup aAlternate,
-           MetricsRegistry& aRegistry);
-  ~HomeCore();
+  AgentRequestCore(AgentRequestSettings aSettings, SlotAdmission& aSlots,
+                   AlternateLookup aAlternate, MetricsRegistry& aRegistry);
+  ~AgentRequestCore();
 
   /// A request arrived from a balancer or, relayed, from the owner of its bucket.
   HomeActions OnRequest(ArrivedRequest aRequest, const RequestTime& aTime);
@@ -77,7 +77,7 @@
   HomeActions OnPlannedStop(const RequestTime& aTime);
   /// Ends overdue requests, expires records and starts queued requests. Call at least every 10 ms
   /// while Active() is true.
-  HomeActions OnTick(const RequestTime& aTime);
+  AgentRequestActions OnTick(const RequestTime& aTime);
 
   /// This agent became the owner of a bucket in aGeneration. Requests that are not idempotent wait
   /// until OnHandoff or OnPreviousOwnerLost is called for the bucket.
--- a/include/dandelionslip/Request/RelayActions.h
+++ b/include/dandelionslip/Request/BalancerRequestActions.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
-#include "dandelionslip/Request/HomeEvents.h"
+#include "dandelionslip/Request/ReceivedRequest.h"
 
 #include <variant>
 #include <vector>
@@ -60,10 +60,10 @@
 {
   ReplyHandle mHandle = 0;
   RequestId mId; ///< The id to resend with.
-  RequestAnswer mAnswer;
+  RequestReply mReply;
 };
 
-using RelayAction = std::variant<SendToAgent, CancelAtAgent, AnswerCaller>;
-using RelayActions = std::vector<RelayAction>;
+using BalancerRequestAction = std::variant<SendToAgent, CancelAtAgent, ReplyToCaller>;
+using BalancerRequestActions = std::vector<BalancerRequestAction>;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/RelayCore.h
+++ b/include/dandelionslip/Request/BalancerRequestCore.h
@@ -1,7 +1,7 @@
 // Request handling of a balancer: attempts at agents, retries, deadlines and replies.
 #pragma once
 
-#include "dandelionslip/Request/RelayActions.h"
+#include "dandelionslip/Request/BalancerRequestActions.h"
 #include "dandelionslip/Request/RequestCounters.h"
 #include "dandelionslip/Request/RequestTargets.h"
 #include "dandelionslip/Request/RequestTime.h"
@@ -13,7 +13,7 @@
 namespace dandelionslip {
 
 /// Settings of a balancer's request handling.
-struct RelaySettings
+struct BalancerRequestSettings
 {
   std::uint32_t mMaxTries = 8;   ///< Largest number of tries for one request; at most kMaxTries.
   Milliseconds mHopAllowance{2}; ///< Subtracted from the remaining time before a request is sent.
@@ -31,9 +31,9 @@
 {
 public:
   /// aTargets and aRegistry outlive the core.
-  RelayCore(RelaySettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
-            MetricsRegistry& aRegistry);
-  ~RelayCore();
+  BalancerRequestCore(BalancerRequestSettings aSettings, const RequestTargets& aTargets,
+                      std::uint64_t aSeed, MetricsRegistry& aRegistry);
+  ~BalancerRequestCore();
 
   /// A caller sent a request.
   RelayActions OnRequest(CallerRequest aRequest, const RequestTime& aTime);
--- a/include/dandelionslip/Request/RequestOutcome.h
+++ b/include/dandelionslip/Request/RequestOutcome.h
@@ -66,7 +66,7 @@
   /// Set with outcome Unknown when the request ran but its answer was not kept.
   std::optional<AnswerDigest> mDigest;
 
-  bool operator==(const RequestAnswer&) const = default;
+  bool operator==(const RequestReply&) const = default;
 };
 
 /// Builders of replies, one for each outcome.
--- a/lib/Request/HomeCore.cpp
+++ b/lib/Request/AgentRequestCore.cpp
@@ -13,8 +13,8 @@
 
 } // namespace
 
-HomeCore::Internals::Internals(HomeSettings aSettings, SlotAdmission& aSlots,
-                               AlternateLookup aAlternate, MetricsRegistry& aRegistry)
+AgentRequestCore::Internals::Internals(AgentRequestSettings aSettings, SlotAdmission& aSlots,
+                                       AlternateLookup aAlternate, MetricsRegistry& aRegistry)
   : mSettings(std::move(aSettings))
   , mSlots(aSlots)
   , mAlternate(std::move(aAlternate))
@@ -46,30 +46,30 @@
   return tokens;
 }
 
-HomeCore::HomeCore(HomeSettings aSettings, SlotAdmission& aSlots, AlternateLookup aAlternate,
-                   MetricsRegistry& aRegistry)
+AgentRequestCore::AgentRequestCore(AgentRequestSettings aSettings, SlotAdmission& aSlots,
+                                   AlternateLookup aAlternate, MetricsRegistry& aRegistry)
   : mInternals(
       std::make_unique<Internals>(std::move(aSettings), aSlots, std::move(aAlternate), aRegistry))
 {
 }
 
-HomeCore::~HomeCore() = default;
+AgentRequestCore::~AgentRequestCore() = default;
 
-HomeActions HomeCore::OnRequest(ArrivedRequest aRequest, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnRequest(ReceivedRequest aRequest, const RequestTime& aTime)
 {
   const TimePoint deadline = aTime.mNow + aRequest.mRemaining;
   mInternals->Arrive(std::move(aRequest), deadline, aTime);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnCancel(ReplyHandle aHandle, const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnCancel(ReplyHandle aHandle, const RequestTime& /*aTime*/)
 {
   mInternals->Cancel(aHandle);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer,
-                                       const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer,
+                                                       const RequestTime& aTime)
 {
   if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     const bool complete = aAnswer.IsComplete();
@@ -86,7 +86,8 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnUpstreamShed(RunId aRun, const Refusal& aRefusal, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnUpstreamShed(RunId aRun, const Refusal& aRefusal,
+                                                     const RequestTime& aTime)
 {
   if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     mInternals->ReleaseSlot(*job, RunResult::Shed, aTime);
@@ -100,7 +101,7 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnUpstreamFailed(RunId aRun, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnUpstreamFailed(RunId aRun, const RequestTime& aTime)
 {
   if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     mInternals->ReleaseSlot(*job, job->mCancelSent ? RunResult::Cancelled : RunResult::Failed,
@@ -111,9 +112,10 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome,
-                                        const Refusal& aRefusal, const ReceivedAnswer& aReceived,
-                                        const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome,
+                                                        const Refusal& aRefusal,
+                                                        const ReceivedAnswer& aReceived,
+                                                        const RequestTime& /*aTime*/)
 {
   RequestJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate);
   if (job == nullptr) {
@@ -135,7 +137,8 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnAlternateFailed(RunId aRun, bool aSent, const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnAlternateLinkFailed(RunId aRun, bool aSent,
+                                                            const RequestTime& /*aTime*/)
 {
   if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate)) {
     if (aSent) {
@@ -147,7 +150,7 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnLease(bool aValid, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnLease(bool aValid, const RequestTime& aTime)
 {
   mInternals->mLeaseValid = aValid;
   if (!aValid) {
@@ -157,14 +160,14 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnPlannedStop(const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnPlannedStop(const RequestTime& aTime)
 {
   mInternals->mStopping = true;
   mInternals->StartQueued(aTime);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnTick(const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnTick(const RequestTime& aTime)
 {
   mInternals->StartQueued(aTime);
   mInternals->EndOverdueWaiters(aTime);
@@ -174,22 +177,22 @@
   return mInternals->TakeActions();
 }
 
-bool HomeCore::Active() const
+bool AgentRequestCore::Active() const
 {
   return !mInternals->mJobs.empty() || !mInternals->mDeferred.empty();
 }
 
-std::size_t HomeCore::Running() const
+std::size_t AgentRequestCore::Running() const
 {
   return mInternals->mRunningCount;
 }
 
-std::size_t HomeCore::Queued() const
+std::size_t AgentRequestCore::Queued() const
 {
   return mInternals->mQueue.Size();
 }
 
-const RequestRecords& HomeCore::Records() const
+const RequestRecords& AgentRequestCore::Records() const
 {
   return mInternals->mRecords;
 }
--- a/lib/Request/RelayCore.cpp
+++ b/lib/Request/BalancerRequestCore.cpp
@@ -5,8 +5,9 @@
 
 namespace dandelionslip {
 
-RelayCore::Internals::Internals(RelaySettings aSettings, const RequestTargets& aTargets,
-                                std::uint64_t aSeed, MetricsRegistry& aRegistry)
+BalancerRequestCore::Internals::Internals(BalancerRequestSettings aSettings,
+                                          const RequestTargets& aTargets, std::uint64_t aSeed,
+                                          MetricsRegistry& aRegistry)
   : mSettings(aSettings)
   , mTargets(aTargets)
   , mRandom(aSeed)
@@ -16,7 +17,7 @@
   mSettings.mMaxTries = std::min(mSettings.mMaxTries, kMaxTries);
 }
 
-void RelayCore::Internals::Accept(CallerRequest aRequest, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Accept(CallerRequest aRequest, const RequestTime& aTime)
 {
   std::optional<RequestId> id;
   if (aRequest.mIdText) {
@@ -26,7 +27,7 @@
     const bool valid = id && aRequest.mCallerAttempt <= kMaxCallerAttempt;
     if (!valid && !aRequest.mIdempotent) {
       mCounters.CountRefusal(RefusalReason::BadRequestId);
-      Reply(aRequest.mHandle, {}, NotRunBecause({RefusalReason::BadRequestId, Milliseconds(0)}));
+      Reply(aRequest.mHandle, {}, NotRunReply({RefusalReason::BadRequestId, Milliseconds(0)}));
       return;
     }
   }
@@ -92,7 +93,7 @@
   const Refusal refusal =
     aExchange.mLastRefusal.value_or(Refusal{RefusalReason::NoUpstream, Milliseconds(0)});
   mCounters.CountRefusal(refusal.mReason);
-  Finish(aExchange, NotRunBecause(refusal));
+  Finish(aExchange, NotRunReply(refusal));
 }
 
 void RelayCore::Internals::EndOverdue(CallerExchange& aExchange)
@@ -106,10 +107,11 @@
   FinishWithoutAnswer(aExchange);
 }
 
-void RelayCore::Internals::Reply(ReplyHandle aHandle, const RequestId& aId, RequestAnswer aAnswer)
+void BalancerRequestCore::Internals::Reply(ReplyHandle aHandle, const RequestId& aId,
+                                           RequestReply aAnswer)
 {
   mCounters.CountOutcome(aAnswer.mOutcome);
-  mActions.emplace_back(AnswerCaller{aHandle, aId, std::move(aAnswer)});
+  mActions.emplace_back(ReplyToCaller{aHandle, aId, std::move(aAnswer)});
 }
 
 CallerExchange* RelayCore::Internals::FindByHandle(ReplyHandle aHandle)
@@ -125,21 +127,24 @@
   mTimers.emplace(aWhen, aExchange.mToken);
 }
 
-RelayCore::RelayCore(RelaySettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
-                     MetricsRegistry& aRegistry)
+BalancerRequestCore::BalancerRequestCore(BalancerRequestSettings aSettings,
+                                         const RequestTargets& aTargets, std::uint64_t aSeed,
+                                         MetricsRegistry& aRegistry)
   : mInternals(std::make_unique<Internals>(aSettings, aTargets, aSeed, aRegistry))
 {
 }
 
-RelayCore::~RelayCore() = default;
+BalancerRequestCore::~BalancerRequestCore() = default;
 
-RelayActions RelayCore::OnRequest(CallerRequest aRequest, const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnRequest(CallerRequest aRequest,
+                                                      const RequestTime& aTime)
 {
   mInternals->Accept(std::move(aRequest), aTime);
   return mInternals->TakeActions();
 }
 
-RelayActions RelayCore::OnCallerCancelled(ReplyHandle aHandle, const RequestTime& /*aTime*/)
+BalancerRequestActions BalancerRequestCore::OnCallerCancelled(ReplyHandle aHandle,
+                                                              const RequestTime& /*aTime*/)
 {
   if (CallerExchange* exchange = mInternals->FindByHandle(aHandle);
       exchange != nullptr && !exchange->mCancelled) {
@@ -148,9 +153,11 @@
   return mInternals->TakeActions();
 }
 
-RelayActions RelayCore::OnAgentAnswer(const AttemptKey& aKey, RequestOutcome aOutcome,
-                                      const std::optional<Refusal>& aRefusal,
-                                      ReceivedAnswer aReceived, const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnAgentAnswer(const AttemptKey& aKey,
+                                                          RequestOutcome aOutcome,
+                                                          const std::optional<Refusal>& aRefusal,
+                                                          ReceivedAnswer aReceived,
+                                                          const RequestTime& aTime)
 {
   CallerExchange* exchange = mInternals->TakeAttempt(aKey);
   if (exchange == nullptr) {
@@ -168,16 +175,16 @@
     case RequestOutcome::Unknown:
       mInternals->HandleUnknown(*exchange, aRefusal, aTime);
       break;
-    case RequestOutcome::NotHome:
+    case RequestOutcome::NotOwner:
       exchange->mMayHaveRun = exchange->mMayHaveRunBefore;
-      mInternals->Retry(*exchange, RetryReason::NotHome, refusal.mRetryAfter, aTime);
+      mInternals->Retry(*exchange, RetryReason::NotOwner, refusal.mRetryAfter, aTime);
       break;
   }
   return mInternals->TakeActions();
 }
 
-RelayActions RelayCore::OnAgentUnreachable(const AttemptKey& aKey, bool aSent,
-                                           const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnAgentLinkFailed(const AttemptKey& aKey, bool aSent,
+                                                              const RequestTime& aTime)
 {
   if (CallerExchange* exchange = mInternals->TakeAttempt(aKey)) {
     if (!aSent) {
@@ -189,7 +196,7 @@
   return mInternals->TakeActions();
 }
 
-RelayActions RelayCore::OnTick(const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnTick(const RequestTime& aTime)
 {
   // Each pass ends the exchange or sets its timer to a later time.
   auto& timers = mInternals->mTimers;
@@ -204,7 +211,7 @@
   return mInternals->TakeActions();
 }
 
-bool RelayCore::Active() const
+bool BalancerRequestCore::Active() const
 {
   return !mInternals->mExchanges.empty();
 }
--- a/lib/Request/HomeArrival.cpp
+++ b/lib/Request/HomeArrival.cpp
@@ -5,8 +5,8 @@
 
 namespace dandelionslip {
 
-void HomeCore::Internals::Arrive(ArrivedRequest aRequest, TimePoint aDeadline,
-                                 const RequestTime& aTime)
+void AgentRequestCore::Internals::Arrive(ReceivedRequest aRequest, TimePoint aDeadline,
+                                         const RequestTime& aTime)
 {
   if (!aRequest.mIdempotent) {
     HandleNonIdempotent(std::move(aRequest), aDeadline, aTime);
@@ -24,7 +24,7 @@
 {
   if (!aRequest.mId) {
     mCounters.CountRefusal(RefusalReason::BadRequestId);
-    Reply(aRequest.mHandle, NotRunBecause({RefusalReason::BadRequestId, Milliseconds(0)}));
+    Reply(aRequest.mHandle, NotRunReply({RefusalReason::BadRequestId, Milliseconds(0)}));
     return;
   }
   // The request was meant for an earlier process of this agent, which may have run it.
@@ -42,12 +42,12 @@
       return;
     }
     if (state != RecordBucketState::Complete) {
-      Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::HandoffPending));
+      Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::TransferPending));
       return;
     }
     // Another agent may own the bucket by now, so this one must not decide about a new attempt.
     if (!mLeaseValid) {
-      Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::NoControl));
+      Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::NoControl));
       return;
     }
   }
@@ -82,7 +82,7 @@
   return true;
 }
 
-void HomeCore::Internals::JoinPending(const ArrivedRequest& aRequest, TimePoint aDeadline)
+void AgentRequestCore::Internals::JoinPending(const ReceivedRequest& aRequest, TimePoint aDeadline)
 {
   RecordsFor(aRequest.mRelayed).RaiseAttempt(*aRequest.mId, aRequest.mAttempt);
   auto& index = JobIndexFor(aRequest.mRelayed);
--- a/lib/Request/HomeBuckets.cpp
+++ b/lib/Request/HomeBuckets.cpp
@@ -27,15 +27,17 @@
   }
 }
 
-HomeActions HomeCore::OnBucketAcquired(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                       const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnBucketAcquired(std::uint32_t aBucket,
+                                                       std::uint32_t aGeneration,
+                                                       const RequestTime& /*aTime*/)
 {
   mInternals->mRecords.Acquire(aBucket, aGeneration);
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnBucketFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                         const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnBucketFirstOwner(std::uint32_t aBucket,
+                                                         std::uint32_t aGeneration,
+                                                         const RequestTime& aTime)
 {
   mInternals->mRecords.AcquireAsFirstOwner(aBucket, aGeneration);
   mInternals->ProcessDeferred(aTime);
@@ -53,7 +55,8 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnPreviousOwnerLost(std::uint32_t aBucket, const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnPreviousOwnerLost(std::uint32_t aBucket,
+                                                          const RequestTime& aTime)
 {
   mInternals->mRecords.CompleteWithoutTransfer(aBucket, aTime.mWallMs);
   mInternals->ProcessDeferred(aTime);
@@ -68,15 +71,16 @@
   return mInternals->TakeActions();
 }
 
-Result<Json> HomeCore::FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
-                                       const std::string& aNewOwner, std::uint32_t aGeneration,
-                                       const RequestTime& aTime)
+Result<Json> AgentRequestCore::FreezeAndExport(const std::set<std::uint32_t>& aBuckets,
+                                               const std::string& aNewOwner,
+                                               std::uint32_t aGeneration, const RequestTime& aTime)
 {
   return mInternals->mRecords.FreezeAndExport(aBuckets, aNewOwner, aGeneration, aTime.mWallMs);
 }
 
-Result<HomeActions> HomeCore::OnRecordUpdate(const Json& aRecord, std::string_view aPeer,
-                                             const RequestTime& /*aTime*/)
+Result<AgentRequestActions> AgentRequestCore::OnRecordUpdate(const Json& aRecord,
+                                                             std::string_view aPeer,
+                                                             const RequestTime& /*aTime*/)
 {
   const auto id = mInternals->mRecords.MergeRecord(aRecord, aPeer);
   if (!id) {
@@ -87,7 +91,8 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnAgentLost(const std::string& aAgent, const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnAgentLost(const std::string& aAgent,
+                                                  const RequestTime& /*aTime*/)
 {
   for (const RequestId& id : mInternals->mRecords.MarkAgentLost(aAgent)) {
     mInternals->FinishJobAtPreviousOwner(id);
@@ -96,12 +101,12 @@
   return mInternals->TakeActions();
 }
 
-Json HomeCore::ExportAll(const RequestTime& aTime)
+Json AgentRequestCore::ExportAll(const RequestTime& aTime)
 {
   return mInternals->mRecords.ExportAll(aTime.mWallMs);
 }
 
-Result<void> HomeCore::ImportAll(const Json& aTable, std::string_view aPeer)
+Result<void> AgentRequestCore::ImportAll(const Json& aTable, std::string_view aPeer)
 {
   return mInternals->mRecords.ImportAll(aTable, aPeer);
 }
--- a/lib/Request/HomeEnds.cpp
+++ b/lib/Request/HomeEnds.cpp
@@ -69,7 +69,7 @@
       }
       return {RequestOutcome::Unknown, {}, {}, aRecord.mDigest};
     case RecordState::Refused:
-      return NotRunBecause(aRecord.mRefusal);
+      return NotRunReply(aRecord.mRefusal);
     case RecordState::Pending:
     case RecordState::Unknown:
       return UnknownReply();
@@ -77,10 +77,10 @@
   return UnknownReply();
 }
 
-void HomeCore::Internals::Reply(ReplyHandle aHandle, RequestAnswer aAnswer)
+void AgentRequestCore::Internals::Reply(ReplyHandle aHandle, RequestReply aAnswer)
 {
   mCounters.CountOutcome(aAnswer.mOutcome);
-  mActions.emplace_back(AnswerSender{aHandle, std::move(aAnswer)});
+  mActions.emplace_back(ReplyToSender{aHandle, std::move(aAnswer)});
 }
 
 // Sends the record of a request that ended to the new owner of its bucket, if there is one.
--- a/lib/Request/HomeInternals.h
+++ b/lib/Request/HomeInternals.h
@@ -3,7 +3,7 @@
 
 #include "HomeJob.h"
 
-#include "dandelionslip/Request/HomeCore.h"
+#include "dandelionslip/Request/AgentRequestCore.h"
 
 #include <list>
 #include <map>
@@ -14,13 +14,13 @@
 /// A request that waits until its bucket is complete.
 struct DeferredRequest
 {
-  ArrivedRequest mRequest;
+  ReceivedRequest mRequest;
   TimePoint mDeadline;
 };
 
-struct HomeCore::Internals
+struct AgentRequestCore::Internals
 {
-  Internals(HomeSettings aSettings, SlotAdmission& aSlots, AlternateLookup aAlternate,
+  Internals(AgentRequestSettings aSettings, SlotAdmission& aSlots, AlternateLookup aAlternate,
             MetricsRegistry& aRegistry);
 
   // Arrival of requests (AgentRequestArrival.cpp).
@@ -73,7 +73,7 @@
   std::vector<std::uint64_t> JobTokens() const;
   HomeActions TakeActions() { return std::exchange(mActions, {}); }
 
-  HomeSettings mSettings;
+  AgentRequestSettings mSettings;
   SlotAdmission& mSlots;
   AlternateLookup mAlternate;
   RequestCounters mCounters;
@@ -91,7 +91,7 @@
   std::size_t mRunningCount = 0;
   bool mLeaseValid = false;
   bool mStopping = false;
-  HomeActions mActions;
+  AgentRequestActions mActions;
 };
 
 } // namespace dandelionslip
--- a/lib/Request/HomeJob.h
+++ b/lib/Request/HomeJob.h
@@ -1,7 +1,7 @@
 // A request in progress at an agent.
 #pragma once
 
-#include "dandelionslip/Request/HomeActions.h"
+#include "dandelionslip/Request/AgentRequestActions.h"
 
 namespace dandelionslip {
 
--- a/lib/Request/HomeTime.cpp
+++ b/lib/Request/HomeTime.cpp
@@ -47,7 +47,7 @@
   CancelJob(aJob);
 }
 
-void HomeCore::Internals::EndOverdueWaiters(const RequestTime& aTime)
+void AgentRequestCore::Internals::EndOverdueWaiters(const RequestTime& aTime)
 {
   for (const std::uint64_t token : JobTokens()) {
     RequestJob& job = mJobs.at(token);
--- a/lib/Request/RelayAttempts.cpp
+++ b/lib/Request/RelayAttempts.cpp
@@ -15,9 +15,9 @@
     case RefusalReason::NoControl:
     case RefusalReason::SlotsFull:
     case RefusalReason::Cold:
-    case RefusalReason::Paced:
+    case RefusalReason::RateLimited:
     case RefusalReason::Draining:
-    case RefusalReason::HandoffPending:
+    case RefusalReason::TransferPending:
     case RefusalReason::UpstreamShed:
       return true;
     default:
@@ -159,7 +159,7 @@
   // An attempt at an agent that does not own the bucket puts no load on an upstream, so the retry
   // takes nothing from the budget.
   const CallerRequest& request = aExchange.mRequest;
-  if (aReason != RetryReason::NotHome &&
+  if (aReason != RetryReason::NotOwner &&
       !mBudget.TryRetry(request.mService, request.mCaller, aTime.mNow)) {
     DenyRetry(aExchange, RetryDenial::Budget);
     return;
--- a/lib/Request/RelayInternals.h
+++ b/lib/Request/RelayInternals.h
@@ -1,7 +1,7 @@
 // State and internal functions of RelayCore.
 #pragma once
 
-#include "dandelionslip/Request/RelayCore.h"
+#include "dandelionslip/Request/BalancerRequestCore.h"
 
 #include <map>
 #include <set>
@@ -30,9 +30,9 @@
   std::optional<AnswerDigest> mDigest;
 };
 
-struct RelayCore::Internals
+struct BalancerRequestCore::Internals
 {
-  Internals(RelaySettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
+  Internals(BalancerRequestSettings aSettings, const RequestTargets& aTargets, std::uint64_t aSeed,
             MetricsRegistry& aRegistry);
 
   // Start and end of requests (BalancerRequestCore.cpp).
@@ -63,7 +63,7 @@
 
   using CallerAttempt = std::pair<RequestId, std::uint32_t>;
 
-  RelaySettings mSettings;
+  BalancerRequestSettings mSettings;
   const RequestTargets& mTargets;
   Random mRandom;
   RetryBudget mBudget;
@@ -74,7 +74,7 @@
   std::set<std::pair<TimePoint, std::uint64_t>> mTimers;  ///< One for each exchange.
   std::map<std::string, std::uint32_t> mAttemptsInFlight; ///< Attempts in flight by agent.
   std::uint64_t mNextToken = 1;
-  RelayActions mActions;
+  BalancerRequestActions mActions;
 };
 
 } // namespace dandelionslip
--- a/lib/Request/RequestOutcome.cpp
+++ b/lib/Request/RequestOutcome.cpp
@@ -12,7 +12,7 @@
     {RequestOutcome::NotRun, "not_run"},
     {RequestOutcome::Unknown, "unknown"},
     {RequestOutcome::Cancelled, "cancelled"},
-    {RequestOutcome::NotHome, "not_home"},
+    {RequestOutcome::NotOwner, "not_home"},
   }};
   return kNames;
 }
@@ -27,7 +27,7 @@
   return {RequestOutcome::Answered, std::move(aAnswer), {}, {}};
 }
 
-RequestAnswer NotRunBecause(Refusal aRefusal)
+RequestReply NotRunReply(Refusal aRefusal)
 {
   return {RequestOutcome::NotRun, {}, aRefusal, {}};
 }
@@ -42,9 +42,9 @@
   return {RequestOutcome::Cancelled, {}, {}, {}};
 }
 
-RequestAnswer NotHomeBecause(RefusalReason aReason)
+RequestReply NotOwnerReply(RefusalReason aReason)
 {
-  return {RequestOutcome::NotHome, {}, Refusal{aReason, Milliseconds(0)}, {}};
+  return {RequestOutcome::NotOwner, {}, Refusal{aReason, Milliseconds(0)}, {}};
 }
 
 } // namespace dandelionslip
--- a/lib/Request/HandedRecords.cpp
+++ b/lib/Request/TransferredBuckets.cpp
@@ -13,7 +13,7 @@
   if (!table) {
     return table.as_failure();
   }
-  std::vector<HandedBucket> buckets;
+  std::vector<TransferredBucket> buckets;
   buckets.reserve(table.value().mBuckets.size());
   for (const BucketWire& wire : table.value().mBuckets) {
     buckets.push_back({wire.mBucket, wire.mGeneration});
--- a/unittests/Request/RequestSimulation.h
+++ b/unittests/Request/RequestSimulation.h
@@ -108,10 +108,11 @@
                const Task& aOnLinkLost, const AttemptKey& aKey);
   void Arrive(std::size_t aAgent, ArrivedRequest aRequest, OnReply aOnReply, Task aOnLinkLost,
               const AttemptKey& aKey);
-  void PerformHome(std::size_t aAgent, const HomeActions& aActions);
-  void PerformAnswer(std::size_t aAgent, const AnswerSender& aAnswer);
+  void PerformHome(std::size_t aAgent, const AgentRequestActions& aActions);
+  void PerformAnswer(std::size_t aAgent, const ReplyToSender& aAnswer);
   void RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun);
-  void EndRun(std::size_t aAgent, RunId aRun, std::function<HomeActions(HomeCore&)> aEnd);
+  void EndRun(std::size_t aAgent, RunId aRun,
+              std::function<AgentRequestActions(AgentRequestCore&)> aEnd);
   void Relay(std::size_t aAgent, const RelayToAlternate& aRelay);
   void CancelRunAt(std::size_t aAgent, RunId aRun);
   void CancelAt(std::size_t aAgent, const AttemptKey& aKey);
--- a/unittests/Request/RequestSimulationAgents.cpp
+++ b/unittests/Request/RequestSimulationAgents.cpp
@@ -6,7 +6,7 @@
 void RequestSimulation::StartAgent(std::size_t aAgent)
 {
   Agent& agent = *mAgents[aAgent];
-  HomeSettings settings;
+  AgentRequestSettings settings;
   settings.mSelf = agent.mName;
   settings.mIncarnation = ++agent.mIncarnation;
   settings.mBuckets = kBuckets;
@@ -18,7 +18,8 @@
     const std::size_t other = (aAgent + 1 + aBucket % (kAgents - 1)) % kAgents;
     return AlternateAgent{mAgents[other]->mName, mAgents[other]->mIncarnation};
   };
-  agent.mCore = std::make_unique<HomeCore>(settings, *agent.mSlots, alternate, *agent.mRegistry);
+  agent.mCore =
+    std::make_unique<AgentRequestCore>(settings, *agent.mSlots, alternate, *agent.mRegistry);
   agent.mCore->OnLease(!agent.mLost, TimeOf(agent));
 }
 
@@ -58,12 +59,12 @@
 
 void RequestSimulation::PerformHome(std::size_t aAgent, const HomeActions& aActions)
 {
-  for (const HomeAction& action : aActions) {
+  for (const AgentRequestAction& action : aActions) {
     if (const auto* run = std::get_if<RunAtUpstream>(&action)) {
       RunUpstream(aAgent, *run);
     } else if (const auto* relay = std::get_if<RelayToAlternate>(&action)) {
       Relay(aAgent, *relay);
-    } else if (const auto* answer = std::get_if<AnswerSender>(&action)) {
+    } else if (const auto* answer = std::get_if<ReplyToSender>(&action)) {
       PerformAnswer(aAgent, *answer);
     } else if (const auto* cancel = std::get_if<CancelRun>(&action)) {
       After(Delay(), [this, aAgent, run = cancel->mRun] { CancelRunAt(aAgent, run); });
@@ -99,12 +100,12 @@
   const RunId number = aRun.mRun;
   if (Chance(0.08)) {
     const Refusal shed{RefusalReason::UpstreamShed, Milliseconds(10)};
-    EndRun(aAgent, number, [this, number, shed](HomeCore& aCore) {
+    EndRun(aAgent, number, [this, number, shed](AgentRequestCore& aCore) {
       return aCore.OnUpstreamShed(number, shed, Time(0));
     });
     return;
   }
-  const auto failed = [this, number](HomeCore& aCore) {
+  const auto failed = [this, number](AgentRequestCore& aCore) {
     return aCore.OnUpstreamFailed(number, Time(0));
   };
   After(Delay(), [this, run, aRun, aAgent, number, failed] {
@@ -163,7 +164,7 @@
     linkFailed(false);
     return;
   }
-  ArrivedRequest request;
+  ReceivedRequest request;
   request.mId = aRelay.mId;
   request.mAttempt = aRelay.mAttempt;
   request.mIdempotent = aRelay.mIdempotent;
@@ -209,7 +210,7 @@
   run->mCancelled = true;
   if (!run->mEnded && Chance(0.7)) {
     EndRun(aAgent, aRun,
-           [this, aRun](HomeCore& aCore) { return aCore.OnUpstreamFailed(aRun, Time(0)); });
+           [this, aRun](AgentRequestCore& aCore) { return aCore.OnUpstreamFailed(aRun, Time(0)); });
   }
 }
 
--- a/unittests/Request/RequestSimulationCallers.cpp
+++ b/unittests/Request/RequestSimulationCallers.cpp
@@ -72,7 +72,7 @@
   mHistory.AddClaim(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mAnswer);
   const RequestOutcome outcome = aReply.mAnswer.mOutcome;
   CPPUNIT_ASSERT_MESSAGE("an internal outcome reached a caller",
-                         outcome != RequestOutcome::NotHome);
+                         outcome != RequestOutcome::NotOwner);
   mTotals.mAnswered += outcome == RequestOutcome::Answered ? 1 : 0;
   mTotals.mNotRun += outcome == RequestOutcome::NotRun ? 1 : 0;
   mTotals.mUnknown += outcome == RequestOutcome::Unknown ? 1 : 0;
@@ -85,20 +85,20 @@
 
 void RequestSimulation::PerformRelay(std::size_t aBalancer, const RelayActions& aActions)
 {
-  for (const RelayAction& action : aActions) {
+  for (const BalancerRequestAction& action : aActions) {
     if (const auto* send = std::get_if<SendToAgent>(&action)) {
       SendAttempt(aBalancer, *send);
     } else if (const auto* cancel = std::get_if<CancelAtAgent>(&action)) {
       After(Delay(), [this, cancel = *cancel] { CancelAt(IndexOf(cancel.mAgent), cancel.mKey); });
     } else {
-      OnCallerReply(aBalancer, std::get<AnswerCaller>(action));
+      OnCallerReply(aBalancer, std::get<ReplyToCaller>(action));
     }
   }
 }
 
 void RequestSimulation::SendAttempt(std::size_t aBalancer, const SendToAgent& aSend)
 {
-  ArrivedRequest request;
+  ReceivedRequest request;
   request.mId = aSend.mKey.mId;
   request.mAttempt = aSend.mKey.mAttempt;
   request.mIdempotent = aSend.mIdempotent;
@@ -140,7 +140,7 @@
   ++balancer.mCrashCount;
   balancer.mCore.reset();
   balancer.mRegistry = std::make_unique<MetricsRegistry>();
-  RelaySettings settings;
+  BalancerRequestSettings settings;
   settings.mBudget.mMaxTokens = 3;
   balancer.mCore =
     std::make_unique<RelayCore>(settings, balancer, mRandom.Next(), *balancer.mRegistry);
--- a/unittests/Request/RequestSimulationControl.cpp
+++ b/unittests/Request/RequestSimulationControl.cpp
@@ -263,8 +263,9 @@
     }
   }
   for (const RunId number : runs) {
-    EndRun(aAgent, number,
-           [this, number](HomeCore& aCore) { return aCore.OnUpstreamFailed(number, Time(0)); });
+    EndRun(aAgent, number, [this, number](AgentRequestCore& aCore) {
+      return aCore.OnUpstreamFailed(number, Time(0));
+    });
   }
 }
 
--- a/unittests/Request/RequestSimulationParts.h
+++ b/unittests/Request/RequestSimulationParts.h
@@ -42,7 +42,7 @@
   bool mStopping = false;
   std::unique_ptr<FixedSlots> mSlots;
   std::unique_ptr<MetricsRegistry> mRegistry;
-  std::unique_ptr<HomeCore> mCore; ///< Null while the process is down.
+  std::unique_ptr<AgentRequestCore> mCore; ///< Null while the process is down.
   std::map<ReplyHandle, OpenReply> mReplies;
   std::map<RunId, std::shared_ptr<UpstreamRun>> mRuns;
 };
@@ -58,7 +58,7 @@
 
 struct RequestSimulation::Balancer : RequestTargets
 {
-  std::optional<std::string> HomeOf(ServiceId /*aService*/, const RequestId& aId) const override
+  std::optional<std::string> OwnerOf(ServiceId /*aService*/, const RequestId& aId) const override
   {
     return AgentName(mOwners[BucketOf(aId, kBuckets)]);
   }
@@ -77,7 +77,7 @@
   std::vector<std::size_t>
     mOwners; ///< Owner of each bucket in the balancer's view; may be outdated.
   std::unique_ptr<MetricsRegistry> mRegistry;
-  std::unique_ptr<RelayCore> mCore;
+  std::unique_ptr<BalancerRequestCore> mCore;
   std::map<ReplyHandle, OpenCall> mCalls;
 };
 
