--- a/include/dandelionslip/Request/AgentRequestActions.h
+++ b/include/dandelionslip/Request/AgentRequestActions.h
@@ -1,4 +1,4 @@
-// Actions that HomeCore returns for the agent process to perform.
+// Actions that AgentRequestCore returns for the agent process to perform.
 #pragma once
 
 #include "dandelionslip/Request/ReceivedRequest.h"
@@ -9,8 +9,8 @@
 namespace dandelionslip {
 
 /// Pass a request to the upstream. The agent process reports the end of each run, also of one that
-/// CancelRun cancelled, by exactly one call of HomeCore::OnUpstreamAnswer, OnUpstreamShed or
-/// OnUpstreamFailed.
+/// CancelRun cancelled, by exactly one call of AgentRequestCore::OnUpstreamAnswer, OnUpstreamShed
+/// or OnUpstreamFailed.
 struct RunAtUpstream
 {
   RunId mRun = 0;
@@ -20,9 +20,9 @@
   Bytes mBody;
 };
 
-/// Pass a request to the alternate agent with ArrivedRequest::mRelayed set. The agent process
-/// reports the end, also after CancelRun, by exactly one call of HomeCore::OnAlternateAnswer or
-/// OnAlternateFailed.
+/// Pass a request to the alternate agent with ReceivedRequest::mRelayed set. The agent process
+/// reports the end, also after CancelRun, by exactly one call of
+/// AgentRequestCore::OnAlternateAnswer or OnAlternateLinkFailed.
 struct RelayToAlternate
 {
   RunId mRun = 0;
@@ -38,7 +38,7 @@
 };
 
 /// Reply to the sender of the message with this handle.
-struct AnswerSender
+struct ReplyToSender
 {
   ReplyHandle mHandle = 0;
   RequestReply mReply;
@@ -51,7 +51,7 @@
 };
 
 /// Send the record of a request that ended after its bucket was transferred. The receiver, the
-/// bucket's new owner, passes it to HomeCore::OnRecordUpdate.
+/// bucket's new owner, passes it to AgentRequestCore::OnRecordUpdate.
 struct SendRecord
 {
   std::string mAgent;
--- a/include/dandelionslip/Request/AgentRequestCore.h
+++ b/include/dandelionslip/Request/AgentRequestCore.h
@@ -43,7 +43,7 @@
 /// the bucket.
 ///
 /// A new core has no valid lease and owns no bucket.
-class HomeCore
+class AgentRequestCore
 {
 public:
   /// aSlots and aRegistry outlive the core.
@@ -52,54 +52,56 @@
   ~AgentRequestCore();
 
   /// A request arrived from a balancer or, relayed, from the owner of its bucket.
-  HomeActions OnRequest(ArrivedRequest aRequest, const RequestTime& aTime);
+  AgentRequestActions OnRequest(ReceivedRequest aRequest, const RequestTime& aTime);
   /// The sender of a message cancelled it, or the link to the sender was lost.
-  HomeActions OnCancel(ReplyHandle aHandle, const RequestTime& aTime);
+  AgentRequestActions OnCancel(ReplyHandle aHandle, const RequestTime& aTime);
 
   /// The upstream's answer ended, complete or truncated.
-  HomeActions OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer, const RequestTime& aTime);
+  AgentRequestActions OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer,
+                                       const RequestTime& aTime);
   /// The upstream refused the run because of its load and certainly did not start it.
-  HomeActions OnUpstreamShed(RunId aRun, const Refusal& aRefusal, const RequestTime& aTime);
+  AgentRequestActions OnUpstreamShed(RunId aRun, const Refusal& aRefusal, const RequestTime& aTime);
   /// The run ended without an answer; the upstream may have executed the request.
-  HomeActions OnUpstreamFailed(RunId aRun, const RequestTime& aTime);
+  AgentRequestActions OnUpstreamFailed(RunId aRun, const RequestTime& aTime);
 
   /// The alternate agent replied to a relayed request. aReceived is used only when the outcome is
   /// Answered; a truncated answer makes the outcome unknown.
-  HomeActions OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome, const Refusal& aRefusal,
-                                const ReceivedAnswer& aReceived, const RequestTime& aTime);
+  AgentRequestActions OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome,
+                                        const Refusal& aRefusal, const ReceivedAnswer& aReceived,
+                                        const RequestTime& aTime);
   /// The link to the alternate agent failed; aSent tells whether any part of the request was sent.
-  HomeActions OnAlternateFailed(RunId aRun, bool aSent, const RequestTime& aTime);
+  AgentRequestActions OnAlternateLinkFailed(RunId aRun, bool aSent, const RequestTime& aTime);
 
   /// Reports whether the agent's lease is valid. Without a valid lease no request that is not
   /// idempotent starts.
-  HomeActions OnLease(bool aValid, const RequestTime& aTime);
+  AgentRequestActions OnLease(bool aValid, const RequestTime& aTime);
   /// The process is about to stop: refuses new requests and finishes running and queued ones.
-  HomeActions OnPlannedStop(const RequestTime& aTime);
+  AgentRequestActions OnPlannedStop(const RequestTime& aTime);
   /// Ends overdue requests, expires records and starts queued requests. Call at least every 10 ms
   /// while Active() is true.
   AgentRequestActions OnTick(const RequestTime& aTime);
 
   /// This agent became the owner of a bucket in aGeneration. Requests that are not idempotent wait
   /// until OnHandoff or OnPreviousOwnerLost is called for the bucket.
-  HomeActions OnBucketAcquired(std::uint32_t aBucket, std::uint32_t aGeneration,
-                               const RequestTime& aTime);
+  AgentRequestActions OnBucketAcquired(std::uint32_t aBucket, std::uint32_t aGeneration,
+                                       const RequestTime& aTime);
   /// This agent became the owner of a bucket that had no owner before aGeneration.
-  HomeActions OnBucketFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                 const RequestTime& aTime);
+  AgentRequestActions OnBucketFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration,
+                                         const RequestTime& aTime);
   /// The transfer message of the previous owner arrived.
-  Result<HomeActions> OnHandoff(const Json& aTransfer, std::string_view aPeer,
-                                const RequestTime& aTime);
+  Result<AgentRequestActions> OnHandoff(const Json& aTransfer, std::string_view aPeer,
+                                        const RequestTime& aTime);
   /// The previous owner's lease has ended, so it cannot transfer the bucket. Has an effect only on
   /// an incomplete bucket: when the loss is known before the bucket is acquired, call it again
   /// after OnBucketAcquired.
-  HomeActions OnPreviousOwnerLost(std::uint32_t aBucket, const RequestTime& aTime);
+  AgentRequestActions OnPreviousOwnerLost(std::uint32_t aBucket, const RequestTime& aTime);
   /// Another agent owns the bucket in aGeneration and will not request the records of this agent,
   /// for one of two reasons:
   /// - This agent's lease had ended. Call this before OnLease reports a valid lease again.
   /// - The agent that should have requested them was lost. Call this before OnPreviousOwnerLost is
   ///   called at the owner in aGeneration.
-  HomeActions OnBucketTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                const RequestTime& aTime);
+  AgentRequestActions OnBucketTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration,
+                                        const RequestTime& aTime);
   /// The owner in aGeneration requests the records of buckets. Afterwards this agent decides about
   /// no new id in them. Fails as RequestRecords::FreezeAndExport; the new owner then requests them
   /// again later.
@@ -107,10 +109,10 @@
                                const std::string& aNewOwner, std::uint32_t aGeneration,
                                const RequestTime& aTime);
   /// A record arrived of a request that ended at the previous owner after the bucket transfer.
-  Result<HomeActions> OnRecordUpdate(const Json& aRecord, std::string_view aPeer,
-                                     const RequestTime& aTime);
+  Result<AgentRequestActions> OnRecordUpdate(const Json& aRecord, std::string_view aPeer,
+                                             const RequestTime& aTime);
   /// Another agent's lease has ended; the outcome of requests that it was still running is unknown.
-  HomeActions OnAgentLost(const std::string& aAgent, const RequestTime& aTime);
+  AgentRequestActions OnAgentLost(const std::string& aAgent, const RequestTime& aTime);
 
   /// Returns the record table for the next process of this agent, which passes it to ImportAll.
   Json ExportAll(const RequestTime& aTime);
--- a/include/dandelionslip/Request/BalancerRequestActions.h
+++ b/include/dandelionslip/Request/BalancerRequestActions.h
@@ -1,5 +1,5 @@
-// Requests that RelayCore receives, and actions that it returns for the balancer process to
-// perform.
+// Requests that BalancerRequestCore receives, and actions that it returns for the balancer process
+// to perform.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
@@ -34,7 +34,7 @@
 };
 
 /// Send a request to an agent. The balancer process reports the end of the attempt by at most one
-/// call of RelayCore::OnAgentAnswer or OnAgentUnreachable.
+/// call of BalancerRequestCore::OnAgentAnswer or OnAgentLinkFailed.
 struct SendToAgent
 {
   std::string mAgent;
@@ -56,7 +56,7 @@
 };
 
 /// Reply to the caller.
-struct AnswerCaller
+struct ReplyToCaller
 {
   ReplyHandle mHandle = 0;
   RequestId mId; ///< The id to resend with.
--- a/include/dandelionslip/Request/BalancerRequestCore.h
+++ b/include/dandelionslip/Request/BalancerRequestCore.h
@@ -27,7 +27,7 @@
 /// A request that is not idempotent goes to the agent that owns the bucket of its id, in each try.
 /// An idempotent request goes to any agent that takes new work, but first to the owner when the
 /// caller chose the id.
-class RelayCore
+class BalancerRequestCore
 {
 public:
   /// aTargets and aRegistry outlive the core.
@@ -36,20 +36,21 @@
   ~BalancerRequestCore();
 
   /// A caller sent a request.
-  RelayActions OnRequest(CallerRequest aRequest, const RequestTime& aTime);
+  BalancerRequestActions OnRequest(CallerRequest aRequest, const RequestTime& aTime);
   /// The caller cancelled the request, or the link to the caller was lost.
-  RelayActions OnCallerCancelled(ReplyHandle aHandle, const RequestTime& aTime);
+  BalancerRequestActions OnCallerCancelled(ReplyHandle aHandle, const RequestTime& aTime);
 
   /// An agent replied to an attempt. aReceived is used only when the outcome is Answered; a
   /// truncated answer counts as a lost link.
-  RelayActions OnAgentAnswer(const AttemptKey& aKey, RequestOutcome aOutcome,
-                             const std::optional<Refusal>& aRefusal, ReceivedAnswer aReceived,
-                             const RequestTime& aTime);
+  BalancerRequestActions OnAgentAnswer(const AttemptKey& aKey, RequestOutcome aOutcome,
+                                       const std::optional<Refusal>& aRefusal,
+                                       ReceivedAnswer aReceived, const RequestTime& aTime);
   /// The link to the agent failed; aSent tells whether any part of the attempt was sent.
-  RelayActions OnAgentUnreachable(const AttemptKey& aKey, bool aSent, const RequestTime& aTime);
+  BalancerRequestActions OnAgentLinkFailed(const AttemptKey& aKey, bool aSent,
+                                           const RequestTime& aTime);
 
   /// Makes due retries and ends overdue requests. Call at least every 10 ms while Active() is true.
-  RelayActions OnTick(const RequestTime& aTime);
+  BalancerRequestActions OnTick(const RequestTime& aTime);
 
   /// Whether any request is open.
   bool Active() const;
--- a/include/dandelionslip/Request/ReceivedRequest.h
+++ b/include/dandelionslip/Request/ReceivedRequest.h
@@ -17,7 +17,7 @@
 using RunId = std::uint64_t;
 
 /// A request as an agent received it.
-struct ArrivedRequest
+struct ReceivedRequest
 {
   ReplyHandle mHandle = 0;
   std::optional<RequestId> mId; ///< Empty when the id is not a UUID of version 7.
--- a/include/dandelionslip/Request/RequestCounters.h
+++ b/include/dandelionslip/Request/RequestCounters.h
@@ -13,7 +13,7 @@
 enum class RetryReason
 {
   Refused,     ///< The agent said that the attempt did not run.
-  NotHome,     ///< The agent did not own the bucket of the id.
+  NotOwner,    ///< The agent did not own the bucket of the id.
   Unreachable, ///< No part of the attempt was sent.
   LinkLost,    ///< The link failed after the attempt was sent.
   Failed,      ///< An idempotent request ended with an unknown outcome.
--- a/include/dandelionslip/Request/RequestOutcome.h
+++ b/include/dandelionslip/Request/RequestOutcome.h
@@ -16,7 +16,7 @@
   NotRun,    ///< This attempt and all lower ones did not run and never will.
   Unknown,   ///< The request may have run.
   Cancelled, ///< The caller cancelled the request before it ran.
-  NotHome,   ///< The agent does not own the bucket of the id now. Never passed on to a caller.
+  NotOwner,  ///< The agent does not own the bucket of the id now. Never passed on to a caller.
 };
 
 std::span<const EnumName<RequestOutcome>> EnumNames(RequestOutcome);
@@ -58,7 +58,7 @@
 };
 
 /// The reply to the sender of a request.
-struct RequestAnswer
+struct RequestReply
 {
   RequestOutcome mOutcome = RequestOutcome::Unknown;
   UpstreamAnswer mAnswer;          ///< Set when the outcome is Answered.
@@ -70,10 +70,10 @@
 };
 
 /// Builders of replies, one for each outcome.
-RequestAnswer AnsweredReply(UpstreamAnswer aAnswer);
-RequestAnswer NotRunBecause(Refusal aRefusal);
-RequestAnswer UnknownReply(std::optional<Refusal> aRefusal = {});
-RequestAnswer CancelledReply();
-RequestAnswer NotHomeBecause(RefusalReason aReason);
+RequestReply AnsweredReply(UpstreamAnswer aAnswer);
+RequestReply NotRunReply(Refusal aRefusal);
+RequestReply UnknownReply(std::optional<Refusal> aRefusal = {});
+RequestReply CancelledReply();
+RequestReply NotOwnerReply(RefusalReason aReason);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/RequestTargets.h
+++ b/include/dandelionslip/Request/RequestTargets.h
@@ -17,7 +17,7 @@
   virtual ~RequestTargets() = default;
 
   /// The agent that owns the bucket of an id; no value when the service has no agent.
-  virtual std::optional<std::string> HomeOf(ServiceId aService, const RequestId& aId) const = 0;
+  virtual std::optional<std::string> OwnerOf(ServiceId aService, const RequestId& aId) const = 0;
 
   /// All agents of a service that take new work.
   virtual std::vector<std::string> CandidatesOf(ServiceId aService) const = 0;
--- a/include/dandelionslip/Request/TransferredBuckets.h
+++ b/include/dandelionslip/Request/TransferredBuckets.h
@@ -11,14 +11,15 @@
 namespace dandelionslip {
 
 /// One bucket of a transfer message.
-struct HandedBucket
+struct TransferredBucket
 {
   std::uint32_t mBucket = 0;
   std::uint32_t mGeneration = 0;
 };
 
-/// Lists the buckets of a message that HomeCore::FreezeAndExport returned. Fails with InvalidInput
-/// when the message cannot be decoded.
-Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aTransfer, std::string_view aPeer);
+/// Lists the buckets of a message that AgentRequestCore::FreezeAndExport returned. Fails with
+/// InvalidInput when the message cannot be decoded.
+Result<std::vector<TransferredBucket>> ListTransferredBuckets(const Json& aTransfer,
+                                                              std::string_view aPeer);
 
 } // namespace dandelionslip
--- a/lib/Request/HomeArrival.cpp
+++ b/lib/Request/AgentRequestArrival.cpp
@@ -1,5 +1,5 @@
 // Decides what to do with a request that arrived at an agent.
-#include "HomeInternals.h"
+#include "AgentRequestInternals.h"
 
 #include <algorithm>
 
@@ -19,8 +19,8 @@
   Dispatch(AddJob(std::move(aRequest), aDeadline), aTime);
 }
 
-void HomeCore::Internals::HandleNonIdempotent(ArrivedRequest aRequest, TimePoint aDeadline,
-                                              const RequestTime& aTime)
+void AgentRequestCore::Internals::HandleNonIdempotent(ReceivedRequest aRequest, TimePoint aDeadline,
+                                                      const RequestTime& aTime)
 {
   if (!aRequest.mId) {
     mCounters.CountRefusal(RefusalReason::BadRequestId);
@@ -64,7 +64,7 @@
 
 // Handles a request whose id has a record; false when it has none. Also returns false when the
 // record is Refused and covers only lower attempts, because a higher attempt may run.
-bool HomeCore::Internals::HandleResend(const ArrivedRequest& aRequest, TimePoint aDeadline)
+bool AgentRequestCore::Internals::HandleResend(const ReceivedRequest& aRequest, TimePoint aDeadline)
 {
   const RequestRecord* record = RecordsFor(aRequest.mRelayed).Find(*aRequest.mId);
   if (record == nullptr) {
@@ -104,8 +104,8 @@
 
 // Replies to an attempt that must not run because of its id or because the process stops; false
 // when it may run.
-bool HomeCore::Internals::RefuseIfNotRunnable(const ArrivedRequest& aRequest,
-                                              const RequestTime& aTime)
+bool AgentRequestCore::Internals::RefuseIfNotRunnable(const ReceivedRequest& aRequest,
+                                                      const RequestTime& aTime)
 {
   RequestRecords& table = RecordsFor(aRequest.mRelayed);
   const bool known = table.Find(*aRequest.mId) != nullptr;
@@ -136,10 +136,10 @@
   return false;
 }
 
-void HomeCore::Internals::Defer(ArrivedRequest aRequest, TimePoint aDeadline)
+void AgentRequestCore::Internals::Defer(ReceivedRequest aRequest, TimePoint aDeadline)
 {
   if (mDeferred.size() >= mSettings.mMaxDeferred) {
-    Reply(aRequest.mHandle, NotHomeBecause(RefusalReason::HandoffPending));
+    Reply(aRequest.mHandle, NotOwnerReply(RefusalReason::TransferPending));
     return;
   }
   mDeferred.push_back({std::move(aRequest), aDeadline});
@@ -147,16 +147,17 @@
 
 // Refuses an attempt that has no pending record. When there is no room for a record of the refusal,
 // a late copy of the attempt could still run, so the reply is "unknown".
-void HomeCore::Internals::RefuseAttempt(const ArrivedRequest& aRequest, const Refusal& aRefusal)
+void AgentRequestCore::Internals::RefuseAttempt(const ReceivedRequest& aRequest,
+                                                const Refusal& aRefusal)
 {
   mCounters.CountRefusal(aRefusal.mReason);
   const bool remembered =
     aRequest.mIdempotent ||
     RecordsFor(aRequest.mRelayed).TryMarkRefused(*aRequest.mId, aRequest.mAttempt, aRefusal);
-  Reply(aRequest.mHandle, remembered ? NotRunBecause(aRefusal) : UnknownReply(aRefusal));
+  Reply(aRequest.mHandle, remembered ? NotRunReply(aRefusal) : UnknownReply(aRefusal));
 }
 
-RequestJob& HomeCore::Internals::AddJob(ArrivedRequest aRequest, TimePoint aDeadline)
+RequestJob& AgentRequestCore::Internals::AddJob(ReceivedRequest aRequest, TimePoint aDeadline)
 {
   const std::uint64_t token = mNextToken++;
   RequestJob& job = mJobs[token];
--- a/lib/Request/HomeBuckets.cpp
+++ b/lib/Request/AgentRequestBuckets.cpp
@@ -1,10 +1,10 @@
 // Changes of bucket ownership, and export and import of all records for a restart of the agent.
-#include "HomeInternals.h"
+#include "AgentRequestInternals.h"
 
 namespace dandelionslip {
 
 // Handles the deferred requests again. Those whose bucket is still incomplete are deferred again.
-void HomeCore::Internals::ProcessDeferred(const RequestTime& aTime)
+void AgentRequestCore::Internals::ProcessDeferred(const RequestTime& aTime)
 {
   std::list<DeferredRequest> deferred;
   deferred.swap(mDeferred);
@@ -15,7 +15,7 @@
 
 // Replies to resends of a request that ran at the bucket's previous owner, once its record says how
 // it ended.
-void HomeCore::Internals::FinishJobAtPreviousOwner(const RequestId& aId)
+void AgentRequestCore::Internals::FinishJobAtPreviousOwner(const RequestId& aId)
 {
   const auto found = mOwnedJobs.find(aId);
   const RequestRecord* record = mRecords.Find(aId);
@@ -44,8 +44,9 @@
   return mInternals->TakeActions();
 }
 
-Result<HomeActions> HomeCore::OnHandoff(const Json& aTransfer, std::string_view aPeer,
-                                        const RequestTime& aTime)
+Result<AgentRequestActions> AgentRequestCore::OnHandoff(const Json& aTransfer,
+                                                        std::string_view aPeer,
+                                                        const RequestTime& aTime)
 {
   const auto taken = mInternals->mRecords.Import(aTransfer, aPeer);
   if (!taken) {
@@ -63,8 +64,9 @@
   return mInternals->TakeActions();
 }
 
-HomeActions HomeCore::OnBucketTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                        const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnBucketTakenOver(std::uint32_t aBucket,
+                                                        std::uint32_t aGeneration,
+                                                        const RequestTime& aTime)
 {
   mInternals->mRecords.MarkTakenOver(aBucket, aGeneration);
   mInternals->ProcessDeferred(aTime);
--- a/lib/Request/AgentRequestCore.cpp
+++ b/lib/Request/AgentRequestCore.cpp
@@ -1,5 +1,5 @@
-// Event functions of HomeCore.
-#include "HomeInternals.h"
+// Event functions of AgentRequestCore.
+#include "AgentRequestInternals.h"
 
 namespace dandelionslip {
 
@@ -29,14 +29,14 @@
   mRelayedRecords.AcquireAsFirstOwner(0, 1);
 }
 
-RequestJob* HomeCore::Internals::FindJob(std::uint64_t aToken)
+RequestJob* AgentRequestCore::Internals::FindJob(std::uint64_t aToken)
 {
   const auto found = mJobs.find(aToken);
   return found == mJobs.end() ? nullptr : &found->second;
 }
 
 // Returns a copy of the keys of mJobs, for loops that end jobs.
-std::vector<std::uint64_t> HomeCore::Internals::JobTokens() const
+std::vector<std::uint64_t> AgentRequestCore::Internals::JobTokens() const
 {
   std::vector<std::uint64_t> tokens;
   tokens.reserve(mJobs.size());
--- a/lib/Request/HomeTime.cpp
+++ b/lib/Request/AgentRequestDeadlines.cpp
@@ -1,11 +1,11 @@
 // Cancellation, deadlines and loss of the lease.
-#include "HomeInternals.h"
+#include "AgentRequestInternals.h"
 
 #include <algorithm>
 
 namespace dandelionslip {
 
-void HomeCore::Internals::Cancel(ReplyHandle aHandle)
+void AgentRequestCore::Internals::Cancel(ReplyHandle aHandle)
 {
   if (const auto found = mJobByHandle.find(aHandle); found != mJobByHandle.end()) {
     RemoveWaiter(mJobs.at(found->second), aHandle);
@@ -22,7 +22,7 @@
   }
 }
 
-void HomeCore::Internals::RemoveWaiter(RequestJob& aJob, ReplyHandle aHandle)
+void AgentRequestCore::Internals::RemoveWaiter(RequestJob& aJob, ReplyHandle aHandle)
 {
   const bool last = aJob.mWaiters.size() == 1;
   if (last && aJob.mPhase == JobPhase::Queued) {
@@ -67,7 +67,7 @@
   }
 }
 
-void HomeCore::Internals::EndOverdueDeferred(const RequestTime& aTime)
+void AgentRequestCore::Internals::EndOverdueDeferred(const RequestTime& aTime)
 {
   for (auto deferred = mDeferred.begin(); deferred != mDeferred.end();) {
     if (aTime.mNow < deferred->mDeadline) {
@@ -75,7 +75,7 @@
       continue;
     }
     Reply(deferred->mRequest.mHandle,
-          UnknownReply(Refusal{RefusalReason::HandoffPending, Milliseconds(0)}));
+          UnknownReply(Refusal{RefusalReason::TransferPending, Milliseconds(0)}));
     deferred = mDeferred.erase(deferred);
   }
 }
@@ -83,7 +83,7 @@
 // Called when the lease has ended: queued requests have not run and must not run without a lease.
 // The reply "not run" stays true, because a new owner that takes the bucket over without its
 // records replies "unknown" for ids of this age.
-void HomeCore::Internals::RefuseQueuedNonIdempotent(const Refusal& aRefusal)
+void AgentRequestCore::Internals::RefuseQueuedNonIdempotent(const Refusal& aRefusal)
 {
   for (const std::uint64_t token : JobTokens()) {
     RequestJob& job = mJobs.at(token);
--- a/lib/Request/HomeEnds.cpp
+++ b/lib/Request/AgentRequestEnds.cpp
@@ -1,9 +1,9 @@
 // Ends requests: updates the record, replies to all waiters, and informs a bucket's new owner.
-#include "HomeInternals.h"
+#include "AgentRequestInternals.h"
 
 namespace dandelionslip {
 
-void HomeCore::Internals::EndAnswered(RequestJob& aJob, const UpstreamAnswer& aAnswer)
+void AgentRequestCore::Internals::EndAnswered(RequestJob& aJob, const UpstreamAnswer& aAnswer)
 {
   if (aJob.IsRecorded()) {
     RecordsFor(aJob.mRequest.mRelayed).MarkDone(aJob.mId, aAnswer);
@@ -14,7 +14,8 @@
 // When there is no room for a refused record, the request ends as unknown although it did not run:
 // without a record, a late copy of the attempt could still run. An unknown record takes the place
 // of the pending one.
-void HomeCore::Internals::EndRefused(RequestJob& aJob, const Refusal& aRefusal, bool aCancelled)
+void AgentRequestCore::Internals::EndRefused(RequestJob& aJob, const Refusal& aRefusal,
+                                             bool aCancelled)
 {
   RequestRecords& table = RecordsFor(aJob.mRequest.mRelayed);
   if (aJob.IsRecorded() && !table.TryMarkRefused(aJob.mId, aJob.mRequest.mAttempt, aRefusal)) {
@@ -24,10 +25,10 @@
   if (!aCancelled) {
     mCounters.CountRefusal(aRefusal.mReason);
   }
-  FinishJob(aJob, aCancelled ? CancelledReply() : NotRunBecause(aRefusal));
+  FinishJob(aJob, aCancelled ? CancelledReply() : NotRunReply(aRefusal));
 }
 
-void HomeCore::Internals::EndUnknown(RequestJob& aJob)
+void AgentRequestCore::Internals::EndUnknown(RequestJob& aJob)
 {
   if (aJob.IsRecorded()) {
     RecordsFor(aJob.mRequest.mRelayed).MarkUnknown(aJob.mId);
@@ -36,17 +37,17 @@
 }
 
 // Ends a request that ran at the bucket's previous owner, according to its record.
-void HomeCore::Internals::EndFromRecord(RequestJob& aJob)
+void AgentRequestCore::Internals::EndFromRecord(RequestJob& aJob)
 {
   const RequestRecord* record = mRecords.Find(aJob.mId);
   FinishJob(aJob, record == nullptr ? UnknownReply() : ReplyFor(*record));
 }
 
-void HomeCore::Internals::FinishJob(RequestJob& aJob, const RequestAnswer& aAnswer)
+void AgentRequestCore::Internals::FinishJob(RequestJob& aJob, const RequestReply& aReply)
 {
   for (const JobWaiter& waiter : aJob.mWaiters) {
     mJobByHandle.erase(waiter.mHandle);
-    Reply(waiter.mHandle, aAnswer);
+    Reply(waiter.mHandle, aReply);
   }
   const RequestId id = aJob.mId;
   const bool recorded = aJob.IsRecorded();
@@ -60,7 +61,7 @@
   }
 }
 
-RequestAnswer HomeCore::Internals::ReplyFor(const RequestRecord& aRecord) const
+RequestReply AgentRequestCore::Internals::ReplyFor(const RequestRecord& aRecord) const
 {
   switch (aRecord.mState) {
     case RecordState::Done:
@@ -77,14 +78,14 @@
   return UnknownReply();
 }
 
-void AgentRequestCore::Internals::Reply(ReplyHandle aHandle, RequestReply aAnswer)
+void AgentRequestCore::Internals::Reply(ReplyHandle aHandle, RequestReply aReply)
 {
-  mCounters.CountOutcome(aAnswer.mOutcome);
-  mActions.emplace_back(ReplyToSender{aHandle, std::move(aAnswer)});
+  mCounters.CountOutcome(aReply.mOutcome);
+  mActions.emplace_back(ReplyToSender{aHandle, std::move(aReply)});
 }
 
 // Sends the record of a request that ended to the new owner of its bucket, if there is one.
-void HomeCore::Internals::ReportToNewOwner(const RequestId& aId)
+void AgentRequestCore::Internals::ReportToNewOwner(const RequestId& aId)
 {
   const std::uint32_t bucket = mRecords.BucketFor(aId);
   if (mRecords.StateOf(bucket) == RecordBucketState::Frozen) {
--- a/lib/Request/HomeInternals.h
+++ b/lib/Request/AgentRequestInternals.h
@@ -1,7 +1,7 @@
-// State and internal functions of HomeCore.
+// State and internal functions of AgentRequestCore.
 #pragma once
 
-#include "HomeJob.h"
+#include "RequestJob.h"
 
 #include "dandelionslip/Request/AgentRequestCore.h"
 
@@ -24,14 +24,14 @@
             MetricsRegistry& aRegistry);
 
   // Arrival of requests (AgentRequestArrival.cpp).
-  void Arrive(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
-  void HandleNonIdempotent(ArrivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
-  bool HandleResend(const ArrivedRequest& aRequest, TimePoint aDeadline);
-  void JoinPending(const ArrivedRequest& aRequest, TimePoint aDeadline);
-  bool RefuseIfNotRunnable(const ArrivedRequest& aRequest, const RequestTime& aTime);
-  void Defer(ArrivedRequest aRequest, TimePoint aDeadline);
-  void RefuseAttempt(const ArrivedRequest& aRequest, const Refusal& aRefusal);
-  RequestJob& AddJob(ArrivedRequest aRequest, TimePoint aDeadline);
+  void Arrive(ReceivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
+  void HandleNonIdempotent(ReceivedRequest aRequest, TimePoint aDeadline, const RequestTime& aTime);
+  bool HandleResend(const ReceivedRequest& aRequest, TimePoint aDeadline);
+  void JoinPending(const ReceivedRequest& aRequest, TimePoint aDeadline);
+  bool RefuseIfNotRunnable(const ReceivedRequest& aRequest, const RequestTime& aTime);
+  void Defer(ReceivedRequest aRequest, TimePoint aDeadline);
+  void RefuseAttempt(const ReceivedRequest& aRequest, const Refusal& aRefusal);
+  RequestJob& AddJob(ReceivedRequest aRequest, TimePoint aDeadline);
 
   // Queue, runs and relay (AgentRequestRuns.cpp).
   void Dispatch(RequestJob& aJob, const RequestTime& aTime);
@@ -48,9 +48,9 @@
   void EndRefused(RequestJob& aJob, const Refusal& aRefusal, bool aCancelled = false);
   void EndUnknown(RequestJob& aJob);
   void EndFromRecord(RequestJob& aJob);
-  void FinishJob(RequestJob& aJob, const RequestAnswer& aAnswer);
-  RequestAnswer ReplyFor(const RequestRecord& aRecord) const;
-  void Reply(ReplyHandle aHandle, RequestAnswer aAnswer);
+  void FinishJob(RequestJob& aJob, const RequestReply& aReply);
+  RequestReply ReplyFor(const RequestRecord& aRecord) const;
+  void Reply(ReplyHandle aHandle, RequestReply aReply);
   void ReportToNewOwner(const RequestId& aId);
 
   // Cancellation and deadlines (AgentRequestDeadlines.cpp).
@@ -71,7 +71,7 @@
   }
   RequestJob* FindJob(std::uint64_t aToken);
   std::vector<std::uint64_t> JobTokens() const;
-  HomeActions TakeActions() { return std::exchange(mActions, {}); }
+  AgentRequestActions TakeActions() { return std::exchange(mActions, {}); }
 
   AgentRequestSettings mSettings;
   SlotAdmission& mSlots;
--- a/lib/Request/HomeRuns.cpp
+++ b/lib/Request/AgentRequestRuns.cpp
@@ -1,5 +1,5 @@
 // Runs requests at the upstream, queues them, or relays them to the alternate agent.
-#include "HomeInternals.h"
+#include "AgentRequestInternals.h"
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void HomeCore::Internals::Dispatch(RequestJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::Dispatch(RequestJob& aJob, const RequestTime& aTime)
 {
   if (aJob.mRequest.mRelayed && aJob.IsRecorded() && !mLeaseValid) {
     EndRefused(aJob, {RefusalReason::NoControl, Milliseconds(0)});
@@ -43,7 +43,7 @@
   Enqueue(aJob, aTime);
 }
 
-void HomeCore::Internals::Enqueue(RequestJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::Enqueue(RequestJob& aJob, const RequestTime& aTime)
 {
   const std::uint64_t token = aJob.mToken;
   const QueueEntry entry{token, aJob.mRequest.mCaller, aJob.mRequest.mClass, aJob.mDeadline};
@@ -60,7 +60,7 @@
   }
 }
 
-void HomeCore::Internals::StartRun(RequestJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::StartRun(RequestJob& aJob, const RequestTime& aTime)
 {
   aJob.mPhase = JobPhase::Running;
   aJob.mStarted = aTime.mNow;
@@ -74,8 +74,8 @@
 
 // Relays a request that cannot run here to the alternate agent, but only once; this agent keeps the
 // record. Refuses the request when it cannot be relayed.
-void HomeCore::Internals::RelayOrRefuse(RequestJob& aJob, const Refusal& aRefusal,
-                                        const RequestTime& aTime)
+void AgentRequestCore::Internals::RelayOrRefuse(RequestJob& aJob, const Refusal& aRefusal,
+                                                const RequestTime& aTime)
 {
   const bool allowed = !aJob.mRequest.mRelayed && !aJob.mTriedAlternate &&
                        (mLeaseValid || !aJob.IsRecorded()) && aTime.mNow < aJob.mDeadline;
@@ -89,14 +89,14 @@
   aJob.mTriedAlternate = true;
   aJob.mRun = mNextRun++;
   mJobByRun[aJob.mRun] = aJob.mToken;
-  const ArrivedRequest& request = aJob.mRequest;
+  const ReceivedRequest& request = aJob.mRequest;
   mActions.emplace_back(RelayToAlternate{aJob.mRun, alternate->mName, alternate->mIncarnation,
                                          aJob.mId, request.mAttempt, request.mIdempotent,
                                          RemainingFor(aJob, aTime, mSettings.mHopAllowance),
                                          request.mCaller, request.mClass, request.mBody});
 }
 
-void HomeCore::Internals::StartQueued(const RequestTime& aTime)
+void AgentRequestCore::Internals::StartQueued(const RequestTime& aTime)
 {
   for (const QueueEntry& overdue : mQueue.TakeOverdue(aTime.mNow)) {
     EndRefused(mJobs.at(overdue.mToken), {RefusalReason::Deadline, Milliseconds(0)});
@@ -113,7 +113,7 @@
 
 // Returns the job of a run that ended, and forgets the run. Null when no job in this phase has the
 // run.
-RequestJob* HomeCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
+RequestJob* AgentRequestCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
 {
   const auto found = mJobByRun.find(aRun);
   RequestJob* job = found == mJobByRun.end() ? nullptr : FindJob(found->second);
@@ -128,8 +128,8 @@
   return job;
 }
 
-void HomeCore::Internals::ReleaseSlot(const RequestJob& aJob, RunResult aResult,
-                                      const RequestTime& aTime)
+void AgentRequestCore::Internals::ReleaseSlot(const RequestJob& aJob, RunResult aResult,
+                                              const RequestTime& aTime)
 {
   --mRunningCount;
   const RuntimeClock::duration latency = aTime.mNow - aJob.mStarted;
@@ -140,7 +140,7 @@
 }
 
 // Cancels the run of a job without waiters. The record stays pending until the run ends.
-void HomeCore::Internals::CancelJob(RequestJob& aJob)
+void AgentRequestCore::Internals::CancelJob(RequestJob& aJob)
 {
   if (!aJob.mCancelSent) {
     aJob.mCancelSent = true;
--- a/lib/Request/RelayAttempts.cpp
+++ b/lib/Request/BalancerRequestAttempts.cpp
@@ -1,5 +1,5 @@
 // Attempts of a request: choice of the agent, handling of replies, retries.
-#include "RelayInternals.h"
+#include "BalancerRequestInternals.h"
 
 #include <algorithm>
 
@@ -27,7 +27,7 @@
 
 } // namespace
 
-void RelayCore::Internals::Send(CallerExchange& aExchange, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Send(CallerExchange& aExchange, const RequestTime& aTime)
 {
   const auto remaining =
     std::chrono::floor<Milliseconds>(aExchange.mDeadline - aTime.mNow) - mSettings.mHopAllowance;
@@ -54,11 +54,12 @@
                                     request.mClass, request.mBody});
 }
 
-std::optional<std::string> RelayCore::Internals::ChooseAgent(const CallerExchange& aExchange)
+std::optional<std::string> BalancerRequestCore::Internals::ChooseAgent(
+  const CallerExchange& aExchange)
 {
   const ServiceId service = aExchange.mRequest.mService;
   if (!aExchange.mRequest.mIdempotent || (aExchange.mTryOwnerFirst && aExchange.mTries == 0)) {
-    return mTargets.HomeOf(service, aExchange.mId);
+    return mTargets.OwnerOf(service, aExchange.mId);
   }
   std::vector<std::string> candidates = mTargets.CandidatesOf(service);
   if (candidates.size() > 1) {
@@ -71,7 +72,8 @@
 }
 
 // Of two random candidates, returns the one with fewer attempts in flight.
-std::string RelayCore::Internals::ChooseLessLoaded(const std::vector<std::string>& aCandidates)
+std::string BalancerRequestCore::Internals::ChooseLessLoaded(
+  const std::vector<std::string>& aCandidates)
 {
   const std::size_t first = mRandom.Below(aCandidates.size());
   if (aCandidates.size() == 1) {
@@ -86,7 +88,7 @@
 
 // Returns the exchange whose attempt in flight has the key, and ends the attempt. Null when there
 // is none.
-CallerExchange* RelayCore::Internals::TakeAttempt(const AttemptKey& aKey)
+CallerExchange* BalancerRequestCore::Internals::TakeAttempt(const AttemptKey& aKey)
 {
   const auto found = mByCallerAttempt.find({aKey.mId, aKey.mAttempt >> kTryBits});
   CallerExchange* exchange =
@@ -101,8 +103,9 @@
   return exchange;
 }
 
-void RelayCore::Internals::HandleAnswered(CallerExchange& aExchange, ReceivedAnswer aReceived,
-                                          const RequestTime& aTime)
+void BalancerRequestCore::Internals::HandleAnswered(CallerExchange& aExchange,
+                                                    ReceivedAnswer aReceived,
+                                                    const RequestTime& aTime)
 {
   if (aReceived.IsComplete()) {
     mBudget.OnSuccess(aExchange.mRequest.mService, aExchange.mRequest.mCaller, aTime.mNow);
@@ -113,8 +116,8 @@
   Retry(aExchange, RetryReason::LinkLost, Milliseconds(0), aTime);
 }
 
-void RelayCore::Internals::HandleNotRun(CallerExchange& aExchange, const Refusal& aRefusal,
-                                        const RequestTime& aTime)
+void BalancerRequestCore::Internals::HandleNotRun(CallerExchange& aExchange,
+                                                  const Refusal& aRefusal, const RequestTime& aTime)
 {
   // A refusal by the owner of the bucket covers all lower attempts, because its record does.
   // Idempotent requests have no record, so a refusal says nothing about their earlier attempts.
@@ -127,9 +130,9 @@
   Retry(aExchange, RetryReason::Refused, aRefusal.mRetryAfter, aTime);
 }
 
-void RelayCore::Internals::HandleUnknown(CallerExchange& aExchange,
-                                         const std::optional<Refusal>& aRefusal,
-                                         const RequestTime& aTime)
+void BalancerRequestCore::Internals::HandleUnknown(CallerExchange& aExchange,
+                                                   const std::optional<Refusal>& aRefusal,
+                                                   const RequestTime& aTime)
 {
   aExchange.mLastRefusal = aRefusal;
   if (!aExchange.mRequest.mIdempotent) {
@@ -139,8 +142,8 @@
   Retry(aExchange, RetryReason::Failed, Milliseconds(0), aTime);
 }
 
-void RelayCore::Internals::Retry(CallerExchange& aExchange, RetryReason aReason,
-                                 Milliseconds aAtLeast, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Retry(CallerExchange& aExchange, RetryReason aReason,
+                                           Milliseconds aAtLeast, const RequestTime& aTime)
 {
   if (aExchange.mCancelled) {
     FinishWithoutAnswer(aExchange);
@@ -170,7 +173,7 @@
   SetTimer(aExchange, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
 }
 
-void RelayCore::Internals::DenyRetry(CallerExchange& aExchange, RetryDenial aReason)
+void BalancerRequestCore::Internals::DenyRetry(CallerExchange& aExchange, RetryDenial aReason)
 {
   mCounters.CountDenial(aReason);
   FinishWithoutAnswer(aExchange);
--- a/lib/Request/BalancerRequestCore.cpp
+++ b/lib/Request/BalancerRequestCore.cpp
@@ -1,5 +1,5 @@
-// Event functions of RelayCore, and start and end of requests.
-#include "RelayInternals.h"
+// Event functions of BalancerRequestCore, and start and end of requests.
+#include "BalancerRequestInternals.h"
 
 #include <algorithm>
 
@@ -55,7 +55,7 @@
   Send(exchange, aTime);
 }
 
-void RelayCore::Internals::Cancel(CallerExchange& aExchange)
+void BalancerRequestCore::Internals::Cancel(CallerExchange& aExchange)
 {
   aExchange.mCancelled = true;
   if (!aExchange.mInFlight) {
@@ -65,7 +65,7 @@
   mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
 }
 
-void RelayCore::Internals::Finish(CallerExchange& aExchange, RequestAnswer aAnswer)
+void BalancerRequestCore::Internals::Finish(CallerExchange& aExchange, RequestReply aReply)
 {
   if (aExchange.mInFlight) {
     --mAttemptsInFlight[aExchange.mAgent];
@@ -73,17 +73,17 @@
   mTimers.erase({aExchange.mTimerAt, aExchange.mToken});
   mByHandle.erase(aExchange.mRequest.mHandle);
   mByCallerAttempt.erase({aExchange.mId, aExchange.mRequest.mCallerAttempt});
-  Reply(aExchange.mRequest.mHandle, aExchange.mId, std::move(aAnswer));
+  Reply(aExchange.mRequest.mHandle, aExchange.mId, std::move(aReply));
   mExchanges.erase(aExchange.mToken);
 }
 
 // Replies "unknown" when an attempt may have run, otherwise "cancelled" or "not run".
-void RelayCore::Internals::FinishWithoutAnswer(CallerExchange& aExchange)
+void BalancerRequestCore::Internals::FinishWithoutAnswer(CallerExchange& aExchange)
 {
   if (aExchange.mMayHaveRun) {
-    RequestAnswer answer = UnknownReply(aExchange.mLastRefusal);
-    answer.mDigest = aExchange.mDigest;
-    Finish(aExchange, std::move(answer));
+    RequestReply reply = UnknownReply(aExchange.mLastRefusal);
+    reply.mDigest = aExchange.mDigest;
+    Finish(aExchange, std::move(reply));
     return;
   }
   if (aExchange.mCancelled) {
@@ -96,7 +96,7 @@
   Finish(aExchange, NotRunReply(refusal));
 }
 
-void RelayCore::Internals::EndOverdue(CallerExchange& aExchange)
+void BalancerRequestCore::Internals::EndOverdue(CallerExchange& aExchange)
 {
   if (aExchange.mInFlight) {
     mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
@@ -108,19 +108,19 @@
 }
 
 void BalancerRequestCore::Internals::Reply(ReplyHandle aHandle, const RequestId& aId,
-                                           RequestReply aAnswer)
+                                           RequestReply aReply)
 {
-  mCounters.CountOutcome(aAnswer.mOutcome);
-  mActions.emplace_back(ReplyToCaller{aHandle, aId, std::move(aAnswer)});
+  mCounters.CountOutcome(aReply.mOutcome);
+  mActions.emplace_back(ReplyToCaller{aHandle, aId, std::move(aReply)});
 }
 
-CallerExchange* RelayCore::Internals::FindByHandle(ReplyHandle aHandle)
+CallerExchange* BalancerRequestCore::Internals::FindByHandle(ReplyHandle aHandle)
 {
   const auto found = mByHandle.find(aHandle);
   return found == mByHandle.end() ? nullptr : &mExchanges.at(found->second);
 }
 
-void RelayCore::Internals::SetTimer(CallerExchange& aExchange, TimePoint aWhen)
+void BalancerRequestCore::Internals::SetTimer(CallerExchange& aExchange, TimePoint aWhen)
 {
   mTimers.erase({aExchange.mTimerAt, aExchange.mToken});
   aExchange.mTimerAt = aWhen;
--- a/lib/Request/RelayInternals.h
+++ b/lib/Request/BalancerRequestInternals.h
@@ -1,4 +1,4 @@
-// State and internal functions of RelayCore.
+// State and internal functions of BalancerRequestCore.
 #pragma once
 
 #include "dandelionslip/Request/BalancerRequestCore.h"
@@ -38,10 +38,10 @@
   // Start and end of requests (BalancerRequestCore.cpp).
   void Accept(CallerRequest aRequest, const RequestTime& aTime);
   void Cancel(CallerExchange& aExchange);
-  void Finish(CallerExchange& aExchange, RequestAnswer aAnswer);
+  void Finish(CallerExchange& aExchange, RequestReply aReply);
   void FinishWithoutAnswer(CallerExchange& aExchange);
   void EndOverdue(CallerExchange& aExchange);
-  void Reply(ReplyHandle aHandle, const RequestId& aId, RequestAnswer aAnswer);
+  void Reply(ReplyHandle aHandle, const RequestId& aId, RequestReply aReply);
 
   // Attempts at agents (BalancerRequestAttempts.cpp).
   void Send(CallerExchange& aExchange, const RequestTime& aTime);
@@ -59,7 +59,7 @@
 
   CallerExchange* FindByHandle(ReplyHandle aHandle);
   void SetTimer(CallerExchange& aExchange, TimePoint aWhen);
-  RelayActions TakeActions() { return std::exchange(mActions, {}); }
+  BalancerRequestActions TakeActions() { return std::exchange(mActions, {}); }
 
   using CallerAttempt = std::pair<RequestId, std::uint32_t>;
 
--- a/lib/Request/HomeJob.h
+++ b/lib/Request/RequestJob.h
@@ -25,7 +25,7 @@
 struct RequestJob
 {
   std::uint64_t mToken = 0;
-  ArrivedRequest mRequest;
+  ReceivedRequest mRequest;
   RequestId mId; ///< The nil UUID for an idempotent request without an id.
   JobPhase mPhase = JobPhase::Queued;
   RunId mRun = 0;
--- a/lib/Request/RequestOutcome.cpp
+++ b/lib/Request/RequestOutcome.cpp
@@ -22,7 +22,7 @@
   return EnumNames(aOutcome)[static_cast<std::size_t>(aOutcome)].mName;
 }
 
-RequestAnswer AnsweredReply(UpstreamAnswer aAnswer)
+RequestReply AnsweredReply(UpstreamAnswer aAnswer)
 {
   return {RequestOutcome::Answered, std::move(aAnswer), {}, {}};
 }
@@ -32,12 +32,12 @@
   return {RequestOutcome::NotRun, {}, aRefusal, {}};
 }
 
-RequestAnswer UnknownReply(std::optional<Refusal> aRefusal)
+RequestReply UnknownReply(std::optional<Refusal> aRefusal)
 {
   return {RequestOutcome::Unknown, {}, aRefusal, {}};
 }
 
-RequestAnswer CancelledReply()
+RequestReply CancelledReply()
 {
   return {RequestOutcome::Cancelled, {}, {}, {}};
 }
--- a/lib/Request/TransferredBuckets.cpp
+++ b/lib/Request/TransferredBuckets.cpp
@@ -1,5 +1,5 @@
 // Reads the bucket list of transfer messages.
-#include "dandelionslip/Request/HandedRecords.h"
+#include "dandelionslip/Request/TransferredBuckets.h"
 
 #include "RecordWire.h"
 
@@ -7,7 +7,8 @@
 
 namespace dandelionslip {
 
-Result<std::vector<HandedBucket>> ListHandedBuckets(const Json& aTransfer, std::string_view aPeer)
+Result<std::vector<TransferredBucket>> ListTransferredBuckets(const Json& aTransfer,
+                                                              std::string_view aPeer)
 {
   const auto table = FromJson<TableWire>(aTransfer, aPeer);
   if (!table) {
--- a/unittests/Request/AgentRequestCoreTest.cpp
+++ b/unittests/Request/AgentRequestCoreTest.cpp
@@ -11,7 +11,7 @@
 
 class AgentRequestCoreTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(HomeCoreTest);
+  CPPUNIT_TEST_SUITE(AgentRequestCoreTest);
   CPPUNIT_TEST(ResendsGetTheCompleteAnswer);
   CPPUNIT_TEST(RefusedAttemptNeverRuns);
   CPPUNIT_TEST(FailedRunIsNeverRepeated);
@@ -100,8 +100,8 @@
     const RequestId id = NewId();
     const RunId run = Start(id);
     CPPUNIT_ASSERT(Send(id, 2).empty());
-    const HomeActions ended = mCore->OnUpstreamAnswer(run, CompleteAnswer("paid"), At(5));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(2), All<AnswerSender>(ended).size());
+    const AgentRequestActions ended = mCore->OnUpstreamAnswer(run, CompleteAnswer("paid"), At(5));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(2), All<ReplyToSender>(ended).size());
     for (const Attempt attempt : {1, 2, 3}) {
       const AgentRequestActions resent = Send(id, attempt, 10);
       CPPUNIT_ASSERT(Only<ReplyToSender>(resent).mReply.mAnswer.mBody == BytesOf("paid"));
@@ -110,7 +110,7 @@
     const RequestId large = NewId();
     const std::string body(kMaxKeptAnswerBytes + 1, 'x');
     mCore->OnUpstreamAnswer(Start(large), CompleteAnswer(body), At(20));
-    const RequestAnswer later = Only<AnswerSender>(Send(large, 2, 21)).mAnswer;
+    const RequestReply later = Only<ReplyToSender>(Send(large, 2, 21)).mReply;
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), OutcomeName(later));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(body.size()), later.mDigest.value().mLength);
   }
@@ -190,7 +190,7 @@
     // After a run of 900 ms, a request with 800 ms left is expected to miss its deadline.
     const RunId slow = Only<RunAtUpstream>(Send(NewId(2000), 1, 2000)).mRun;
     mCore->OnUpstreamAnswer(slow, CompleteAnswer("slow"), At(2900));
-    ArrivedRequest late;
+    ReceivedRequest late;
     late.mId = NewId(3000);
     late.mRemaining = Milliseconds(800);
     CPPUNIT_ASSERT(RefusalReason::Deadline == Reason(mCore->OnRequest(late, At(3000))));
@@ -299,7 +299,7 @@
     CPPUNIT_ASSERT(mCore->OnRequest(request, At(0)).empty());
     CPPUNIT_ASSERT_EQUAL(
       std::size_t(2),
-      All<AnswerSender>(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(1))).size());
+      All<ReplyToSender>(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(1))).size());
   }
 
   // Guards against passing an answer to a caller of another request.
@@ -344,8 +344,8 @@
     Send(NewId());
     mCore->OnPlannedStop(At(1));
     CPPUNIT_ASSERT(RefusalReason::Draining == Reason(Send(NewId(), 1, 2)));
-    const HomeActions next = mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(3));
-    const HomeActions last =
+    const AgentRequestActions next = mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(3));
+    const AgentRequestActions last =
       mCore->OnUpstreamAnswer(Only<RunAtUpstream>(next).mRun, CompleteAnswer("b"), At(4));
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), Outcome(last));
     CPPUNIT_ASSERT(!mCore->Active());
--- a/unittests/Request/BalancerRequestCoreTest.cpp
+++ b/unittests/Request/BalancerRequestCoreTest.cpp
@@ -15,17 +15,17 @@
   std::optional<std::string> OwnerOf(ServiceId /*aService*/,
                                      const RequestId& /*aId*/) const override
   {
-    return mHome;
+    return mOwner;
   }
   std::vector<std::string> CandidatesOf(ServiceId /*aService*/) const override { return mAll; }
 
-  std::optional<std::string> mHome = "u1";
+  std::optional<std::string> mOwner = "u1";
   std::vector<std::string> mAll{"u1", "u2", "u3"};
 };
 
 class BalancerRequestCoreTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(RelayCoreTest);
+  CPPUNIT_TEST_SUITE(BalancerRequestCoreTest);
   CPPUNIT_TEST(OnlyCompleteMatchingAnswersAreDelivered);
   CPPUNIT_TEST(NotRunOnlyWhenCertain);
   CPPUNIT_TEST(UnknownOutcomeIsNeverRetried);
@@ -98,8 +98,8 @@
       Answer({key.mId, second.mAttempt + 1}, RequestOutcome::Answered, CompleteAnswer("x"))
         .empty());
     const auto answer =
-      Only<AnswerCaller>(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")));
-    CPPUNIT_ASSERT(answer.mId == key.mId && answer.mAnswer.mAnswer.mBody == BytesOf("a"));
+      Only<ReplyToCaller>(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")));
+    CPPUNIT_ASSERT(answer.mId == key.mId && answer.mReply.mAnswer.mBody == BytesOf("a"));
     CPPUNIT_ASSERT(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
                          Outcome(Answer(other, RequestOutcome::Answered, CompleteAnswer("b"))));
@@ -115,17 +115,17 @@
     const AttemptKey refused = Sent().mKey;
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Answer(refused, RequestOutcome::NotRun, {},
                                                                 RefusalReason::RecordsFull)));
-    mTargets.mHome.reset();
+    mTargets.mOwner.reset();
     CPPUNIT_ASSERT(Send().empty());
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(mCore->OnTick(At(2000))));
-    mTargets.mHome = "u1";
+    mTargets.mOwner = "u1";
     const AttemptKey unsent = Only<SendToAgent>(Send(false, 1, {}, 2001)).mKey;
     mCore->OnAgentLinkFailed(unsent, false, At(2002));
     const AttemptKey lost = Next(2500).mKey;
     mCore->OnAgentLinkFailed(lost, true, At(2501));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(mCore->OnTick(At(4001))));
     // An earlier attempt of the caller may have run although this balancer never sent one.
-    mTargets.mHome.reset();
+    mTargets.mOwner.reset();
     CPPUNIT_ASSERT(Send(false, 2, "01ba60d3-4f94-7fe5-a827-585279c8b01e", 5000).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(mCore->OnTick(At(7000))));
   }
@@ -143,7 +143,7 @@
   {
     const SendToAgent first = Sent();
     CPPUNIT_ASSERT(mCore->OnAgentLinkFailed(first.mKey, true, At(1)).empty());
-    mTargets.mHome = "u2";
+    mTargets.mOwner = "u2";
     const SendToAgent second = Next();
     CPPUNIT_ASSERT(second.mKey.mId == first.mKey.mId);
     CPPUNIT_ASSERT_EQUAL(first.mKey.mAttempt + 1, second.mKey.mAttempt);
--- a/unittests/Request/RequestHistory.cpp
+++ b/unittests/Request/RequestHistory.cpp
@@ -56,9 +56,9 @@
 }
 
 void RequestHistory::AddClaim(const RequestId& aId, Attempt aLastAttempt,
-                              const RequestAnswer& aAnswer)
+                              const RequestReply& aReply)
 {
-  mIds[aId].mClaims.push_back({aLastAttempt, aAnswer.mOutcome, aAnswer.mAnswer.mBody});
+  mIds[aId].mClaims.push_back({aLastAttempt, aReply.mOutcome, aReply.mAnswer.mBody});
 }
 
 std::vector<std::string> RequestHistory::Check() const
--- a/unittests/Request/RequestHistory.h
+++ b/unittests/Request/RequestHistory.h
@@ -27,7 +27,7 @@
   };
   bool mIdempotent = false;
   std::vector<Run> mRuns;
-  std::vector<Claim> mClaims; ///< Made by home agents and, on top, by balancers to callers.
+  std::vector<Claim> mClaims; ///< Replies of owners to balancers, and of balancers to callers.
 };
 
 /// Observations of one run of the simulation.
@@ -39,7 +39,7 @@
   std::size_t AddRun(const RequestId& aId, Attempt aAttempt);
   void SetAnswer(const RequestId& aId, std::size_t aRun, Bytes aBody);
   /// An agent or balancer replied with an outcome for all attempts up to aLastAttempt.
-  void AddClaim(const RequestId& aId, Attempt aLastAttempt, const RequestAnswer& aAnswer);
+  void AddClaim(const RequestId& aId, Attempt aLastAttempt, const RequestReply& aReply);
 
   /// Returns a description of each violation found.
   std::vector<std::string> Check() const;
--- a/unittests/Request/RequestHistoryTest.cpp
+++ b/unittests/Request/RequestHistoryTest.cpp
@@ -36,7 +36,7 @@
   void CorrectHistoryIsAccepted()
   {
     const RequestId id = Id();
-    mHistory.AddClaim(id, MakeAttempt(1, 0), NotRunBecause({}));
+    mHistory.AddClaim(id, MakeAttempt(1, 0), NotRunReply({}));
     Run(id, MakeAttempt(1, 1), "a");
     mHistory.AddClaim(id, MakeAttempt(1, 1), AnsweredReply({200, "", BytesOf("a")}));
     mHistory.AddClaim(id, MakeAttempt(2, 0), UnknownReply());
@@ -78,7 +78,7 @@
   void RunOfRefusedAttemptIsReported()
   {
     const RequestId later = Id();
-    mHistory.AddClaim(later, 3, NotRunBecause({}));
+    mHistory.AddClaim(later, 3, NotRunReply({}));
     Run(later, 3, "a");
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
     const RequestId earlier = Id();
@@ -92,9 +92,9 @@
   {
     const RequestId id = Id(true);
     Run(id, MakeAttempt(1, 3), "a");
-    mHistory.AddClaim(id, MakeAttempt(2, 255), NotRunBecause({}));
+    mHistory.AddClaim(id, MakeAttempt(2, 255), NotRunReply({}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), Violations());
-    mHistory.AddClaim(id, MakeAttempt(1, 255), NotRunBecause({}));
+    mHistory.AddClaim(id, MakeAttempt(1, 255), NotRunReply({}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), Violations());
   }
 
--- a/unittests/Request/RequestSimulation.cpp
+++ b/unittests/Request/RequestSimulation.cpp
@@ -71,11 +71,11 @@
     After(at, [this] {
       for (std::size_t i = 0; i < kAgents; ++i) {
         if (mAgents[i]->mCore) {
-          PerformHome(i, mAgents[i]->mCore->OnTick(TimeOf(*mAgents[i])));
+          PerformAgentActions(i, mAgents[i]->mCore->OnTick(TimeOf(*mAgents[i])));
         }
       }
       for (std::size_t i = 0; i < kBalancers; ++i) {
-        PerformRelay(i, mBalancers[i]->mCore->OnTick(Time(0)));
+        PerformBalancerActions(i, mBalancers[i]->mCore->OnTick(Time(0)));
       }
     });
   }
--- a/unittests/Request/RequestSimulation.h
+++ b/unittests/Request/RequestSimulation.h
@@ -22,7 +22,7 @@
   std::size_t mCancelled = 0;
   std::size_t mResends = 0;
   std::size_t mRelayed = 0;
-  std::size_t mHandoffs = 0;
+  std::size_t mBucketTransfers = 0;
   std::size_t mLostOwners = 0;
   std::size_t mRecordUpdates = 0;
   std::size_t mCrashes = 0;
@@ -72,7 +72,7 @@
   struct Call;
   struct UpstreamRun;
   struct Transfer;
-  using OnReply = std::function<void(const RequestAnswer&)>;
+  using OnReply = std::function<void(const RequestReply&)>;
   using Task = std::function<void()>;
   struct Event
   {
@@ -97,19 +97,19 @@
   void NewRequest();
   void SendCall(const std::shared_ptr<Call>& aCall);
   void ScheduleCancel(std::size_t aBalancer, ReplyHandle aHandle, std::int64_t aDelay);
-  void OnCallerReply(std::size_t aBalancer, const AnswerCaller& aReply);
-  void PerformRelay(std::size_t aBalancer, const RelayActions& aActions);
+  void OnCallerReply(std::size_t aBalancer, const ReplyToCaller& aReply);
+  void PerformBalancerActions(std::size_t aBalancer, const BalancerRequestActions& aActions);
   void SendAttempt(std::size_t aBalancer, const SendToAgent& aSend);
   void CrashBalancer(std::size_t aBalancer);
 
   // Agents and upstreams (RequestSimulationAgents.cpp).
   void StartAgent(std::size_t aAgent);
-  void Deliver(std::size_t aAgent, const ArrivedRequest& aRequest, const OnReply& aOnReply,
+  void Deliver(std::size_t aAgent, const ReceivedRequest& aRequest, const OnReply& aOnReply,
                const Task& aOnLinkLost, const AttemptKey& aKey);
-  void Arrive(std::size_t aAgent, ArrivedRequest aRequest, OnReply aOnReply, Task aOnLinkLost,
+  void Arrive(std::size_t aAgent, ReceivedRequest aRequest, OnReply aOnReply, Task aOnLinkLost,
               const AttemptKey& aKey);
-  void PerformHome(std::size_t aAgent, const AgentRequestActions& aActions);
-  void PerformAnswer(std::size_t aAgent, const ReplyToSender& aAnswer);
+  void PerformAgentActions(std::size_t aAgent, const AgentRequestActions& aActions);
+  void PerformReply(std::size_t aAgent, const ReplyToSender& aReply);
   void RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun);
   void EndRun(std::size_t aAgent, RunId aRun,
               std::function<AgentRequestActions(AgentRequestCore&)> aEnd);
@@ -122,7 +122,8 @@
   // Ownership and failures (RequestSimulationControl.cpp).
   void ScheduleFaults(std::int64_t aStart);
   void Inject(Fault aFault);
-  void SendFromControl(std::size_t aAgent, std::function<HomeActions(HomeCore&)> aEvent);
+  void SendFromControl(std::size_t aAgent,
+                       std::function<AgentRequestActions(AgentRequestCore&)> aEvent);
   bool IsUsable(std::size_t aAgent) const;
   std::optional<std::size_t> PickOwner(std::size_t aNot);
   void SetOwner(std::uint32_t aBucket, std::size_t aOwner);
--- a/unittests/Request/RequestSimulationAgents.cpp
+++ b/unittests/Request/RequestSimulationAgents.cpp
@@ -25,7 +25,7 @@
 
 // Sends a request to an agent after a delay. The link may fail, and a request that is not
 // idempotent may arrive twice.
-void RequestSimulation::Deliver(std::size_t aAgent, const ArrivedRequest& aRequest,
+void RequestSimulation::Deliver(std::size_t aAgent, const ReceivedRequest& aRequest,
                                 const OnReply& aOnReply, const Task& aOnLinkLost,
                                 const AttemptKey& aKey)
 {
@@ -43,7 +43,7 @@
   }
 }
 
-void RequestSimulation::Arrive(std::size_t aAgent, ArrivedRequest aRequest, OnReply aOnReply,
+void RequestSimulation::Arrive(std::size_t aAgent, ReceivedRequest aRequest, OnReply aOnReply,
                                Task aOnLinkLost, const AttemptKey& aKey)
 {
   Agent& agent = *mAgents[aAgent];
@@ -54,18 +54,18 @@
   aRequest.mHandle = mNextHandle++;
   agent.mReplies[aRequest.mHandle] = {aKey, !aRequest.mIdempotent && !aRequest.mRelayed,
                                       std::move(aOnReply), std::move(aOnLinkLost)};
-  PerformHome(aAgent, agent.mCore->OnRequest(std::move(aRequest), TimeOf(agent)));
+  PerformAgentActions(aAgent, agent.mCore->OnRequest(std::move(aRequest), TimeOf(agent)));
 }
 
-void RequestSimulation::PerformHome(std::size_t aAgent, const HomeActions& aActions)
+void RequestSimulation::PerformAgentActions(std::size_t aAgent, const AgentRequestActions& aActions)
 {
   for (const AgentRequestAction& action : aActions) {
     if (const auto* run = std::get_if<RunAtUpstream>(&action)) {
       RunUpstream(aAgent, *run);
     } else if (const auto* relay = std::get_if<RelayToAlternate>(&action)) {
       Relay(aAgent, *relay);
-    } else if (const auto* answer = std::get_if<ReplyToSender>(&action)) {
-      PerformAnswer(aAgent, *answer);
+    } else if (const auto* reply = std::get_if<ReplyToSender>(&action)) {
+      PerformReply(aAgent, *reply);
     } else if (const auto* cancel = std::get_if<CancelRun>(&action)) {
       After(Delay(), [this, aAgent, run = cancel->mRun] { CancelRunAt(aAgent, run); });
     } else if (const auto& send = std::get<SendRecord>(action); !Chance(0.1)) {
@@ -73,7 +73,7 @@
       const Bytes message = EncodeCbor(send.mRecord);
       ++mTotals.mRecordUpdates;
       After(Delay(), [this, from, message, to = IndexOf(send.mAgent)] {
-        SendFromControl(to, [this, from, message, to](HomeCore& aCore) {
+        SendFromControl(to, [this, from, message, to](AgentRequestCore& aCore) {
           const Json record = DecodeCbor(message, from).value();
           return aCore.OnRecordUpdate(record, from, TimeOf(*mAgents[to])).value();
         });
@@ -82,15 +82,15 @@
   }
 }
 
-void RequestSimulation::PerformAnswer(std::size_t aAgent, const AnswerSender& aAnswer)
+void RequestSimulation::PerformReply(std::size_t aAgent, const ReplyToSender& aReply)
 {
-  const auto open = mAgents[aAgent]->mReplies.extract(aAnswer.mHandle);
+  const auto open = mAgents[aAgent]->mReplies.extract(aReply.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const OpenReply& reply = open.mapped();
   if (reply.mRecorded) {
-    mHistory.AddClaim(reply.mKey.mId, reply.mKey.mAttempt, aAnswer.mAnswer);
+    mHistory.AddClaim(reply.mKey.mId, reply.mKey.mAttempt, aReply.mReply);
   }
-  reply.mOnReply(aAnswer.mAnswer);
+  reply.mOnReply(aReply.mReply);
 }
 
 void RequestSimulation::RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun)
@@ -122,7 +122,7 @@
       }
       mHistory.SetAnswer(aRun.mId, index, BytesOf(body));
       const ReceivedAnswer received = Transmit({200, "text/plain", BytesOf(body)});
-      EndRun(aAgent, number, [this, number, received](HomeCore& aCore) {
+      EndRun(aAgent, number, [this, number, received](AgentRequestCore& aCore) {
         return aCore.OnUpstreamAnswer(number, received, Time(0));
       });
     });
@@ -131,7 +131,7 @@
 
 // Reports the end of a run, after a delay, if the process that started it still exists.
 void RequestSimulation::EndRun(std::size_t aAgent, RunId aRun,
-                               std::function<HomeActions(HomeCore&)> aEnd)
+                               std::function<AgentRequestActions(AgentRequestCore&)> aEnd)
 {
   const auto found = mAgents[aAgent]->mRuns.find(aRun);
   if (found == mAgents[aAgent]->mRuns.end()) {
@@ -143,7 +143,7 @@
   After(Delay(), [this, aAgent, aRun, run, incarnation, aEnd = std::move(aEnd)] {
     Agent& agent = *mAgents[aAgent];
     if (agent.mCore && agent.mIncarnation == incarnation && agent.mRuns.erase(aRun) > 0) {
-      PerformHome(aAgent, aEnd(*agent.mCore));
+      PerformAgentActions(aAgent, aEnd(*agent.mCore));
     }
   });
 }
@@ -155,8 +155,8 @@
   ++mTotals.mRelayed;
   const RunId number = aRelay.mRun;
   const auto linkFailed = [this, aAgent, number](bool aSent) {
-    EndRun(aAgent, number, [this, number, aSent](HomeCore& aCore) {
-      return aCore.OnAlternateFailed(number, aSent, Time(0));
+    EndRun(aAgent, number, [this, number, aSent](AgentRequestCore& aCore) {
+      return aCore.OnAlternateLinkFailed(number, aSent, Time(0));
     });
   };
   const std::size_t to = IndexOf(aRelay.mAgent);
@@ -178,14 +178,14 @@
   run->mAlternate = std::pair(to, key);
   // The first of several replies ends the run; EndRun ignores the others.
   const std::uint64_t incarnation = mAgents[aAgent]->mIncarnation;
-  const auto onReply = [this, aAgent, number, incarnation](const RequestAnswer& aAnswer) {
+  const auto onReply = [this, aAgent, number, incarnation](const RequestReply& aReply) {
     if (mAgents[aAgent]->mIncarnation != incarnation) {
       return;
     }
     EndRun(aAgent, number,
-           [this, number, aAnswer, received = Transmit(aAnswer.mAnswer)](HomeCore& aCore) {
-             return aCore.OnAlternateAnswer(
-               number, aAnswer.mOutcome, aAnswer.mRefusal.value_or(Refusal{}), received, Time(0));
+           [this, number, aReply, received = Transmit(aReply.mAnswer)](AgentRequestCore& aCore) {
+             return aCore.OnAlternateAnswer(number, aReply.mOutcome,
+                                            aReply.mRefusal.value_or(Refusal{}), received, Time(0));
            });
   };
   const auto linkFailedAfterSend = [this, aAgent, incarnation, linkFailed] {
@@ -225,7 +225,7 @@
   for (const ReplyHandle handle : handles) {
     Agent& agent = *mAgents[aAgent];
     if (agent.mCore && agent.mReplies.contains(handle)) {
-      PerformHome(aAgent, agent.mCore->OnCancel(handle, TimeOf(agent)));
+      PerformAgentActions(aAgent, agent.mCore->OnCancel(handle, TimeOf(agent)));
     }
   }
 }
--- a/unittests/Request/RequestSimulationCallers.cpp
+++ b/unittests/Request/RequestSimulationCallers.cpp
@@ -52,25 +52,26 @@
     ScheduleCancel(index, handle, static_cast<std::int64_t>(mRandom.Below(400'000)));
     After(static_cast<std::int64_t>(mRandom.Below(50'000)), [this, aCall] { SendCall(aCall); });
   }
-  PerformRelay(index, mBalancers[index]->mCore->OnRequest(std::move(request), Time(0)));
+  PerformBalancerActions(index, mBalancers[index]->mCore->OnRequest(std::move(request), Time(0)));
 }
 
 void RequestSimulation::ScheduleCancel(std::size_t aBalancer, ReplyHandle aHandle,
                                        std::int64_t aDelay)
 {
   After(aDelay, [this, aBalancer, aHandle] {
-    PerformRelay(aBalancer, mBalancers[aBalancer]->mCore->OnCallerCancelled(aHandle, Time(0)));
+    PerformBalancerActions(aBalancer,
+                           mBalancers[aBalancer]->mCore->OnCallerCancelled(aHandle, Time(0)));
   });
 }
 
-void RequestSimulation::OnCallerReply(std::size_t aBalancer, const AnswerCaller& aReply)
+void RequestSimulation::OnCallerReply(std::size_t aBalancer, const ReplyToCaller& aReply)
 {
   const auto open = mBalancers[aBalancer]->mCalls.extract(aReply.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const auto [call, attempt] = open.mapped();
   --call->mOpen;
-  mHistory.AddClaim(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mAnswer);
-  const RequestOutcome outcome = aReply.mAnswer.mOutcome;
+  mHistory.AddClaim(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mReply);
+  const RequestOutcome outcome = aReply.mReply.mOutcome;
   CPPUNIT_ASSERT_MESSAGE("an internal outcome reached a caller",
                          outcome != RequestOutcome::NotOwner);
   mTotals.mAnswered += outcome == RequestOutcome::Answered ? 1 : 0;
@@ -83,7 +84,8 @@
   }
 }
 
-void RequestSimulation::PerformRelay(std::size_t aBalancer, const RelayActions& aActions)
+void RequestSimulation::PerformBalancerActions(std::size_t aBalancer,
+                                               const BalancerRequestActions& aActions)
 {
   for (const BalancerRequestAction& action : aActions) {
     if (const auto* send = std::get_if<SendToAgent>(&action)) {
@@ -111,13 +113,13 @@
   const auto toCore = [this, aBalancer, crashCount](auto aEvent) {
     After(Delay(), [this, aBalancer, crashCount, aEvent] {
       if (mBalancers[aBalancer]->mCrashCount == crashCount) {
-        PerformRelay(aBalancer, aEvent(*mBalancers[aBalancer]->mCore));
+        PerformBalancerActions(aBalancer, aEvent(*mBalancers[aBalancer]->mCore));
       }
     });
   };
   const auto linkFailed = [this, key, toCore](bool aSent) {
-    toCore([this, key, aSent](RelayCore& aCore) {
-      return aCore.OnAgentUnreachable(key, aSent, Time(0));
+    toCore([this, key, aSent](BalancerRequestCore& aCore) {
+      return aCore.OnAgentLinkFailed(key, aSent, Time(0));
     });
   };
   const std::size_t agent = IndexOf(aSend.mAgent);
@@ -125,9 +127,9 @@
     linkFailed(false);
     return;
   }
-  const auto onReply = [this, key, toCore](const RequestAnswer& aAnswer) {
-    toCore([this, key, aAnswer, received = Transmit(aAnswer.mAnswer)](RelayCore& aCore) {
-      return aCore.OnAgentAnswer(key, aAnswer.mOutcome, aAnswer.mRefusal, received, Time(0));
+  const auto onReply = [this, key, toCore](const RequestReply& aReply) {
+    toCore([this, key, aReply, received = Transmit(aReply.mAnswer)](BalancerRequestCore& aCore) {
+      return aCore.OnAgentAnswer(key, aReply.mOutcome, aReply.mRefusal, received, Time(0));
     });
   };
   Deliver(
@@ -143,7 +145,7 @@
   BalancerRequestSettings settings;
   settings.mBudget.mMaxTokens = 3;
   balancer.mCore =
-    std::make_unique<RelayCore>(settings, balancer, mRandom.Next(), *balancer.mRegistry);
+    std::make_unique<BalancerRequestCore>(settings, balancer, mRandom.Next(), *balancer.mRegistry);
   // The callers notice the crash and resend through another connection.
   for (const auto& [handle, open] : std::exchange(balancer.mCalls, {})) {
     --open.mCall->mOpen;
--- a/unittests/Request/RequestSimulationControl.cpp
+++ b/unittests/Request/RequestSimulationControl.cpp
@@ -37,7 +37,7 @@
 void RequestSimulation::Inject(Fault aFault)
 {
   const std::shared_ptr<Call> call = mCalls.front();
-  const std::size_t home = mOwners[BucketOf(call->mId, kBuckets)];
+  const std::size_t owner = mOwners[BucketOf(call->mId, kBuckets)];
   switch (aFault) {
     case Fault::CallerLink:
       for (std::size_t i = 0; i < kBalancers; ++i) {
@@ -55,28 +55,28 @@
       }
       break;
     case Fault::Agent:
-      CrashAgent(home);
+      CrashAgent(owner);
       break;
     case Fault::Upstream:
-      CrashUpstream(home);
+      CrashUpstream(owner);
       break;
     case Fault::Restart:
-      RestartAgent(home);
+      RestartAgent(owner);
       break;
     case Fault::ControlContact:
-      CutOffFromControl(home);
+      CutOffFromControl(owner);
       break;
   }
 }
 
 // Passes an event from control to an agent. During a planned restart the event waits for the next
 // process; after a crash it is discarded.
-void RequestSimulation::SendFromControl(std::size_t aAgent,
-                                        std::function<HomeActions(HomeCore&)> aEvent)
+void RequestSimulation::SendFromControl(
+  std::size_t aAgent, std::function<AgentRequestActions(AgentRequestCore&)> aEvent)
 {
   Agent& agent = *mAgents[aAgent];
   if (agent.mCore) {
-    PerformHome(aAgent, aEvent(*agent.mCore));
+    PerformAgentActions(aAgent, aEvent(*agent.mCore));
     return;
   }
   After(20'000, [this, aAgent, crashCount = agent.mCrashCount, aEvent = std::move(aEvent)] {
@@ -128,7 +128,7 @@
     After(Delay(), [this, bucket, generation = mGeneration, to = *to,
                     crashCount = mAgents[*to]->mCrashCount] {
       if (mAgents[to]->mCrashCount == crashCount) {
-        SendFromControl(to, [this, bucket, generation](HomeCore& aCore) {
+        SendFromControl(to, [this, bucket, generation](AgentRequestCore& aCore) {
           return aCore.OnBucketAcquired(bucket, generation, Time(0));
         });
         RequestTransfer(bucket, generation);
@@ -154,7 +154,7 @@
   }
   if (transfer->mFromLost) {
     // The loss may have been reported before the bucket was acquired.
-    SendFromControl(to, [this, aBucket, to](HomeCore& aCore) {
+    SendFromControl(to, [this, aBucket, to](AgentRequestCore& aCore) {
       return aCore.OnPreviousOwnerLost(aBucket, TimeOf(*mAgents[to]));
     });
   }
@@ -175,9 +175,9 @@
           if (mAgents[to]->mCrashCount != crashCount || !mAgents[to]->mCore) {
             return;
           }
-          ++mTotals.mHandoffs;
-          HomeCore& core = *mAgents[to]->mCore;
-          PerformHome(
+          ++mTotals.mBucketTransfers;
+          AgentRequestCore& core = *mAgents[to]->mCore;
+          PerformAgentActions(
             to,
             core.OnHandoff(DecodeCbor(message, name).value(), name, TimeOf(*mAgents[to])).value());
         });
@@ -211,17 +211,17 @@
   }
   Agent& agent = *mAgents[aAgent];
   agent.mStopping = true;
-  PerformHome(aAgent, agent.mCore->OnLease(false, TimeOf(agent)));
+  PerformAgentActions(aAgent, agent.mCore->OnLease(false, TimeOf(agent)));
   After(20'000 + Delay(), [this, aAgent] { DeclareLost(aAgent); });
   After(900'000, [this, aAgent] {
     Agent& back = *mAgents[aAgent];
     for (std::uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
-      PerformHome(aAgent, back.mCore->OnBucketTakenOver(bucket, mGeneration, TimeOf(back)));
+      PerformAgentActions(aAgent, back.mCore->OnBucketTakenOver(bucket, mGeneration, TimeOf(back)));
     }
     ++mGeneration;
     back.mLost = false;
     back.mStopping = false;
-    PerformHome(aAgent, back.mCore->OnLease(true, TimeOf(back)));
+    PerformAgentActions(aAgent, back.mCore->OnLease(true, TimeOf(back)));
   });
 }
 
@@ -233,7 +233,7 @@
   ++mTotals.mRestarts;
   Agent& agent = *mAgents[aAgent];
   agent.mStopping = true;
-  PerformHome(aAgent, agent.mCore->OnPlannedStop(TimeOf(agent)));
+  PerformAgentActions(aAgent, agent.mCore->OnPlannedStop(TimeOf(agent)));
   FinishRestart(aAgent, mNow + static_cast<std::int64_t>(mRandom.Below(200'000)));
 }
 
@@ -280,7 +280,7 @@
       ++mTotals.mLostOwners;
       const std::size_t to = mTransfers[bucket]->mTo;
       mTransfers[bucket]->mFromLost = true;
-      SendFromControl(to, [this, bucket, to](HomeCore& aCore) {
+      SendFromControl(to, [this, bucket, to](AgentRequestCore& aCore) {
         return aCore.OnPreviousOwnerLost(bucket, TimeOf(*mAgents[to]));
       });
     }
@@ -290,8 +290,9 @@
       After(Delay(),
             [this, i, name = mAgents[aAgent]->mName, crashCount = mAgents[i]->mCrashCount] {
               if (mAgents[i]->mCrashCount == crashCount) {
-                SendFromControl(
-                  i, [this, name](HomeCore& aCore) { return aCore.OnAgentLost(name, Time(0)); });
+                SendFromControl(i, [this, name](AgentRequestCore& aCore) {
+                  return aCore.OnAgentLost(name, Time(0));
+                });
               }
             });
     }
@@ -307,14 +308,15 @@
   // If the lost agent had not received the bucket yet, the owner before it must not keep it: it
   // learns that another agent owns the bucket now.
   if (const auto transfer = std::move(mTransfers[aBucket]); transfer && mAgents[transfer->mFrom]) {
-    SendFromControl(transfer->mFrom, [this, aBucket, generation = mGeneration](HomeCore& aCore) {
-      return aCore.OnBucketTakenOver(aBucket, generation, Time(0));
-    });
+    SendFromControl(transfer->mFrom,
+                    [this, aBucket, generation = mGeneration](AgentRequestCore& aCore) {
+                      return aCore.OnBucketTakenOver(aBucket, generation, Time(0));
+                    });
   }
   ++mTotals.mLostOwners;
   const std::uint32_t generation = ++mGeneration;
   SetOwner(aBucket, *to);
-  SendFromControl(*to, [this, aBucket, generation, to = *to](HomeCore& aCore) {
+  SendFromControl(*to, [this, aBucket, generation, to = *to](AgentRequestCore& aCore) {
     const RequestTime time = TimeOf(*mAgents[to]);
     aCore.OnBucketAcquired(aBucket, generation, time);
     return aCore.OnPreviousOwnerLost(aBucket, time);
--- a/unittests/Request/RequestSimulationParts.h
+++ b/unittests/Request/RequestSimulationParts.h
@@ -28,7 +28,7 @@
 {
   AttemptKey mKey;
   bool mRecorded = false; ///< Neither idempotent nor relayed.
-  std::function<void(const RequestAnswer&)> mOnReply;
+  std::function<void(const RequestReply&)> mOnReply;
   std::function<void()> mOnLinkLost;
 };
 
--- a/unittests/Request/RequestSimulationTest.cpp
+++ b/unittests/Request/RequestSimulationTest.cpp
@@ -27,13 +27,14 @@
                            violations.empty());
     CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(aSeed) + ": messages without a reply",
                                  std::size_t(0), simulation.Totals().mUnanswered);
-    constexpr std::array kMembers{&SimulationTotals::mRequests,   &SimulationTotals::mRuns,
-                                  &SimulationTotals::mAnswered,   &SimulationTotals::mNotRun,
-                                  &SimulationTotals::mUnknown,    &SimulationTotals::mCancelled,
-                                  &SimulationTotals::mResends,    &SimulationTotals::mRelayed,
-                                  &SimulationTotals::mHandoffs,   &SimulationTotals::mCrashes,
-                                  &SimulationTotals::mLostOwners, &SimulationTotals::mRecordUpdates,
-                                  &SimulationTotals::mRestarts};
+    constexpr std::array kMembers{
+      &SimulationTotals::mRequests,        &SimulationTotals::mRuns,
+      &SimulationTotals::mAnswered,        &SimulationTotals::mNotRun,
+      &SimulationTotals::mUnknown,         &SimulationTotals::mCancelled,
+      &SimulationTotals::mResends,         &SimulationTotals::mRelayed,
+      &SimulationTotals::mBucketTransfers, &SimulationTotals::mCrashes,
+      &SimulationTotals::mLostOwners,      &SimulationTotals::mRecordUpdates,
+      &SimulationTotals::mRestarts};
     for (const auto member : kMembers) {
       aTotals.*member += simulation.Totals().*member;
     }
@@ -69,14 +70,14 @@
               << " answered=" << totals.mAnswered << " not_run=" << totals.mNotRun
               << " unknown=" << totals.mUnknown << " cancelled=" << totals.mCancelled
               << " resends=" << totals.mResends << " relayed=" << totals.mRelayed
-              << " handoffs=" << totals.mHandoffs << " lost_owners=" << totals.mLostOwners
+              << " handoffs=" << totals.mBucketTransfers << " lost_owners=" << totals.mLostOwners
               << " record_updates=" << totals.mRecordUpdates << " crashes=" << totals.mCrashes
               << " restarts=" << totals.mRestarts << std::flush;
     // The checks above mean something only if these events happened often.
     CPPUNIT_ASSERT(totals.mAnswered > totals.mRequests / 3);
     for (const std::size_t count :
-         {totals.mNotRun, totals.mUnknown, totals.mResends, totals.mRelayed, totals.mHandoffs,
-          totals.mLostOwners, totals.mRecordUpdates}) {
+         {totals.mNotRun, totals.mUnknown, totals.mResends, totals.mRelayed,
+          totals.mBucketTransfers, totals.mLostOwners, totals.mRecordUpdates}) {
       CPPUNIT_ASSERT(count > kSeeds / 2);
     }
     CPPUNIT_ASSERT(totals.mCancelled > kSeeds / 10);
--- a/unittests/Request/RequestTestSupport.h
+++ b/unittests/Request/RequestTestSupport.h
@@ -83,9 +83,9 @@
   return found.front();
 }
 
-inline std::string OutcomeName(const RequestReply& aAnswer)
+inline std::string OutcomeName(const RequestReply& aReply)
 {
-  return std::string(ToString(aAnswer.mOutcome));
+  return std::string(ToString(aReply.mOutcome));
 }
 
 } // namespace dandelionslip::requesttest
