--- a/unittests/Request/RequestSimulation.h
+++ b/unittests/Request/RequestSimulation.h
@@ -128,7 +128,7 @@
   std::optional<std::size_t> PickOwner(std::size_t aNot);
   void SetOwner(std::uint32_t aBucket, std::size_t aOwner);
   void MoveBuckets();
-  void RequestTransfer(std::uint32_t aBucket, std::uint32_t aGeneration);
+  void PullBucket(std::uint32_t aBucket, std::uint32_t aGeneration);
   void CrashAgent(std::size_t aAgent);
   void CutOffFromControl(std::size_t aAgent);
   void RestartAgent(std::size_t aAgent);
--- a/unittests/Request/RequestSimulationControl.cpp
+++ b/unittests/Request/RequestSimulationControl.cpp
@@ -131,7 +131,7 @@
         SendFromControl(to, [this, bucket, generation](AgentRequestCore& aCore) {
           return aCore.OnBucketAcquired(bucket, generation, Time(0));
         });
-        RequestTransfer(bucket, generation);
+        PullBucket(bucket, generation);
       }
     });
   }
@@ -139,7 +139,7 @@
 
 // Requests a bucket from its previous owner every 60 ms, because messages are lost, until the
 // bucket is complete.
-void RequestSimulation::RequestTransfer(std::uint32_t aBucket, std::uint32_t aGeneration)
+void RequestSimulation::PullBucket(std::uint32_t aBucket, std::uint32_t aGeneration)
 {
   const Transfer* transfer = mTransfers[aBucket].get();
   if (transfer == nullptr || transfer->mGeneration != aGeneration) {
@@ -158,7 +158,7 @@
       return aCore.OnPreviousOwnerLost(aBucket, TimeOf(*mAgents[to]));
     });
   }
-  After(60'000, [this, aBucket, aGeneration] { RequestTransfer(aBucket, aGeneration); });
+  After(60'000, [this, aBucket, aGeneration] { PullBucket(aBucket, aGeneration); });
   for (int copy = Chance(0.2) ? 2 : 1; copy > 0; --copy) {
     After(Delay(), [this, aBucket, aGeneration, from, to, crashCount = newOwner.mCrashCount] {
       Agent& owner = *mAgents[from];
@@ -214,14 +214,15 @@
   PerformAgentActions(aAgent, agent.mCore->OnLease(false, TimeOf(agent)));
   After(20'000 + Delay(), [this, aAgent] { DeclareLost(aAgent); });
   After(900'000, [this, aAgent] {
-    Agent& back = *mAgents[aAgent];
+    Agent& reconnected = *mAgents[aAgent];
     for (std::uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
-      PerformAgentActions(aAgent, back.mCore->OnBucketTakenOver(bucket, mGeneration, TimeOf(back)));
+      PerformAgentActions(
+        aAgent, reconnected.mCore->OnBucketTakenOver(bucket, mGeneration, TimeOf(reconnected)));
     }
     ++mGeneration;
-    back.mLost = false;
-    back.mStopping = false;
-    PerformAgentActions(aAgent, back.mCore->OnLease(true, TimeOf(back)));
+    reconnected.mLost = false;
+    reconnected.mStopping = false;
+    PerformAgentActions(aAgent, reconnected.mCore->OnLease(true, TimeOf(reconnected)));
   });
 }
 
--- a/unittests/Request/RequestSimulationParts.h
+++ b/unittests/Request/RequestSimulationParts.h
@@ -74,8 +74,7 @@
     std::uint32_t mAttempt = 0;
   };
   std::uint64_t mCrashCount = 0;
-  std::vector<std::size_t>
-    mOwners; ///< Owner of each bucket in the balancer's view; may be outdated.
+  std::vector<std::size_t> mOwners; ///< By bucket; may be outdated.
   std::unique_ptr<MetricsRegistry> mRegistry;
   std::unique_ptr<BalancerRequestCore> mCore;
   std::map<ReplyHandle, OpenCall> mCalls;
