--- a/unittests/Request/RequestSimulationTest.cpp
+++ b/unittests/Request/RequestSimulationTest.cpp
@@ -70,7 +70,7 @@
               << " answered=" << totals.mAnswered << " not_run=" << totals.mNotRun
               << " unknown=" << totals.mUnknown << " cancelled=" << totals.mCancelled
               << " resends=" << totals.mResends << " relayed=" << totals.mRelayed
-              << " handoffs=" << totals.mBucketTransfers << " lost_owners=" << totals.mLostOwners
+              << " transfers=" << totals.mBucketTransfers << " lost_owners=" << totals.mLostOwners
               << " record_updates=" << totals.mRecordUpdates << " crashes=" << totals.mCrashes
               << " restarts=" << totals.mRestarts << std::flush;
     // The checks above mean something only if these events happened often.
