--- a/include/dandelionslip/Request/RequestCounters.h
+++ b/include/dandelionslip/Request/RequestCounters.h
@@ -13,9 +13,9 @@
 enum class RetryReason
 {
   Refused,     ///< The agent said that the attempt did not run.
-  NotOwner,    ///< The agent did not own the bucket of the id.
+  NotOwner,    ///< The agent did not decide about the id, for example as it was not the owner.
   Unreachable, ///< No part of the attempt was sent.
-  LinkLost,    ///< The link failed after the attempt was sent.
+  LinkLost,    ///< The link failed after the attempt was sent, or the answer was truncated.
   Failed,      ///< An idempotent request ended with an unknown outcome.
 };
 
@@ -31,7 +31,7 @@
 
 std::span<const EnumName<RetryDenial>> EnumNames(RetryDenial);
 
-/// Why a received message was dropped.
+/// Why a received message was dropped, or had no one to be passed on to.
 enum class RequestDrop
 {
   LateAnswer,       ///< Nobody waited for the attempt or run any more.
--- a/include/dandelionslip/Request/RequestOutcome.h
+++ b/include/dandelionslip/Request/RequestOutcome.h
@@ -16,7 +16,9 @@
   NotRun,    ///< This attempt and all lower ones did not run and never will.
   Unknown,   ///< The request may have run.
   Cancelled, ///< The caller cancelled the request before it ran.
-  NotOwner,  ///< The agent does not own the bucket of the id now. Never passed on to a caller.
+  /// The agent does not decide about the id now: it is not the owner of the bucket, has no valid
+  /// lease, or has too many requests that wait for the bucket. Never passed on to a caller.
+  NotOwner,
 };
 
 std::span<const EnumName<RequestOutcome>> EnumNames(RequestOutcome);
--- a/include/dandelionslip/Request/TransferredBuckets.h
+++ b/include/dandelionslip/Request/TransferredBuckets.h
@@ -1,4 +1,4 @@
-// Lists the buckets of a bucket transfer message.
+// Lists the buckets of a transfer message.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
--- a/lib/Request/AgentRequestDeadlines.cpp
+++ b/lib/Request/AgentRequestDeadlines.cpp
@@ -57,7 +57,7 @@
         overdue.push_back(waiter.mHandle);
       }
     }
-    // StartQueued refuses a queued request once its latest deadline has passed.
+    // Left to StartQueued, which refuses a queued request once its latest deadline has passed.
     if (job.mPhase == JobPhase::Queued && overdue.size() == job.mWaiters.size()) {
       continue;
     }
