--- a/include/dandelionslip/Request/AgentRequestActions.h
+++ b/include/dandelionslip/Request/AgentRequestActions.h
@@ -1,4 +1,4 @@
-// What AgentRequestCore asks its glue to do.
+// Actions that AgentRequestCore returns for the agent process to perform.
 #pragma once
 
 #include "dandelionslip/Request/ReceivedRequest.h"
@@ -8,8 +8,9 @@
 
 namespace dandelionslip {
 
-/// Pass a request to the upstream. Every run ends with exactly one of
-/// AgentRequestCore::OnUpstreamAnswer, OnUpstreamShed and OnUpstreamFailed, also after CancelRun.
+/// Pass a request to the upstream. The agent process reports the end of each run, also of one that
+/// CancelRun cancelled, by exactly one call of AgentRequestCore::OnUpstreamAnswer, OnUpstreamShed
+/// or OnUpstreamFailed.
 struct RunAtUpstream
 {
   RunId mRun = 0;
@@ -19,8 +20,9 @@
   Bytes mBody;
 };
 
-/// Pass a request to the alternate's agent with ReceivedRequest::mRelayed set. Ends with exactly
-/// one of AgentRequestCore::OnAlternateAnswer and OnAlternateLinkFailed, also after CancelRun.
+/// Pass a request to the alternate agent with ReceivedRequest::mRelayed set. The agent process
+/// reports the end, also after CancelRun, by exactly one call of
+/// AgentRequestCore::OnAlternateAnswer or OnAlternateLinkFailed.
 struct RelayToAlternate
 {
   RunId mRun = 0;
@@ -35,21 +37,21 @@
   Bytes mBody;
 };
 
-/// Send the outcome to whoever sent the message with this handle.
+/// Reply to the sender of the message with this handle.
 struct ReplyToSender
 {
   ReplyHandle mHandle = 0;
   RequestReply mReply;
 };
 
-/// Cancel a run at the upstream or at the alternate (RST_STREAM).
+/// Cancel a run at the upstream or at the alternate agent (RST_STREAM).
 struct CancelRun
 {
   RunId mRun = 0;
 };
 
-/// Send a record that ended after its bucket was handed off to the bucket's new owner, which passes
-/// it to AgentRequestCore::OnRecordUpdate.
+/// Send the record of a request that ended after its bucket was transferred. The receiver, the
+/// bucket's new owner, passes it to AgentRequestCore::OnRecordUpdate.
 struct SendRecord
 {
   std::string mAgent;
--- a/include/dandelionslip/Request/TransferredBuckets.h
+++ b/include/dandelionslip/Request/TransferredBuckets.h
@@ -1,4 +1,4 @@
-// What a hand-off message says about each bucket, for the glue between hand-off and records.
+// Lists the buckets of a transfer message.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -10,15 +10,16 @@
 
 namespace dandelionslip {
 
-/// One bucket of a hand-off message.
+/// One bucket of a transfer message.
 struct TransferredBucket
 {
   std::uint32_t mBucket = 0;
   std::uint32_t mGeneration = 0;
 };
 
-/// Lists the buckets of a message made by AgentRequestCore::FreezeAndExport. Error: InvalidInput.
-Result<std::vector<TransferredBucket>> ListTransferredBuckets(const Json& aHandoff,
+/// Lists the buckets of a message that AgentRequestCore::FreezeAndExport returned. Fails with
+/// InvalidInput when the message cannot be decoded.
+Result<std::vector<TransferredBucket>> ListTransferredBuckets(const Json& aTransfer,
                                                               std::string_view aPeer);
 
 } // namespace dandelionslip
--- a/lib/Request/HomeBuckets.cpp
+++ b/lib/Request/AgentRequestBuckets.cpp
@@ -1,27 +1,28 @@
-// Ownership changes of buckets and the restart of the agent.
-#include "HomeInternals.h"
+// Changes of bucket ownership, and export and import of all records for a restart of the agent.
+#include "AgentRequestInternals.h"
 
 namespace dandelionslip {
 
-// Handles the held requests again; those whose bucket is still incomplete are held again.
-void AgentRequestCore::Internals::ReleaseHeld(const RequestTime& aTime)
+// Handles the deferred requests again. Those whose bucket is still incomplete are deferred again.
+void AgentRequestCore::Internals::ProcessDeferred(const RequestTime& aTime)
 {
-  std::list<HeldRequest> held;
-  held.swap(mHeld);
-  for (HeldRequest& request : held) {
+  std::list<DeferredRequest> deferred;
+  deferred.swap(mDeferred);
+  for (DeferredRequest& request : deferred) {
     Arrive(std::move(request.mRequest), request.mDeadline, aTime);
   }
 }
 
-// Answers resends of a request that ran at the bucket's previous owner.
-void AgentRequestCore::Internals::ResolveElsewhere(const RequestId& aId)
+// Replies to resends of a request that ran at the bucket's previous owner, once its record says how
+// it ended.
+void AgentRequestCore::Internals::FinishJobAtPreviousOwner(const RequestId& aId)
 {
-  const auto found = mHomeJobs.find(aId);
+  const auto found = mOwnedJobs.find(aId);
   const RequestRecord* record = mRecords.Find(aId);
-  if (found == mHomeJobs.end() || record == nullptr || record->mState == RecordState::Pending) {
+  if (found == mOwnedJobs.end() || record == nullptr || record->mState == RecordState::Pending) {
     return;
   }
-  if (HomeJob& job = mJobs.at(found->second); job.mPhase == JobPhase::Elsewhere) {
+  if (RequestJob& job = mJobs.at(found->second); job.mPhase == JobPhase::AtPreviousOwner) {
     EndFromRecord(job);
   }
 }
@@ -38,37 +39,37 @@
                                                          std::uint32_t aGeneration,
                                                          const RequestTime& aTime)
 {
-  mInternals->mRecords.CompleteFirst(aBucket, aGeneration);
-  mInternals->ReleaseHeld(aTime);
+  mInternals->mRecords.AcquireAsFirstOwner(aBucket, aGeneration);
+  mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
-Result<AgentRequestActions> AgentRequestCore::OnHandoff(const Json& aHandoff,
+Result<AgentRequestActions> AgentRequestCore::OnHandoff(const Json& aTransfer,
                                                         std::string_view aPeer,
                                                         const RequestTime& aTime)
 {
-  const auto taken = mInternals->mRecords.Import(aHandoff, aPeer);
+  const auto taken = mInternals->mRecords.Import(aTransfer, aPeer);
   if (!taken) {
     return taken.as_failure();
   }
-  mInternals->ReleaseHeld(aTime);
+  mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
 AgentRequestActions AgentRequestCore::OnPreviousOwnerLost(std::uint32_t aBucket,
                                                           const RequestTime& aTime)
 {
-  mInternals->mRecords.CompleteAfterLoss(aBucket, aTime.mWallMs);
-  mInternals->ReleaseHeld(aTime);
+  mInternals->mRecords.CompleteWithoutTransfer(aBucket, aTime.mWallMs);
+  mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
-AgentRequestActions AgentRequestCore::OnBucketDropped(std::uint32_t aBucket,
-                                                      std::uint32_t aGeneration,
-                                                      const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnBucketTakenOver(std::uint32_t aBucket,
+                                                        std::uint32_t aGeneration,
+                                                        const RequestTime& aTime)
 {
-  mInternals->mRecords.Drop(aBucket, aGeneration);
-  mInternals->ReleaseHeld(aTime);
+  mInternals->mRecords.MarkTakenOver(aBucket, aGeneration);
+  mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
@@ -87,7 +88,7 @@
   if (!id) {
     return id.as_failure();
   }
-  mInternals->ResolveElsewhere(id.value());
+  mInternals->FinishJobAtPreviousOwner(id.value());
   mInternals->ReportToNewOwner(id.value());
   return mInternals->TakeActions();
 }
@@ -95,8 +96,8 @@
 AgentRequestActions AgentRequestCore::OnAgentLost(const std::string& aAgent,
                                                   const RequestTime& /*aTime*/)
 {
-  for (const RequestId& id : mInternals->mRecords.LoseHolder(aAgent)) {
-    mInternals->ResolveElsewhere(id);
+  for (const RequestId& id : mInternals->mRecords.MarkAgentLost(aAgent)) {
+    mInternals->FinishJobAtPreviousOwner(id);
     mInternals->ReportToNewOwner(id);
   }
   return mInternals->TakeActions();
--- a/lib/Request/AgentRequestCore.cpp
+++ b/lib/Request/AgentRequestCore.cpp
@@ -1,14 +1,15 @@
-// Entry points of AgentRequestCore.
-#include "HomeInternals.h"
+// Event functions of AgentRequestCore.
+#include "AgentRequestInternals.h"
 
 namespace dandelionslip {
 
 namespace {
 
-// Run ids of later incarnations are higher, so that an answer to a run of an earlier process never
-// matches one of this process. An incarnation is a start time in milliseconds, and no process
-// starts 4 million runs in each millisecond of its life.
-constexpr std::uint32_t kRunBits = 22;
+// Low bits of a run id, which count the runs; the incarnation stands above them. An answer to a run
+// of an earlier process must not match a run of this one, so run ids of a later incarnation have to
+// be higher. They are, because an incarnation is a start time in milliseconds, and a process does
+// not start 4 million runs per millisecond.
+constexpr std::uint32_t kRunCounterBits = 22;
 
 } // namespace
 
@@ -19,22 +20,23 @@
   , mAlternate(std::move(aAlternate))
   , mCounters(aRegistry)
   , mRecords(mSettings.mSelf, mSettings.mBuckets, mSettings.mRecords)
-  , mGuests(mSettings.mSelf, 1, mSettings.mRecords)
+  , mRelayedRecords(mSettings.mSelf, 1, mSettings.mRecords)
   , mQueue(2 * static_cast<std::size_t>(mSettings.mSlots))
-  , mNextRun((mSettings.mIncarnation << kRunBits) + 1)
+  , mNextRun((mSettings.mIncarnation << kRunCounterBits) + 1)
 {
-  // Relayed messages name the incarnation they are for, so this table misses none of them.
-  mGuests.CompleteFirst(0, 1);
+  // Relayed requests name the incarnation that they are meant for, and those for an earlier one are
+  // not run. So this table has a record of every relayed request that ran.
+  mRelayedRecords.AcquireAsFirstOwner(0, 1);
 }
 
-HomeJob* AgentRequestCore::Internals::FindJob(std::uint64_t aToken)
+RequestJob* AgentRequestCore::Internals::FindJob(std::uint64_t aToken)
 {
   const auto found = mJobs.find(aToken);
   return found == mJobs.end() ? nullptr : &found->second;
 }
 
-// Jobs end while they are visited, so visits go through a copy of the keys.
-std::vector<std::uint64_t> AgentRequestCore::Internals::Tokens() const
+// Returns a copy of the keys of mJobs, for loops that end jobs.
+std::vector<std::uint64_t> AgentRequestCore::Internals::JobTokens() const
 {
   std::vector<std::uint64_t> tokens;
   tokens.reserve(mJobs.size());
@@ -62,24 +64,24 @@
 
 AgentRequestActions AgentRequestCore::OnCancel(ReplyHandle aHandle, const RequestTime& /*aTime*/)
 {
-  mInternals->Withdraw(aHandle);
+  mInternals->Cancel(aHandle);
   return mInternals->TakeActions();
 }
 
 AgentRequestActions AgentRequestCore::OnUpstreamAnswer(RunId aRun, const ReceivedAnswer& aAnswer,
                                                        const RequestTime& aTime)
 {
-  if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
-    const bool whole = aAnswer.IsWhole();
-    const RunResult cut = job->mCancelSent ? RunResult::Cancelled : RunResult::Failed;
-    mInternals->ReleaseSlot(*job, whole ? RunResult::Succeeded : cut, aTime);
-    if (whole) {
+  if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
+    const bool complete = aAnswer.IsComplete();
+    const RunResult truncated = job->mCancelSent ? RunResult::Cancelled : RunResult::Failed;
+    mInternals->ReleaseSlot(*job, complete ? RunResult::Succeeded : truncated, aTime);
+    if (complete) {
       mInternals->EndAnswered(*job, aAnswer.mAnswer);
     } else {
-      mInternals->mCounters.CountDrop(RequestDrop::CutShort);
+      mInternals->mCounters.CountDrop(RequestDrop::Truncated);
       mInternals->EndUnknown(*job);
     }
-    mInternals->PumpQueue(aTime);
+    mInternals->StartQueued(aTime);
   }
   return mInternals->TakeActions();
 }
@@ -87,25 +89,25 @@
 AgentRequestActions AgentRequestCore::OnUpstreamShed(RunId aRun, const Refusal& aRefusal,
                                                      const RequestTime& aTime)
 {
-  if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
+  if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     mInternals->ReleaseSlot(*job, RunResult::Shed, aTime);
     if (job->mWaiters.empty()) {
       mInternals->EndRefused(*job, aRefusal);
     } else {
       mInternals->RelayOrRefuse(*job, aRefusal, aTime);
     }
-    mInternals->PumpQueue(aTime);
+    mInternals->StartQueued(aTime);
   }
   return mInternals->TakeActions();
 }
 
 AgentRequestActions AgentRequestCore::OnUpstreamFailed(RunId aRun, const RequestTime& aTime)
 {
-  if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
+  if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::Running)) {
     mInternals->ReleaseSlot(*job, job->mCancelSent ? RunResult::Cancelled : RunResult::Failed,
                             aTime);
     mInternals->EndUnknown(*job);
-    mInternals->PumpQueue(aTime);
+    mInternals->StartQueued(aTime);
   }
   return mInternals->TakeActions();
 }
@@ -115,17 +117,17 @@
                                                         const ReceivedAnswer& aReceived,
                                                         const RequestTime& /*aTime*/)
 {
-  HomeJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate);
+  RequestJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate);
   if (job == nullptr) {
     return mInternals->TakeActions();
   }
   const bool answered = aOutcome == RequestOutcome::Answered;
-  if (answered && aReceived.IsWhole()) {
+  if (answered && aReceived.IsComplete()) {
     mInternals->EndAnswered(*job, aReceived.mAnswer);
     return mInternals->TakeActions();
   }
   if (answered) {
-    mInternals->mCounters.CountDrop(RequestDrop::CutShort);
+    mInternals->mCounters.CountDrop(RequestDrop::Truncated);
   }
   if (aOutcome == RequestOutcome::NotRun || aOutcome == RequestOutcome::Cancelled) {
     mInternals->EndRefused(*job, aRefusal);
@@ -138,7 +140,7 @@
 AgentRequestActions AgentRequestCore::OnAlternateLinkFailed(RunId aRun, bool aSent,
                                                             const RequestTime& /*aTime*/)
 {
-  if (HomeJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate)) {
+  if (RequestJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate)) {
     if (aSent) {
       mInternals->EndUnknown(*job);
     } else {
@@ -152,37 +154,37 @@
 {
   mInternals->mLeaseValid = aValid;
   if (!aValid) {
-    mInternals->RefuseQueuedRecorded({RefusalReason::NoControl, Milliseconds(0)});
+    mInternals->RefuseQueuedNonIdempotent({RefusalReason::NoControl, Milliseconds(0)});
   }
-  mInternals->PumpQueue(aTime);
+  mInternals->StartQueued(aTime);
   return mInternals->TakeActions();
 }
 
 AgentRequestActions AgentRequestCore::OnPlannedStop(const RequestTime& aTime)
 {
   mInternals->mStopping = true;
-  mInternals->PumpQueue(aTime);
+  mInternals->StartQueued(aTime);
   return mInternals->TakeActions();
 }
 
 AgentRequestActions AgentRequestCore::OnTick(const RequestTime& aTime)
 {
-  mInternals->PumpQueue(aTime);
+  mInternals->StartQueued(aTime);
   mInternals->EndOverdueWaiters(aTime);
-  mInternals->EndOverdueHeld(aTime);
+  mInternals->EndOverdueDeferred(aTime);
   mInternals->mRecords.Expire(aTime.mWallMs);
-  mInternals->mGuests.Expire(aTime.mWallMs);
+  mInternals->mRelayedRecords.Expire(aTime.mWallMs);
   return mInternals->TakeActions();
 }
 
 bool AgentRequestCore::Active() const
 {
-  return !mInternals->mJobs.empty() || !mInternals->mHeld.empty();
+  return !mInternals->mJobs.empty() || !mInternals->mDeferred.empty();
 }
 
 std::size_t AgentRequestCore::Running() const
 {
-  return mInternals->mRunning;
+  return mInternals->mRunningCount;
 }
 
 std::size_t AgentRequestCore::Queued() const
--- a/lib/Request/HomeRuns.cpp
+++ b/lib/Request/AgentRequestRuns.cpp
@@ -1,5 +1,5 @@
-// Starting requests at the upstream, in the queue or at the alternate.
-#include "HomeInternals.h"
+// Runs requests at the upstream, queues them, or relays them to the alternate agent.
+#include "AgentRequestInternals.h"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 
 namespace {
 
-Milliseconds RemainingFor(const HomeJob& aJob, const RequestTime& aTime, Milliseconds aHop)
+Milliseconds RemainingFor(const RequestJob& aJob, const RequestTime& aTime, Milliseconds aHop)
 {
   const auto left = std::chrono::floor<Milliseconds>(aJob.mDeadline - aTime.mNow) - aHop;
   return std::max(left, Milliseconds(1));
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void AgentRequestCore::Internals::Dispatch(HomeJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::Dispatch(RequestJob& aJob, const RequestTime& aTime)
 {
   if (aJob.mRequest.mRelayed && aJob.IsRecorded() && !mLeaseValid) {
     EndRefused(aJob, {RefusalReason::NoControl, Milliseconds(0)});
@@ -27,7 +27,7 @@
   }
   if (mQueue.Size() > 0 && !aJob.mRequest.mRelayed) {
     Enqueue(aJob, aTime);
-    PumpQueue(aTime);
+    StartQueued(aTime);
     return;
   }
   const auto refusal = mSlots.TryStart(aTime.mNow);
@@ -35,7 +35,7 @@
     StartRun(aJob, aTime);
     return;
   }
-  // A relayed request does not wait here: its home agent chose this one to avoid waiting.
+  // A relayed request is not queued: its owner relayed it so that it does not have to wait.
   if (aJob.mRequest.mRelayed) {
     EndRefused(aJob, *refusal);
     return;
@@ -43,11 +43,11 @@
   Enqueue(aJob, aTime);
 }
 
-void AgentRequestCore::Internals::Enqueue(HomeJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::Enqueue(RequestJob& aJob, const RequestTime& aTime)
 {
   const std::uint64_t token = aJob.mToken;
   const QueueEntry entry{token, aJob.mRequest.mCaller, aJob.mRequest.mClass, aJob.mDeadline};
-  const QueueOffer offer = mQueue.Offer(entry, aTime.mNow, mRunning);
+  const QueueOffer offer = mQueue.Offer(entry, aTime.mNow, mRunningCount);
   if (offer.mRefusal) {
     RelayOrRefuse(aJob, *offer.mRefusal, aTime);
     return;
@@ -60,20 +60,21 @@
   }
 }
 
-void AgentRequestCore::Internals::StartRun(HomeJob& aJob, const RequestTime& aTime)
+void AgentRequestCore::Internals::StartRun(RequestJob& aJob, const RequestTime& aTime)
 {
   aJob.mPhase = JobPhase::Running;
   aJob.mStarted = aTime.mNow;
   aJob.mRun = mNextRun++;
-  mRuns[aJob.mRun] = aJob.mToken;
-  ++mRunning;
+  mJobByRun[aJob.mRun] = aJob.mToken;
+  ++mRunningCount;
   mActions.emplace_back(RunAtUpstream{aJob.mRun, aJob.mId, aJob.mRequest.mAttempt,
                                       RemainingFor(aJob, aTime, mSettings.mHopAllowance),
                                       aJob.mRequest.mBody});
 }
 
-// Passes a request that cannot run here to the alternate, once; the record stays here.
-void AgentRequestCore::Internals::RelayOrRefuse(HomeJob& aJob, const Refusal& aRefusal,
+// Relays a request that cannot run here to the alternate agent, but only once; this agent keeps the
+// record. Refuses the request when it cannot be relayed.
+void AgentRequestCore::Internals::RelayOrRefuse(RequestJob& aJob, const Refusal& aRefusal,
                                                 const RequestTime& aTime)
 {
   const bool allowed = !aJob.mRequest.mRelayed && !aJob.mTriedAlternate &&
@@ -87,7 +88,7 @@
   aJob.mPhase = JobPhase::AtAlternate;
   aJob.mTriedAlternate = true;
   aJob.mRun = mNextRun++;
-  mRuns[aJob.mRun] = aJob.mToken;
+  mJobByRun[aJob.mRun] = aJob.mToken;
   const ReceivedRequest& request = aJob.mRequest;
   mActions.emplace_back(RelayToAlternate{aJob.mRun, alternate->mName, alternate->mIncarnation,
                                          aJob.mId, request.mAttempt, request.mIdempotent,
@@ -95,13 +96,13 @@
                                          request.mCaller, request.mClass, request.mBody});
 }
 
-void AgentRequestCore::Internals::PumpQueue(const RequestTime& aTime)
+void AgentRequestCore::Internals::StartQueued(const RequestTime& aTime)
 {
   for (const QueueEntry& overdue : mQueue.TakeOverdue(aTime.mNow)) {
     EndRefused(mJobs.at(overdue.mToken), {RefusalReason::Deadline, Milliseconds(0)});
   }
   while (const QueueEntry* front = mQueue.Front()) {
-    HomeJob& job = mJobs.at(front->mToken);
+    RequestJob& job = mJobs.at(front->mToken);
     if (mSlots.TryStart(aTime.mNow)) {
       return;
     }
@@ -110,26 +111,27 @@
   }
 }
 
-// Ends the bookkeeping of a run; null when no run of this phase has the id.
-HomeJob* AgentRequestCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
+// Returns the job of a run that ended, and forgets the run. Null when no job in this phase has the
+// run.
+RequestJob* AgentRequestCore::Internals::TakeRun(RunId aRun, JobPhase aPhase)
 {
-  const auto found = mRuns.find(aRun);
-  HomeJob* job = found == mRuns.end() ? nullptr : FindJob(found->second);
+  const auto found = mJobByRun.find(aRun);
+  RequestJob* job = found == mJobByRun.end() ? nullptr : FindJob(found->second);
   if (job == nullptr || job->mPhase != aPhase) {
     mCounters.CountDrop(RequestDrop::UnmatchedAnswer);
     return nullptr;
   }
-  mRuns.erase(found);
+  mJobByRun.erase(found);
   if (job->mWaiters.empty()) {
     mCounters.CountDrop(RequestDrop::LateAnswer);
   }
   return job;
 }
 
-void AgentRequestCore::Internals::ReleaseSlot(const HomeJob& aJob, RunResult aResult,
+void AgentRequestCore::Internals::ReleaseSlot(const RequestJob& aJob, RunResult aResult,
                                               const RequestTime& aTime)
 {
-  --mRunning;
+  --mRunningCount;
   const RuntimeClock::duration latency = aTime.mNow - aJob.mStarted;
   if (aResult == RunResult::Succeeded) {
     mQueue.ObserveRunTime(latency);
@@ -137,8 +139,8 @@
   mSlots.Finished(aTime.mNow, latency, aResult);
 }
 
-// Asks for the end of a run that nobody waits for; the record stays pending until the run ends.
-void AgentRequestCore::Internals::CancelJob(HomeJob& aJob)
+// Cancels the run of a job without waiters. The record stays pending until the run ends.
+void AgentRequestCore::Internals::CancelJob(RequestJob& aJob)
 {
   if (!aJob.mCancelSent) {
     aJob.mCancelSent = true;
--- a/lib/Request/RelayAttempts.cpp
+++ b/lib/Request/BalancerRequestAttempts.cpp
@@ -1,5 +1,5 @@
-// Attempts of a request: choice of the agent, matching of answers, retries.
-#include "RelayInternals.h"
+// Attempts of a request: choice of the agent, handling of replies, retries.
+#include "BalancerRequestInternals.h"
 
 #include <algorithm>
 
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Whether a later attempt of a refused request can succeed within its deadline.
-bool IsPassing(RefusalReason aReason)
+// Whether a request that was refused for this reason can succeed in a later attempt.
+bool IsTransient(RefusalReason aReason)
 {
   switch (aReason) {
     case RefusalReason::NoUpstream:
@@ -27,7 +27,7 @@
 
 } // namespace
 
-void BalancerRequestCore::Internals::Send(RelayExchange& aExchange, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Send(CallerExchange& aExchange, const RequestTime& aTime)
 {
   const auto remaining =
     std::chrono::floor<Milliseconds>(aExchange.mDeadline - aTime.mNow) - mSettings.mHopAllowance;
@@ -47,18 +47,18 @@
   ++aExchange.mTries;
   aExchange.mInFlight = true;
   aExchange.mMayHaveRunBefore = std::exchange(aExchange.mMayHaveRun, true);
-  ++mInFlight[*agent];
-  WakeAt(aExchange, aExchange.mDeadline);
+  ++mAttemptsInFlight[*agent];
+  SetTimer(aExchange, aExchange.mDeadline);
   mActions.emplace_back(SendToAgent{*agent, aExchange.mKey, request.mService, request.mIdempotent,
                                     aExchange.mMayHaveRunBefore, remaining, request.mCaller,
                                     request.mClass, request.mBody});
 }
 
 std::optional<std::string> BalancerRequestCore::Internals::ChooseAgent(
-  const RelayExchange& aExchange)
+  const CallerExchange& aExchange)
 {
   const ServiceId service = aExchange.mRequest.mService;
-  if (!aExchange.mRequest.mIdempotent || (aExchange.mFixedHome && aExchange.mTries == 0)) {
+  if (!aExchange.mRequest.mIdempotent || (aExchange.mTryOwnerFirst && aExchange.mTries == 0)) {
     return mTargets.OwnerOf(service, aExchange.mId);
   }
   std::vector<std::string> candidates = mTargets.CandidatesOf(service);
@@ -68,10 +68,12 @@
   if (candidates.empty()) {
     return {};
   }
-  return BetterOfTwo(candidates);
+  return ChooseLessLoaded(candidates);
 }
 
-std::string BalancerRequestCore::Internals::BetterOfTwo(const std::vector<std::string>& aCandidates)
+// Of two random candidates, returns the one with fewer attempts in flight.
+std::string BalancerRequestCore::Internals::ChooseLessLoaded(
+  const std::vector<std::string>& aCandidates)
 {
   const std::size_t first = mRandom.Below(aCandidates.size());
   if (aCandidates.size() == 1) {
@@ -79,15 +81,17 @@
   }
   const std::size_t second =
     (first + 1 + mRandom.Below(aCandidates.size() - 1)) % aCandidates.size();
-  const bool firstBetter = mInFlight[aCandidates[first]] <= mInFlight[aCandidates[second]];
+  const bool firstBetter =
+    mAttemptsInFlight[aCandidates[first]] <= mAttemptsInFlight[aCandidates[second]];
   return aCandidates[firstBetter ? first : second];
 }
 
-// Ends the newest attempt of a request; null when the key is not that of an attempt in flight.
-RelayExchange* BalancerRequestCore::Internals::TakeAttempt(const AttemptKey& aKey)
+// Returns the exchange whose attempt in flight has the key, and ends the attempt. Null when there
+// is none.
+CallerExchange* BalancerRequestCore::Internals::TakeAttempt(const AttemptKey& aKey)
 {
   const auto found = mByCallerAttempt.find({aKey.mId, aKey.mAttempt >> kTryBits});
-  RelayExchange* exchange =
+  CallerExchange* exchange =
     found == mByCallerAttempt.end() ? nullptr : &mExchanges.at(found->second);
   if (exchange == nullptr || !exchange->mInFlight || exchange->mKey != aKey) {
     const bool givenUp = exchange != nullptr && aKey.mAttempt < exchange->mKey.mAttempt;
@@ -95,38 +99,38 @@
     return nullptr;
   }
   exchange->mInFlight = false;
-  --mInFlight[exchange->mAgent];
+  --mAttemptsInFlight[exchange->mAgent];
   return exchange;
 }
 
-void BalancerRequestCore::Internals::HandleAnswered(RelayExchange& aExchange,
+void BalancerRequestCore::Internals::HandleAnswered(CallerExchange& aExchange,
                                                     ReceivedAnswer aReceived,
                                                     const RequestTime& aTime)
 {
-  if (aReceived.IsWhole()) {
+  if (aReceived.IsComplete()) {
     mBudget.OnSuccess(aExchange.mRequest.mService, aExchange.mRequest.mCaller, aTime.mNow);
-    Finish(aExchange, AnsweredWith(std::move(aReceived.mAnswer)));
+    Finish(aExchange, AnsweredReply(std::move(aReceived.mAnswer)));
     return;
   }
-  mCounters.CountDrop(RequestDrop::CutShort);
+  mCounters.CountDrop(RequestDrop::Truncated);
   Retry(aExchange, RetryReason::LinkLost, Milliseconds(0), aTime);
 }
 
-void BalancerRequestCore::Internals::HandleNotRun(RelayExchange& aExchange, const Refusal& aRefusal,
-                                                  const RequestTime& aTime)
+void BalancerRequestCore::Internals::HandleNotRun(CallerExchange& aExchange,
+                                                  const Refusal& aRefusal, const RequestTime& aTime)
 {
-  // The home agent's record covers all lower attempts. Attempts of an idempotent request have no
-  // record, so the refusal says nothing about earlier ones.
+  // A refusal by the owner of the bucket covers all lower attempts, because its record does.
+  // Idempotent requests have no record, so a refusal says nothing about their earlier attempts.
   aExchange.mMayHaveRun = aExchange.mRequest.mIdempotent && aExchange.mMayHaveRunBefore;
   aExchange.mLastRefusal = aRefusal;
-  if (!IsPassing(aRefusal.mReason)) {
+  if (!IsTransient(aRefusal.mReason)) {
     FinishWithoutAnswer(aExchange);
     return;
   }
   Retry(aExchange, RetryReason::Refused, aRefusal.mRetryAfter, aTime);
 }
 
-void BalancerRequestCore::Internals::HandleUnknown(RelayExchange& aExchange,
+void BalancerRequestCore::Internals::HandleUnknown(CallerExchange& aExchange,
                                                    const std::optional<Refusal>& aRefusal,
                                                    const RequestTime& aTime)
 {
@@ -138,7 +142,7 @@
   Retry(aExchange, RetryReason::Failed, Milliseconds(0), aTime);
 }
 
-void BalancerRequestCore::Internals::Retry(RelayExchange& aExchange, RetryReason aReason,
+void BalancerRequestCore::Internals::Retry(CallerExchange& aExchange, RetryReason aReason,
                                            Milliseconds aAtLeast, const RequestTime& aTime)
 {
   if (aExchange.mCancelled) {
@@ -146,28 +150,30 @@
     return;
   }
   if (aExchange.mTries >= mSettings.mMaxTries) {
-    Deny(aExchange, RetryDenial::Tries);
+    DenyRetry(aExchange, RetryDenial::Tries);
     return;
   }
   const RuntimeClock::duration delay = std::max<RuntimeClock::duration>(
     aAtLeast, FullJitterDelay(aExchange.mTries - 1, mSettings.mBackoff, mRandom));
   if (aTime.mNow + delay + mSettings.mHopAllowance >= aExchange.mDeadline) {
-    Deny(aExchange, RetryDenial::Deadline);
+    DenyRetry(aExchange, RetryDenial::Deadline);
     return;
   }
-  // Going on to the right agent adds no load to an upstream and is not charged.
+  // An attempt at an agent that does not own the bucket puts no load on an upstream, so the retry
+  // takes nothing from the budget.
   const CallerRequest& request = aExchange.mRequest;
   if (aReason != RetryReason::NotOwner &&
       !mBudget.TryRetry(request.mService, request.mCaller, aTime.mNow)) {
-    Deny(aExchange, RetryDenial::Budget);
+    DenyRetry(aExchange, RetryDenial::Budget);
     return;
   }
   mCounters.CountRetry(aReason);
-  // A delay of nothing still ends the present step, so that a tick makes one attempt at most.
-  WakeAt(aExchange, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
+  // Even without a delay the retry waits for a later tick, so that one tick makes at most one
+  // attempt for a request.
+  SetTimer(aExchange, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
 }
 
-void BalancerRequestCore::Internals::Deny(RelayExchange& aExchange, RetryDenial aReason)
+void BalancerRequestCore::Internals::DenyRetry(CallerExchange& aExchange, RetryDenial aReason)
 {
   mCounters.CountDenial(aReason);
   FinishWithoutAnswer(aExchange);
--- a/lib/Request/BalancerRequestCore.cpp
+++ b/lib/Request/BalancerRequestCore.cpp
@@ -1,5 +1,5 @@
-// Entry points of BalancerRequestCore; how requests begin and end.
-#include "RelayInternals.h"
+// Event functions of BalancerRequestCore, and start and end of requests.
+#include "BalancerRequestInternals.h"
 
 #include <algorithm>
 
@@ -35,19 +35,19 @@
   if (hasId && mByCallerAttempt.contains({*id, aRequest.mCallerAttempt})) {
     mCounters.CountDrop(RequestDrop::DuplicateAttempt);
     if (!aRequest.mIdempotent) {
-      Reply(aRequest.mHandle, *id, UnknownOutcome());
+      Reply(aRequest.mHandle, *id, UnknownReply());
       return;
     }
     id.reset();
   }
   const RequestId used = id ? *id : RequestId::Make(aTime.mWallMs, mRandom);
   const std::uint64_t token = mNextToken++;
-  RelayExchange& exchange = mExchanges[token];
+  CallerExchange& exchange = mExchanges[token];
   exchange.mToken = token;
   exchange.mId = used;
-  exchange.mFixedHome = !aRequest.mIdempotent || hasId;
+  exchange.mTryOwnerFirst = !aRequest.mIdempotent || hasId;
   exchange.mDeadline = aTime.mNow + aRequest.mRemaining;
-  // An earlier attempt of the caller, perhaps through another balancer, may still run.
+  // An earlier attempt of the caller, perhaps through another balancer, may run or have run.
   exchange.mMayHaveRun = hasId && aRequest.mCallerAttempt > 1;
   mByHandle[aRequest.mHandle] = token;
   mByCallerAttempt[{used, aRequest.mCallerAttempt}] = token;
@@ -55,7 +55,7 @@
   Send(exchange, aTime);
 }
 
-void BalancerRequestCore::Internals::Withdraw(RelayExchange& aExchange)
+void BalancerRequestCore::Internals::Cancel(CallerExchange& aExchange)
 {
   aExchange.mCancelled = true;
   if (!aExchange.mInFlight) {
@@ -65,29 +65,29 @@
   mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
 }
 
-void BalancerRequestCore::Internals::Finish(RelayExchange& aExchange, RequestReply aAnswer)
+void BalancerRequestCore::Internals::Finish(CallerExchange& aExchange, RequestReply aReply)
 {
   if (aExchange.mInFlight) {
-    --mInFlight[aExchange.mAgent];
+    --mAttemptsInFlight[aExchange.mAgent];
   }
-  mWakeUps.erase({aExchange.mWakeAt, aExchange.mToken});
+  mTimers.erase({aExchange.mTimerAt, aExchange.mToken});
   mByHandle.erase(aExchange.mRequest.mHandle);
   mByCallerAttempt.erase({aExchange.mId, aExchange.mRequest.mCallerAttempt});
-  Reply(aExchange.mRequest.mHandle, aExchange.mId, std::move(aAnswer));
+  Reply(aExchange.mRequest.mHandle, aExchange.mId, std::move(aReply));
   mExchanges.erase(aExchange.mToken);
 }
 
-// The most that can be said truthfully when no answer was received.
-void BalancerRequestCore::Internals::FinishWithoutAnswer(RelayExchange& aExchange)
+// Replies "unknown" when an attempt may have run, otherwise "cancelled" or "not run".
+void BalancerRequestCore::Internals::FinishWithoutAnswer(CallerExchange& aExchange)
 {
   if (aExchange.mMayHaveRun) {
-    RequestReply answer = UnknownOutcome(aExchange.mLastRefusal);
-    answer.mDigest = aExchange.mDigest;
-    Finish(aExchange, std::move(answer));
+    RequestReply reply = UnknownReply(aExchange.mLastRefusal);
+    reply.mDigest = aExchange.mDigest;
+    Finish(aExchange, std::move(reply));
     return;
   }
   if (aExchange.mCancelled) {
-    Finish(aExchange, CancelledOutcome());
+    Finish(aExchange, CancelledReply());
     return;
   }
   const Refusal refusal =
@@ -96,7 +96,7 @@
   Finish(aExchange, NotRunReply(refusal));
 }
 
-void BalancerRequestCore::Internals::EndOverdue(RelayExchange& aExchange)
+void BalancerRequestCore::Internals::EndOverdue(CallerExchange& aExchange)
 {
   if (aExchange.mInFlight) {
     mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
@@ -108,23 +108,23 @@
 }
 
 void BalancerRequestCore::Internals::Reply(ReplyHandle aHandle, const RequestId& aId,
-                                           RequestReply aAnswer)
+                                           RequestReply aReply)
 {
-  mCounters.CountOutcome(aAnswer.mOutcome);
-  mActions.emplace_back(ReplyToCaller{aHandle, aId, std::move(aAnswer)});
+  mCounters.CountOutcome(aReply.mOutcome);
+  mActions.emplace_back(ReplyToCaller{aHandle, aId, std::move(aReply)});
 }
 
-RelayExchange* BalancerRequestCore::Internals::FindByHandle(ReplyHandle aHandle)
+CallerExchange* BalancerRequestCore::Internals::FindByHandle(ReplyHandle aHandle)
 {
   const auto found = mByHandle.find(aHandle);
   return found == mByHandle.end() ? nullptr : &mExchanges.at(found->second);
 }
 
-void BalancerRequestCore::Internals::WakeAt(RelayExchange& aExchange, TimePoint aWhen)
+void BalancerRequestCore::Internals::SetTimer(CallerExchange& aExchange, TimePoint aWhen)
 {
-  mWakeUps.erase({aExchange.mWakeAt, aExchange.mToken});
-  aExchange.mWakeAt = aWhen;
-  mWakeUps.emplace(aWhen, aExchange.mToken);
+  mTimers.erase({aExchange.mTimerAt, aExchange.mToken});
+  aExchange.mTimerAt = aWhen;
+  mTimers.emplace(aWhen, aExchange.mToken);
 }
 
 BalancerRequestCore::BalancerRequestCore(BalancerRequestSettings aSettings,
@@ -146,9 +146,9 @@
 BalancerRequestActions BalancerRequestCore::OnCallerCancelled(ReplyHandle aHandle,
                                                               const RequestTime& /*aTime*/)
 {
-  if (RelayExchange* exchange = mInternals->FindByHandle(aHandle);
+  if (CallerExchange* exchange = mInternals->FindByHandle(aHandle);
       exchange != nullptr && !exchange->mCancelled) {
-    mInternals->Withdraw(*exchange);
+    mInternals->Cancel(*exchange);
   }
   return mInternals->TakeActions();
 }
@@ -159,7 +159,7 @@
                                                           ReceivedAnswer aReceived,
                                                           const RequestTime& aTime)
 {
-  RelayExchange* exchange = mInternals->TakeAttempt(aKey);
+  CallerExchange* exchange = mInternals->TakeAttempt(aKey);
   if (exchange == nullptr) {
     return mInternals->TakeActions();
   }
@@ -186,7 +186,7 @@
 BalancerRequestActions BalancerRequestCore::OnAgentLinkFailed(const AttemptKey& aKey, bool aSent,
                                                               const RequestTime& aTime)
 {
-  if (RelayExchange* exchange = mInternals->TakeAttempt(aKey)) {
+  if (CallerExchange* exchange = mInternals->TakeAttempt(aKey)) {
     if (!aSent) {
       exchange->mMayHaveRun = exchange->mMayHaveRunBefore;
     }
@@ -198,10 +198,10 @@
 
 BalancerRequestActions BalancerRequestCore::OnTick(const RequestTime& aTime)
 {
-  // Each step ends the exchange or moves its wake-up into the future.
-  auto& wakeUps = mInternals->mWakeUps;
-  while (!wakeUps.empty() && wakeUps.begin()->first <= aTime.mNow) {
-    RelayExchange& exchange = mInternals->mExchanges.at(wakeUps.begin()->second);
+  // Each pass ends the exchange or sets its timer to a later time.
+  auto& timers = mInternals->mTimers;
+  while (!timers.empty() && timers.begin()->first <= aTime.mNow) {
+    CallerExchange& exchange = mInternals->mExchanges.at(timers.begin()->second);
     if (aTime.mNow >= exchange.mDeadline) {
       mInternals->EndOverdue(exchange);
     } else {
--- a/lib/Request/RecordHandoff.cpp
+++ b/lib/Request/RecordTransfer.cpp
@@ -1,4 +1,4 @@
-// Ownership of buckets and the transfer of their records.
+// States of buckets, and the transfer of their records to other agents and other processes.
 #include "RecordWire.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
   return EnumNames(aState)[static_cast<std::size_t>(aState)];
 }
 
-// Orders exported records, so that equal tables give equal messages.
+// Sorts exported records, so that tables with the same records give the same message.
 void SortById(std::vector<RecordWire>& aRecords)
 {
   std::sort(
@@ -50,7 +50,7 @@
   }
 }
 
-void RequestRecords::CompleteFirst(std::uint32_t aBucket, std::uint32_t aGeneration)
+void RequestRecords::AcquireAsFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration)
 {
   Bucket& bucket = mBucketStates[aBucket];
   if (aGeneration > bucket.mGeneration) {
@@ -58,7 +58,7 @@
   }
 }
 
-void RequestRecords::CompleteAfterLoss(std::uint32_t aBucket, std::int64_t aWallMs)
+void RequestRecords::CompleteWithoutTransfer(std::uint32_t aBucket, std::int64_t aWallMs)
 {
   Bucket& bucket = mBucketStates[aBucket];
   if (bucket.mState == RecordBucketState::Incomplete) {
@@ -67,7 +67,7 @@
   }
 }
 
-void RequestRecords::Drop(std::uint32_t aBucket, std::uint32_t aGeneration)
+void RequestRecords::MarkTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration)
 {
   Bucket& bucket = mBucketStates[aBucket];
   if (aGeneration > bucket.mGeneration) {
@@ -84,11 +84,11 @@
                   std::to_string(mBuckets));
   }
   const Bucket& bucket = mBucketStates[aBucket];
-  const bool first =
+  const bool canFreeze =
     bucket.mState == RecordBucketState::Complete && aGeneration > bucket.mGeneration;
-  const bool again = bucket.mState == RecordBucketState::Frozen &&
-                     aGeneration == bucket.mGeneration && aNewOwner == bucket.mNewOwner;
-  if (first || again) {
+  const bool isRepeated = bucket.mState == RecordBucketState::Frozen &&
+                          aGeneration == bucket.mGeneration && aNewOwner == bucket.mNewOwner;
+  if (canFreeze || isRepeated) {
     return Ok();
   }
   return Fail(ErrorCode::Unavailable, "records.freeze", aNewOwner,
@@ -113,7 +113,8 @@
     bucket.mState = RecordBucketState::Frozen;
     bucket.mGeneration = aGeneration;
     bucket.mNewOwner = aNewOwner;
-    // Records older than the cut-off are gone here, and the clock of the new owner may be behind.
+    // Records below the cut-off have expired here. The wall clock of the new owner may be behind,
+    // so that it would take their ids for new without this bound.
     bucket.mCompleteSince = std::max(bucket.mCompleteSince, mCutoffMs);
     table.mBuckets.push_back({.mBucket = index,
                               .mGeneration = aGeneration,
@@ -129,10 +130,10 @@
   return ToJson(table);
 }
 
-Result<std::vector<std::uint32_t>> RequestRecords::Import(const Json& aHandoff,
+Result<std::vector<std::uint32_t>> RequestRecords::Import(const Json& aTransfer,
                                                           std::string_view aPeer)
 {
-  const auto table = FromJson<TableWire>(aHandoff, aPeer);
+  const auto table = FromJson<TableWire>(aTransfer, aPeer);
   if (!table) {
     return table.as_failure();
   }
@@ -144,7 +145,7 @@
   for (const BucketWire& wire : table.value().mBuckets) {
     if (wire.mBucket >= mBuckets || wire.mNewOwner != mSelf) {
       return Fail(ErrorCode::InvalidInput, "records.import", std::string(aPeer),
-                  "bucket " + std::to_string(wire.mBucket) + " is not handed to this agent");
+                  "bucket " + std::to_string(wire.mBucket) + " is not transferred to this agent");
     }
     const Bucket& bucket = mBucketStates[wire.mBucket];
     if (bucket.mState == RecordBucketState::Incomplete && bucket.mGeneration == wire.mGeneration) {
--- a/lib/Request/RequestOutcome.cpp
+++ b/lib/Request/RequestOutcome.cpp
@@ -1,4 +1,4 @@
-// Names and builders of request outcomes.
+// Names of outcomes and builders of replies.
 #include "dandelionslip/Request/RequestOutcome.h"
 
 #include <array>
@@ -22,7 +22,7 @@
   return EnumNames(aOutcome)[static_cast<std::size_t>(aOutcome)].mName;
 }
 
-RequestReply AnsweredWith(UpstreamAnswer aAnswer)
+RequestReply AnsweredReply(UpstreamAnswer aAnswer)
 {
   return {RequestOutcome::Answered, std::move(aAnswer), {}, {}};
 }
@@ -32,12 +32,12 @@
   return {RequestOutcome::NotRun, {}, aRefusal, {}};
 }
 
-RequestReply UnknownOutcome(std::optional<Refusal> aRefusal)
+RequestReply UnknownReply(std::optional<Refusal> aRefusal)
 {
   return {RequestOutcome::Unknown, {}, aRefusal, {}};
 }
 
-RequestReply CancelledOutcome()
+RequestReply CancelledReply()
 {
   return {RequestOutcome::Cancelled, {}, {}, {}};
 }
--- a/lib/Request/RetryBudget.cpp
+++ b/lib/Request/RetryBudget.cpp
@@ -1,4 +1,4 @@
-// Token buckets for retries.
+// Token buckets that limit retries.
 #include "dandelionslip/Request/RetryBudget.h"
 
 #include <algorithm>
@@ -19,9 +19,9 @@
 bool RetryBudget::TryRetry(ServiceId aService, CallerKey aCaller, TimePoint aNow)
 {
   Bucket& bucket = BucketFor({aService, aCaller}, aNow);
-  // Ten additions of 0.1 give slightly less than 1.
-  constexpr double kRounding = 1e-9;
-  if (bucket.mTokens < 1 - kRounding) {
+  // Ten additions of 0.1 in floating point give slightly less than 1.
+  constexpr double kTolerance = 1e-9;
+  if (bucket.mTokens < 1 - kTolerance) {
     return false;
   }
   bucket.mTokens = std::max(0.0, bucket.mTokens - 1);
@@ -40,19 +40,21 @@
 RetryBudget::Bucket& RetryBudget::BucketFor(const Key& aKey, TimePoint aNow)
 {
   if (const auto found = mBuckets.find(aKey); found != mBuckets.end()) {
-    mLeastRecent.splice(mLeastRecent.end(), mLeastRecent, found->second.mPlace);
+    mLeastRecentlyUsed.splice(mLeastRecentlyUsed.end(), mLeastRecentlyUsed,
+                              found->second.mPosition);
     return Refill(found->second, aNow);
   }
   if (mBuckets.size() >= mLimits.mMaxCallers) {
-    const auto oldest = mLeastRecent.empty() ? mBuckets.end() : mBuckets.find(mLeastRecent.front());
+    const auto oldest =
+      mLeastRecentlyUsed.empty() ? mBuckets.end() : mBuckets.find(mLeastRecentlyUsed.front());
     if (oldest == mBuckets.end() || aNow - oldest->second.mUpdated < mLimits.mIdle) {
       return Refill(mShared.try_emplace(aKey.first, Bucket{1, aNow, {}}).first->second, aNow);
     }
-    mLeastRecent.pop_front();
+    mLeastRecentlyUsed.pop_front();
     mBuckets.erase(oldest);
   }
-  const auto place = mLeastRecent.insert(mLeastRecent.end(), aKey);
-  return mBuckets.emplace(aKey, Bucket{1, aNow, place}).first->second;
+  const auto position = mLeastRecentlyUsed.insert(mLeastRecentlyUsed.end(), aKey);
+  return mBuckets.emplace(aKey, Bucket{1, aNow, position}).first->second;
 }
 
 } // namespace dandelionslip
--- a/lib/Request/TransferredBuckets.cpp
+++ b/lib/Request/TransferredBuckets.cpp
@@ -1,4 +1,4 @@
-// Reads the bucket list of hand-off messages.
+// Reads the bucket list of transfer messages.
 #include "dandelionslip/Request/TransferredBuckets.h"
 
 #include "RecordWire.h"
@@ -7,10 +7,10 @@
 
 namespace dandelionslip {
 
-Result<std::vector<TransferredBucket>> ListTransferredBuckets(const Json& aHandoff,
+Result<std::vector<TransferredBucket>> ListTransferredBuckets(const Json& aTransfer,
                                                               std::string_view aPeer)
 {
-  const auto table = FromJson<TableWire>(aHandoff, aPeer);
+  const auto table = FromJson<TableWire>(aTransfer, aPeer);
   if (!table) {
     return table.as_failure();
   }
--- a/unittests/Request/BalancerRequestCoreTest.cpp
+++ b/unittests/Request/BalancerRequestCoreTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the balancer's request handling.
+// Tests of the request handling of a balancer.
 #include "RequestTestSupport.h"
 
 #include "dandelionslip/Request/RequestMetricNames.h"
@@ -15,25 +15,25 @@
   std::optional<std::string> OwnerOf(ServiceId /*aService*/,
                                      const RequestId& /*aId*/) const override
   {
-    return mHome;
+    return mOwner;
   }
   std::vector<std::string> CandidatesOf(ServiceId /*aService*/) const override { return mAll; }
 
-  std::optional<std::string> mHome = "u1";
+  std::optional<std::string> mOwner = "u1";
   std::vector<std::string> mAll{"u1", "u2", "u3"};
 };
 
 class BalancerRequestCoreTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(BalancerRequestCoreTest);
-  CPPUNIT_TEST(OnlyWholeMatchingAnswersAreDelivered);
-  CPPUNIT_TEST(NotRunNeedsProof);
+  CPPUNIT_TEST(OnlyCompleteMatchingAnswersAreDelivered);
+  CPPUNIT_TEST(NotRunOnlyWhenCertain);
   CPPUNIT_TEST(UnknownOutcomeIsNeverRetried);
-  CPPUNIT_TEST(LostLinkAsksTheRecordAgain);
-  CPPUNIT_TEST(DeadlineBoundsEverything);
-  CPPUNIT_TEST(CancellationIsPassedOn);
-  CPPUNIT_TEST(BadIdsAreRefused);
-  CPPUNIT_TEST(IdempotentRequestsMoveOn);
+  CPPUNIT_TEST(LostLinkIsRetriedWithTheSameId);
+  CPPUNIT_TEST(DeadlineEndsRequestsAndRetries);
+  CPPUNIT_TEST(CancellationIsForwardedToTheAgent);
+  CPPUNIT_TEST(InvalidIdsAreRefused);
+  CPPUNIT_TEST(IdempotentRequestsAreRetriedAtAnotherAgent);
   CPPUNIT_TEST(BudgetEndsRetries);
   CPPUNIT_TEST_SUITE_END();
 
@@ -72,7 +72,7 @@
                                 std::move(aReceived), At(aMs));
   }
 
-  // The attempt that follows within the next second.
+  // The attempt that the core sends when the time aMs has come.
   SendToAgent Next(std::int64_t aMs = 1001) { return Only<SendToAgent>(mCore->OnTick(At(aMs))); }
 
   static std::string Outcome(const BalancerRequestActions& aActions)
@@ -85,49 +85,52 @@
     return mRegistry->CounterFor(aName, "reason=\"" + std::string(aReason) + "\"").Value();
   }
 
-  // Guards against truncated answers and answers of another attempt or request.
-  void OnlyWholeMatchingAnswersAreDelivered()
+  // Guards against passing on a truncated answer, or one of another attempt or request.
+  void OnlyCompleteMatchingAnswersAreDelivered()
   {
     const AttemptKey key = Sent().mKey;
     const AttemptKey other = Sent().mKey;
-    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, CutShort("a")).empty());
+    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, TruncatedAnswer("a")).empty());
     const AttemptKey second = Next().mKey;
     CPPUNIT_ASSERT(second.mId == key.mId && second.mAttempt > key.mAttempt);
-    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, Whole("late")).empty());
+    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, CompleteAnswer("late")).empty());
     CPPUNIT_ASSERT(
-      Answer({key.mId, second.mAttempt + 1}, RequestOutcome::Answered, Whole("x")).empty());
-    const auto answer = Only<ReplyToCaller>(Answer(second, RequestOutcome::Answered, Whole("a")));
+      Answer({key.mId, second.mAttempt + 1}, RequestOutcome::Answered, CompleteAnswer("x"))
+        .empty());
+    const auto answer =
+      Only<ReplyToCaller>(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")));
     CPPUNIT_ASSERT(answer.mId == key.mId && answer.mReply.mAnswer.mBody == BytesOf("a"));
-    CPPUNIT_ASSERT(Answer(second, RequestOutcome::Answered, Whole("a")).empty());
+    CPPUNIT_ASSERT(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
-                         Outcome(Answer(other, RequestOutcome::Answered, Whole("b"))));
+                         Outcome(Answer(other, RequestOutcome::Answered, CompleteAnswer("b"))));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestDrops, "late_answer"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), Count(metric::kRequestDrops, "unmatched_answer"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestRetries, "link_lost"));
   }
 
-  // Guards against "not run" without the home agent's word when something may have been sent.
-  void NotRunNeedsProof()
+  // Guards against a wrong "not run": when an attempt may have been sent, only the owner's reply
+  // proves that it did not run.
+  void NotRunOnlyWhenCertain()
   {
     const AttemptKey refused = Sent().mKey;
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Answer(refused, RequestOutcome::NotRun, {},
                                                                 RefusalReason::RecordsFull)));
-    mTargets.mHome.reset();
+    mTargets.mOwner.reset();
     CPPUNIT_ASSERT(Send().empty());
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(mCore->OnTick(At(2000))));
-    mTargets.mHome = "u1";
+    mTargets.mOwner = "u1";
     const AttemptKey unsent = Only<SendToAgent>(Send(false, 1, {}, 2001)).mKey;
     mCore->OnAgentLinkFailed(unsent, false, At(2002));
     const AttemptKey lost = Next(2500).mKey;
     mCore->OnAgentLinkFailed(lost, true, At(2501));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(mCore->OnTick(At(4001))));
-    // An earlier attempt of the caller may run although this balancer never sent one.
-    mTargets.mHome.reset();
+    // An earlier attempt of the caller may have run although this balancer never sent one.
+    mTargets.mOwner.reset();
     CPPUNIT_ASSERT(Send(false, 2, "01ba60d3-4f94-7fe5-a827-585279c8b01e", 5000).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(mCore->OnTick(At(7000))));
   }
 
-  // Guards against a second run by a retry after an outcome that the home agent calls unknown.
+  // Guards against a second run: the owner's reply "unknown" must not be followed by a retry.
   void UnknownOutcomeIsNeverRetried()
   {
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
@@ -135,12 +138,12 @@
     CPPUNIT_ASSERT(!mCore->Active());
   }
 
-  // Guards against giving up, or changing the id, when only the link to the home agent failed.
-  void LostLinkAsksTheRecordAgain()
+  // Guards against giving up, or changing the id, when only the link to the owner failed.
+  void LostLinkIsRetriedWithTheSameId()
   {
     const SendToAgent first = Sent();
     CPPUNIT_ASSERT(mCore->OnAgentLinkFailed(first.mKey, true, At(1)).empty());
-    mTargets.mHome = "u2";
+    mTargets.mOwner = "u2";
     const SendToAgent second = Next();
     CPPUNIT_ASSERT(second.mKey.mId == first.mKey.mId);
     CPPUNIT_ASSERT_EQUAL(first.mKey.mAttempt + 1, second.mKey.mAttempt);
@@ -155,8 +158,8 @@
       Outcome(Answer(third.mKey, RequestOutcome::NotRun, {}, RefusalReason::Deadline, 1901)));
   }
 
-  // Guards against callers left waiting and retries past the deadline, also when the clock jumps.
-  void DeadlineBoundsEverything()
+  // Guards against replies and retries after the deadline, also when the clock jumps.
+  void DeadlineEndsRequestsAndRetries()
   {
     const SendToAgent sent = Sent();
     CPPUNIT_ASSERT(sent.mRemaining < Milliseconds(2000));
@@ -170,8 +173,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestRetriesDenied, "deadline"));
   }
 
-  // Guards against work for callers that left, and against a lost answer that raced the cancel.
-  void CancellationIsPassedOn()
+  // Guards against runs for callers that cancelled, and against the loss of an answer that arrives
+  // after the cancellation.
+  void CancellationIsForwardedToTheAgent()
   {
     const SendToAgent sent = Sent();
     CPPUNIT_ASSERT(Only<CancelAtAgent>(mCore->OnCallerCancelled(mHandle, At(1))).mKey == sent.mKey);
@@ -180,8 +184,9 @@
                          Outcome(Answer(sent.mKey, RequestOutcome::Cancelled)));
     const SendToAgent raced = Sent();
     mCore->OnCallerCancelled(mHandle, At(1));
-    CPPUNIT_ASSERT_EQUAL(std::string("answered"),
-                         Outcome(Answer(raced.mKey, RequestOutcome::Answered, Whole("a"))));
+    CPPUNIT_ASSERT_EQUAL(
+      std::string("answered"),
+      Outcome(Answer(raced.mKey, RequestOutcome::Answered, CompleteAnswer("a"))));
     const SendToAgent lost = Sent();
     mCore->OnCallerCancelled(mHandle, At(1));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
@@ -191,8 +196,9 @@
                          Outcome(mCore->OnCallerCancelled(mHandle, At(3))));
   }
 
-  // Guards against running a request at most once under an id that cannot be remembered.
-  void BadIdsAreRefused()
+  // Guards against accepting an id for which no record can be kept, although the request must run
+  // at most once.
+  void InvalidIdsAreRefused()
   {
     const auto refused = Only<ReplyToCaller>(Send(false, 1, "not an id"));
     CPPUNIT_ASSERT(refused.mReply.mRefusal.value().mReason == RefusalReason::BadRequestId);
@@ -205,8 +211,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<SendToAgent>(Send(false, 2, id)).size());
   }
 
-  // Guards against idempotent requests that fail with one agent, and against uneven choice.
-  void IdempotentRequestsMoveOn()
+  // Guards against an idempotent request that fails because one agent does, and against uneven load
+  // on the agents.
+  void IdempotentRequestsAreRetriedAtAnotherAgent()
   {
     const SendToAgent first = Sent(true);
     CPPUNIT_ASSERT(Answer(first.mKey, RequestOutcome::Unknown).empty());
--- a/unittests/Request/RequestHistory.h
+++ b/unittests/Request/RequestHistory.h
@@ -1,4 +1,4 @@
-// Records what callers, agents and upstreams observed, and checks it afterwards.
+// Records what callers, agents and upstreams observed, so that a test can check it afterwards.
 #pragma once
 
 #include "dandelionslip/Request/Attempt.h"
@@ -11,37 +11,37 @@
 
 namespace dandelionslip::requesttest {
 
-/// What happened to one request id. Order within a list is the order of events.
+/// What happened to one request id. Each list is in the order of the events.
 struct IdHistory
 {
   struct Run
   {
     Attempt mAttempt = 0;
-    Bytes mProduced; ///< Empty when the run did not end.
+    Bytes mAnswer; ///< Empty when the run did not end.
   };
   struct Claim
   {
-    Attempt mCovers = 0; ///< Highest attempt that the claim is about.
+    Attempt mLastAttempt = 0; ///< Highest attempt that the claim is about.
     RequestOutcome mOutcome = RequestOutcome::Unknown;
     Bytes mBody;
   };
   bool mIdempotent = false;
   std::vector<Run> mRuns;
-  std::vector<Claim> mClaims; ///< Made by home agents and, on top, by balancers to callers.
+  std::vector<Claim> mClaims; ///< Replies of owners to balancers, and of balancers to callers.
 };
 
-/// Observations of one concurrent run of the system.
+/// Observations of one run of the simulation.
 class RequestHistory
 {
 public:
-  void Sent(const RequestId& aId, bool aIdempotent) { mIds[aId].mIdempotent = aIdempotent; }
-  /// An upstream begins to run a request; returns the number of the run within its id.
-  std::size_t Started(const RequestId& aId, Attempt aAttempt);
-  void Produced(const RequestId& aId, std::size_t aRun, Bytes aBody);
-  /// Someone stated an outcome for all attempts up to aCovers.
-  void Claimed(const RequestId& aId, Attempt aCovers, const RequestReply& aAnswer);
-
-  /// The violations found, one text each.
+  void AddRequest(const RequestId& aId, bool aIdempotent) { mIds[aId].mIdempotent = aIdempotent; }
+  /// An upstream started to run a request; returns the index of the run within its id.
+  std::size_t AddRun(const RequestId& aId, Attempt aAttempt);
+  void SetAnswer(const RequestId& aId, std::size_t aRun, Bytes aBody);
+  /// An agent or balancer replied with an outcome for all attempts up to aLastAttempt.
+  void AddClaim(const RequestId& aId, Attempt aLastAttempt, const RequestReply& aReply);
+
+  /// Returns a description of each violation found.
   std::vector<std::string> Check() const;
 
   const std::map<RequestId, IdHistory>& Ids() const { return mIds; }
--- a/unittests/Request/RequestRecordsTest.cpp
+++ b/unittests/Request/RequestRecordsTest.cpp
@@ -1,4 +1,4 @@
-// Tests of record hand-off, restart and bounds.
+// Tests of the transfer, restart and limits of request records.
 #include "RequestTestSupport.h"
 
 namespace dandelionslip {
@@ -10,15 +10,15 @@
 class RequestRecordsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RequestRecordsTest);
-  CPPUNIT_TEST(HandoffKeepsEveryState);
-  CPPUNIT_TEST(LateHandoffHasNoEffect);
-  CPPUNIT_TEST(FrozenBucketGoesToOneOwner);
-  CPPUNIT_TEST(HandoffCoversExpiredRecords);
-  CPPUNIT_TEST(LostBucketForgetsUntilSkewBound);
+  CPPUNIT_TEST(TransferKeepsEveryRecordState);
+  CPPUNIT_TEST(LateTransferHasNoEffect);
+  CPPUNIT_TEST(FrozenBucketHasOneNewOwner);
+  CPPUNIT_TEST(TransferCoversExpiredRecords);
+  CPPUNIT_TEST(IdsUpToSkewBoundAreTooOldAfterLoss);
   CPPUNIT_TEST(RestartMakesPendingUnknown);
   CPPUNIT_TEST(AnswerOfStartedRequestIsAlwaysKept);
   CPPUNIT_TEST(LateRefusalDoesNotEndNewerAttempt);
-  CPPUNIT_TEST(AlteredMessagesChangeNothing);
+  CPPUNIT_TEST(RejectedMessagesChangeNothing);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::uint32_t kBuckets = 1;
@@ -26,7 +26,7 @@
   static RequestRecords Owner(const char* aName, RecordLimits aLimits = {})
   {
     RequestRecords records(aName, kBuckets, aLimits);
-    records.CompleteFirst(0, 1);
+    records.AcquireAsFirstOwner(0, 1);
     return records;
   }
 
@@ -38,17 +38,17 @@
     return aTable.value();
   }
 
-  // Guards against a hand-off that loses a record, and so permits a second run.
-  void HandoffKeepsEveryState()
+  // Guards against a transfer that loses a record and so permits a second run.
+  void TransferKeepsEveryRecordState()
   {
     RequestRecords from = Owner("a");
     std::vector<RequestId> ids;
     for (int i = 0; i < 4; ++i) {
       ids.push_back(NewId());
-      CPPUNIT_ASSERT(from.TryPending(ids.back(), 5));
+      CPPUNIT_ASSERT(from.TryAddPending(ids.back(), 5));
     }
-    from.Complete(ids[1], {200, "text/plain", {0, 255, 10}});
-    CPPUNIT_ASSERT(from.TryRefuse(ids[2], 5, {RefusalReason::Cold, Milliseconds(9)}));
+    from.MarkDone(ids[1], {200, "text/plain", {0, 255, 10}});
+    CPPUNIT_ASSERT(from.TryMarkRefused(ids[2], 5, {RefusalReason::Cold, Milliseconds(9)}));
     from.MarkUnknown(ids[3]);
     RequestRecords to("b", kBuckets);
     to.Acquire(0, 2);
@@ -59,13 +59,13 @@
     }
     CPPUNIT_ASSERT(RecordBucketState::Frozen == from.StateOf(0));
     CPPUNIT_ASSERT(RecordBucketState::Complete == to.StateOf(0));
-    from.Complete(ids[0], {200, "", {1}});
+    from.MarkDone(ids[0], {200, "", {1}});
     CPPUNIT_ASSERT(to.MergeRecord(from.ExportRecord(ids[0]), "a"));
     CPPUNIT_ASSERT(RecordState::Done == to.Find(ids[0])->mState);
   }
 
-  // Guards against a bucket that becomes complete with records of an earlier hand-off.
-  void LateHandoffHasNoEffect()
+  // Guards against a bucket that becomes complete with the records of an earlier transfer.
+  void LateTransferHasNoEffect()
   {
     RequestRecords a = Owner("a");
     RequestRecords b("b", kBuckets);
@@ -74,17 +74,17 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), b.Import(early, "a").value().size());
     a.Acquire(0, 3);
     CPPUNIT_ASSERT(a.Import(Exported(b.FreezeAndExport({0}, "a", 3, kWallStartMs)), "b"));
-    CPPUNIT_ASSERT(a.TryPending(NewId(), 1));
+    CPPUNIT_ASSERT(a.TryAddPending(NewId(), 1));
     b.Acquire(0, 4);
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), b.Import(early, "a").value().size());
     CPPUNIT_ASSERT(RecordBucketState::Incomplete == b.StateOf(0));
-    // A late request for the first hand-off must not freeze the bucket again.
+    // A late request for the first transfer must not freeze the bucket again.
     CPPUNIT_ASSERT(!a.FreezeAndExport({0}, "b", 2, kWallStartMs));
     CPPUNIT_ASSERT(RecordBucketState::Complete == a.StateOf(0));
   }
 
-  // Guards against two owners that both complete a bucket from one export.
-  void FrozenBucketGoesToOneOwner()
+  // Guards against two new owners that both complete the bucket with one exported message.
+  void FrozenBucketHasOneNewOwner()
   {
     RequestRecords a = Owner("a");
     const Json first = Exported(a.FreezeAndExport({0}, "b", 2, kWallStartMs));
@@ -97,44 +97,44 @@
     CPPUNIT_ASSERT(!c.FreezeAndExport({7}, "d", 3, kWallStartMs));
   }
 
-  // Guards against a new owner with a slower clock that takes an expired id for a new one.
-  void HandoffCoversExpiredRecords()
+  // Guards against a new owner whose clock is behind and that takes an expired id for a new one.
+  void TransferCoversExpiredRecords()
   {
     RequestRecords a = Owner("a");
     const RequestId id = NewId();
-    CPPUNIT_ASSERT(a.TryPending(id, 1));
-    a.Complete(id, {});
+    CPPUNIT_ASSERT(a.TryAddPending(id, 1));
+    a.MarkDone(id, {});
     a.Expire(kWallStartMs + 600'001);
     CPPUNIT_ASSERT(a.Find(id) == nullptr);
     RequestRecords b("b", kBuckets);
     b.Acquire(0, 2);
     CPPUNIT_ASSERT(b.Import(Exported(a.FreezeAndExport({0}, "b", 2, kWallStartMs + 600'001)), "a"));
-    CPPUNIT_ASSERT(IdKnowledge::TooOld == b.Judge(id, kWallStartMs + 590'000));
+    CPPUNIT_ASSERT(IdFreshness::TooOld == b.CheckFreshness(id, kWallStartMs + 590'000));
   }
 
-  // Guards against running an id that a lost owner may have run.
-  void LostBucketForgetsUntilSkewBound()
+  // Guards against a second run of an id that the lost owner may have run.
+  void IdsUpToSkewBoundAreTooOldAfterLoss()
   {
     RequestRecords records("a", kBuckets);
-    records.CompleteAfterLoss(0, kWallStartMs);
+    records.CompleteWithoutTransfer(0, kWallStartMs);
     CPPUNIT_ASSERT(RecordBucketState::NotOwned == records.StateOf(0));
     records.Acquire(0, 2);
-    records.CompleteAfterLoss(0, kWallStartMs);
+    records.CompleteWithoutTransfer(0, kWallStartMs);
     CPPUNIT_ASSERT_EQUAL(kWallStartMs + 30'000, records.CompleteSince(0));
-    CPPUNIT_ASSERT(IdKnowledge::TooOld == records.Judge(NewId(29'999), kWallStartMs));
-    CPPUNIT_ASSERT(IdKnowledge::New == records.Judge(NewId(30'000), kWallStartMs));
-    CPPUNIT_ASSERT(IdKnowledge::InFuture == records.Judge(NewId(30'001), kWallStartMs));
+    CPPUNIT_ASSERT(IdFreshness::TooOld == records.CheckFreshness(NewId(29'999), kWallStartMs));
+    CPPUNIT_ASSERT(IdFreshness::New == records.CheckFreshness(NewId(30'000), kWallStartMs));
+    CPPUNIT_ASSERT(IdFreshness::InFuture == records.CheckFreshness(NewId(30'001), kWallStartMs));
   }
 
-  // Guards against a second run of hundreds of requests that were pending at a restart, and against
-  // an answer lost that the old process stated after its export.
+  // Guards against a second run of requests that were pending at a restart, and against the loss of
+  // an answer that the old process received after its export.
   void RestartMakesPendingUnknown()
   {
     RequestRecords old = Owner("a");
     std::vector<RequestId> ids;
     for (int i = 0; i < 500; ++i) {
       ids.push_back(NewId());
-      CPPUNIT_ASSERT(old.TryPending(ids.back(), 1));
+      CPPUNIT_ASSERT(old.TryAddPending(ids.back(), 1));
     }
     const Bytes wire = EncodeCbor(old.ExportAll(kWallStartMs));
     RequestRecords fresh("a", kBuckets);
@@ -144,22 +144,22 @@
     for (const RequestId& id : ids) {
       CPPUNIT_ASSERT(RecordState::Unknown == fresh.Find(id)->mState);
     }
-    old.Complete(ids[0], {200, "", {1}});
+    old.MarkDone(ids[0], {200, "", {1}});
     CPPUNIT_ASSERT(fresh.MergeRecord(old.ExportRecord(ids[0]), "peer"));
     CPPUNIT_ASSERT(RecordState::Done == fresh.Find(ids[0])->mState);
   }
 
-  // Guards against answers that a resend cannot get because others filled the table meanwhile.
+  // Guards against an answer that is not kept because others filled the table during the run.
   void AnswerOfStartedRequestIsAlwaysKept()
   {
     RecordLimits limits;
     limits.mMaxBytes = 2 * kMaxKeptAnswerBytes + 10;
     RequestRecords records = Owner("a", limits);
     const std::vector<RequestId> ids{NewId(), NewId(), NewId()};
-    CPPUNIT_ASSERT(records.TryPending(ids[0], 1) && records.TryPending(ids[1], 1));
-    CPPUNIT_ASSERT(!records.TryPending(ids[2], 1));
+    CPPUNIT_ASSERT(records.TryAddPending(ids[0], 1) && records.TryAddPending(ids[1], 1));
+    CPPUNIT_ASSERT(!records.TryAddPending(ids[2], 1));
     for (int i = 0; i < 2; ++i) {
-      records.Complete(ids[i], {200, "", Bytes(kMaxKeptAnswerBytes, 1)});
+      records.MarkDone(ids[i], {200, "", Bytes(kMaxKeptAnswerBytes, 1)});
       CPPUNIT_ASSERT(records.Find(ids[i])->mAnswer.has_value());
     }
     CPPUNIT_ASSERT_EQUAL(2 * kMaxKeptAnswerBytes, records.BytesInUse());
@@ -167,32 +167,33 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), records.BytesInUse());
   }
 
-  // Guards against a refusal of an earlier attempt that frees an id while a later one runs.
+  // Guards against a second run: a late refusal of an earlier attempt must not end the pending
+  // record of a later attempt that runs.
   void LateRefusalDoesNotEndNewerAttempt()
   {
     RequestRecords a = Owner("a");
     const RequestId id = NewId();
-    CPPUNIT_ASSERT(a.TryRefuse(id, 1, {}));
+    CPPUNIT_ASSERT(a.TryMarkRefused(id, 1, {}));
     const Json refused = a.ExportRecord(id);
-    CPPUNIT_ASSERT(a.TryPending(id, 2));
+    CPPUNIT_ASSERT(a.TryAddPending(id, 2));
     RequestRecords b("b", kBuckets);
     CPPUNIT_ASSERT(b.MergeRecord(a.ExportRecord(id), "a"));
     CPPUNIT_ASSERT(b.MergeRecord(refused, "a"));
     CPPUNIT_ASSERT(RecordState::Pending == b.Find(id)->mState);
-    b.Join(id, 3);
-    CPPUNIT_ASSERT(a.TryRefuse(id, 2, {}));
+    b.RaiseAttempt(id, 3);
+    CPPUNIT_ASSERT(a.TryMarkRefused(id, 2, {}));
     CPPUNIT_ASSERT(b.MergeRecord(a.ExportRecord(id), "a"));
     CPPUNIT_ASSERT(RecordState::Refused == b.Find(id)->mState);
     CPPUNIT_ASSERT_EQUAL(Attempt(3), b.Find(id)->mAttempt);
   }
 
-  // Guards against crashes and partial changes by damaged messages.
-  void AlteredMessagesChangeNothing()
+  // Guards against crashes and partial imports caused by damaged messages.
+  void RejectedMessagesChangeNothing()
   {
     RequestRecords a = Owner("a");
     const RequestId id = NewId();
-    CPPUNIT_ASSERT(a.TryPending(id, 1));
-    a.Complete(id, {200, "", Bytes(20, 7)});
+    CPPUNIT_ASSERT(a.TryAddPending(id, 1));
+    a.MarkDone(id, {200, "", Bytes(20, 7)});
     const Bytes valid = EncodeCbor(Exported(a.FreezeAndExport({0}, "b", 2, kWallStartMs)));
     std::size_t refused = 0;
     for (int round = 0; round < 3000; ++round) {
--- a/unittests/Request/RequestWorld.cpp
+++ b/unittests/Request/RequestSimulation.cpp
@@ -1,5 +1,5 @@
-// Event loop of the request world.
-#include "RequestWorldParts.h"
+// Event loop of the request simulation.
+#include "RequestSimulationParts.h"
 
 namespace dandelionslip::requesttest {
 
@@ -7,15 +7,16 @@
 
 constexpr std::int64_t kTickUs = 10'000;
 constexpr std::int64_t kBurstUs = 3'500'000;
-// The second burst begins after the skew bound, when lost buckets take new ids again, the third
-// after the retention, when records have expired.
+// Start times of the bursts of requests. The second is later than the first by more than
+// kClockSkewBound, so that buckets whose owner was lost accept new ids again. The third is later by
+// more than the retention, so that records have expired.
 constexpr std::array<std::int64_t, 3> kBursts{0, 40'000'000, 660'000'000};
 
 constexpr std::int64_t kEndUs = 700'000'000;
 
 } // namespace
 
-RequestWorld::RequestWorld(std::uint64_t aSeed, std::optional<Scenario> aScenario)
+RequestSimulation::RequestSimulation(std::uint64_t aSeed, std::optional<Scenario> aScenario)
   : mScenario(aScenario)
   , mRandom(aSeed)
   , mTransfers(kBuckets)
@@ -38,49 +39,49 @@
   }
 }
 
-RequestWorld::~RequestWorld() = default;
+RequestSimulation::~RequestSimulation() = default;
 
-std::int64_t RequestWorld::Delay()
+std::int64_t RequestSimulation::Delay()
 {
-  // Most messages take milliseconds, a few a good part of a request's deadline.
+  // Most messages take some milliseconds, a few up to 400 ms, a large part of a request's deadline.
   return static_cast<std::int64_t>(Chance(0.05) ? mRandom.Below(400'000)
                                                 : 500 + mRandom.Below(8'000));
 }
 
-void RequestWorld::After(std::int64_t aDelay, Task aTask)
+void RequestSimulation::After(std::int64_t aDelay, Task aTask)
 {
   mEvents.push({mNow + aDelay, mOrder++, std::move(aTask)});
 }
 
-RequestTime RequestWorld::Time(std::int64_t aWallOffsetMs) const
+RequestTime RequestSimulation::Time(std::int64_t aWallOffsetMs) const
 {
   RequestTime time = At(mNow / 1000 + aWallOffsetMs);
   time.mNow = TimePoint(std::chrono::microseconds(1'000'000'000 + mNow));
   return time;
 }
 
-RequestTime RequestWorld::TimeOf(const Agent& aAgent) const
+RequestTime RequestSimulation::TimeOf(const Agent& aAgent) const
 {
   return Time(aAgent.mWallOffsetMs);
 }
 
-void RequestWorld::ScheduleTicks(std::int64_t aStart)
+void RequestSimulation::ScheduleTicks(std::int64_t aStart)
 {
   for (std::int64_t at = aStart; at < aStart + kBurstUs; at += kTickUs) {
     After(at, [this] {
       for (std::size_t i = 0; i < kAgents; ++i) {
         if (mAgents[i]->mCore) {
-          PerformHome(i, mAgents[i]->mCore->OnTick(TimeOf(*mAgents[i])));
+          PerformAgentActions(i, mAgents[i]->mCore->OnTick(TimeOf(*mAgents[i])));
         }
       }
       for (std::size_t i = 0; i < kBalancers; ++i) {
-        PerformRelay(i, mBalancers[i]->mCore->OnTick(Time(0)));
+        PerformBalancerActions(i, mBalancers[i]->mCore->OnTick(Time(0)));
       }
     });
   }
 }
 
-void RequestWorld::Run()
+void RequestSimulation::Run()
 {
   if (mScenario) {
     After(Scenario::kRequestUs, [this] { NewRequest(); });
--- a/unittests/Request/RequestWorldAgents.cpp
+++ b/unittests/Request/RequestSimulationAgents.cpp
@@ -1,9 +1,9 @@
-// Agents and fake upstreams of the request world.
-#include "RequestWorldParts.h"
+// Agents and simulated upstreams of the request simulation.
+#include "RequestSimulationParts.h"
 
 namespace dandelionslip::requesttest {
 
-void RequestWorld::StartAgent(std::size_t aAgent)
+void RequestSimulation::StartAgent(std::size_t aAgent)
 {
   Agent& agent = *mAgents[aAgent];
   AgentRequestSettings settings;
@@ -23,47 +23,49 @@
   agent.mCore->OnLease(!agent.mLost, TimeOf(agent));
 }
 
-// Sends a request with delays, loss of the link and, for recorded requests, duplicates.
-void RequestWorld::Deliver(std::size_t aAgent, const ReceivedRequest& aRequest,
-                           const Replied& aReplied, const Task& aLost, const AttemptKey& aKey)
+// Sends a request to an agent after a delay. The link may fail, and a request that is not
+// idempotent may arrive twice.
+void RequestSimulation::Deliver(std::size_t aAgent, const ReceivedRequest& aRequest,
+                                const OnReply& aOnReply, const Task& aOnLinkLost,
+                                const AttemptKey& aKey)
 {
   const int copies = !aRequest.mIdempotent && Chance(0.1) ? 2 : 1;
   const bool linkFails = Chance(0.06);
   for (int i = 0; i < copies; ++i) {
     if (!linkFails || Chance(0.5)) {
-      After(Delay(), [this, aAgent, aRequest, aReplied, aLost, aKey] {
-        Arrive(aAgent, aRequest, aReplied, aLost, aKey);
+      After(Delay(), [this, aAgent, aRequest, aOnReply, aOnLinkLost, aKey] {
+        Arrive(aAgent, aRequest, aOnReply, aOnLinkLost, aKey);
       });
     }
   }
   if (linkFails) {
-    After(Delay(), aLost);
+    After(Delay(), aOnLinkLost);
   }
 }
 
-void RequestWorld::Arrive(std::size_t aAgent, ReceivedRequest aRequest, Replied aReplied,
-                          Task aLost, const AttemptKey& aKey)
+void RequestSimulation::Arrive(std::size_t aAgent, ReceivedRequest aRequest, OnReply aOnReply,
+                               Task aOnLinkLost, const AttemptKey& aKey)
 {
   Agent& agent = *mAgents[aAgent];
   if (!agent.mCore) {
-    aLost();
+    aOnLinkLost();
     return;
   }
   aRequest.mHandle = mNextHandle++;
   agent.mReplies[aRequest.mHandle] = {aKey, !aRequest.mIdempotent && !aRequest.mRelayed,
-                                      std::move(aReplied), std::move(aLost)};
-  PerformHome(aAgent, agent.mCore->OnRequest(std::move(aRequest), TimeOf(agent)));
+                                      std::move(aOnReply), std::move(aOnLinkLost)};
+  PerformAgentActions(aAgent, agent.mCore->OnRequest(std::move(aRequest), TimeOf(agent)));
 }
 
-void RequestWorld::PerformHome(std::size_t aAgent, const AgentRequestActions& aActions)
+void RequestSimulation::PerformAgentActions(std::size_t aAgent, const AgentRequestActions& aActions)
 {
   for (const AgentRequestAction& action : aActions) {
     if (const auto* run = std::get_if<RunAtUpstream>(&action)) {
       RunUpstream(aAgent, *run);
     } else if (const auto* relay = std::get_if<RelayToAlternate>(&action)) {
       Relay(aAgent, *relay);
-    } else if (const auto* answer = std::get_if<ReplyToSender>(&action)) {
-      PerformAnswer(aAgent, *answer);
+    } else if (const auto* reply = std::get_if<ReplyToSender>(&action)) {
+      PerformReply(aAgent, *reply);
     } else if (const auto* cancel = std::get_if<CancelRun>(&action)) {
       After(Delay(), [this, aAgent, run = cancel->mRun] { CancelRunAt(aAgent, run); });
     } else if (const auto& send = std::get<SendRecord>(action); !Chance(0.1)) {
@@ -71,7 +73,7 @@
       const Bytes message = EncodeCbor(send.mRecord);
       ++mTotals.mRecordUpdates;
       After(Delay(), [this, from, message, to = IndexOf(send.mAgent)] {
-        Control(to, [this, from, message, to](AgentRequestCore& aCore) {
+        SendFromControl(to, [this, from, message, to](AgentRequestCore& aCore) {
           const Json record = DecodeCbor(message, from).value();
           return aCore.OnRecordUpdate(record, from, TimeOf(*mAgents[to])).value();
         });
@@ -80,18 +82,18 @@
   }
 }
 
-void RequestWorld::PerformAnswer(std::size_t aAgent, const ReplyToSender& aAnswer)
+void RequestSimulation::PerformReply(std::size_t aAgent, const ReplyToSender& aReply)
 {
-  const auto open = mAgents[aAgent]->mReplies.extract(aAnswer.mHandle);
+  const auto open = mAgents[aAgent]->mReplies.extract(aReply.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const OpenReply& reply = open.mapped();
   if (reply.mRecorded) {
-    mHistory.Claimed(reply.mKey.mId, reply.mKey.mAttempt, aAnswer.mReply);
+    mHistory.AddClaim(reply.mKey.mId, reply.mKey.mAttempt, aReply.mReply);
   }
-  reply.mReplied(aAnswer.mReply);
+  reply.mOnReply(aReply.mReply);
 }
 
-void RequestWorld::RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun)
+void RequestSimulation::RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun)
 {
   auto run = std::make_shared<UpstreamRun>();
   mAgents[aAgent]->mRuns[aRun.mRun] = run;
@@ -111,15 +113,15 @@
       EndRun(aAgent, number, failed);
       return;
     }
-    const std::size_t index = mHistory.Started(aRun.mId, aRun.mAttempt);
+    const std::size_t index = mHistory.AddRun(aRun.mId, aRun.mAttempt);
     ++mTotals.mRuns;
     const std::string body = aRun.mId.ToString() + "#" + std::to_string(index);
     After(10'000 + Delay() * 4, [this, run, aRun, aAgent, number, index, body] {
       if (run->mEnded) {
         return;
       }
-      mHistory.Produced(aRun.mId, index, BytesOf(body));
-      const ReceivedAnswer received = OnTheWire({200, "text/plain", BytesOf(body)});
+      mHistory.SetAnswer(aRun.mId, index, BytesOf(body));
+      const ReceivedAnswer received = Transmit({200, "text/plain", BytesOf(body)});
       EndRun(aAgent, number, [this, number, received](AgentRequestCore& aCore) {
         return aCore.OnUpstreamAnswer(number, received, Time(0));
       });
@@ -127,9 +129,9 @@
   });
 }
 
-// Reports the end of a run to the process that started it, after a delay.
-void RequestWorld::EndRun(std::size_t aAgent, RunId aRun,
-                          std::function<AgentRequestActions(AgentRequestCore&)> aEnd)
+// Reports the end of a run, after a delay, if the process that started it still exists.
+void RequestSimulation::EndRun(std::size_t aAgent, RunId aRun,
+                               std::function<AgentRequestActions(AgentRequestCore&)> aEnd)
 {
   const auto found = mAgents[aAgent]->mRuns.find(aRun);
   if (found == mAgents[aAgent]->mRuns.end()) {
@@ -141,25 +143,25 @@
   After(Delay(), [this, aAgent, aRun, run, incarnation, aEnd = std::move(aEnd)] {
     Agent& agent = *mAgents[aAgent];
     if (agent.mCore && agent.mIncarnation == incarnation && agent.mRuns.erase(aRun) > 0) {
-      PerformHome(aAgent, aEnd(*agent.mCore));
+      PerformAgentActions(aAgent, aEnd(*agent.mCore));
     }
   });
 }
 
-void RequestWorld::Relay(std::size_t aAgent, const RelayToAlternate& aRelay)
+void RequestSimulation::Relay(std::size_t aAgent, const RelayToAlternate& aRelay)
 {
   auto run = std::make_shared<UpstreamRun>();
   mAgents[aAgent]->mRuns[aRelay.mRun] = run;
   ++mTotals.mRelayed;
   const RunId number = aRelay.mRun;
-  const auto lost = [this, aAgent, number](bool aSent) {
+  const auto linkFailed = [this, aAgent, number](bool aSent) {
     EndRun(aAgent, number, [this, number, aSent](AgentRequestCore& aCore) {
       return aCore.OnAlternateLinkFailed(number, aSent, Time(0));
     });
   };
   const std::size_t to = IndexOf(aRelay.mAgent);
   if (!mAgents[to]->mCore || Chance(0.05)) {
-    lost(false);
+    linkFailed(false);
     return;
   }
   ReceivedRequest request;
@@ -176,25 +178,25 @@
   run->mAlternate = std::pair(to, key);
   // The first of several replies ends the run; EndRun ignores the others.
   const std::uint64_t incarnation = mAgents[aAgent]->mIncarnation;
-  const auto replied = [this, aAgent, number, incarnation](const RequestReply& aAnswer) {
+  const auto onReply = [this, aAgent, number, incarnation](const RequestReply& aReply) {
     if (mAgents[aAgent]->mIncarnation != incarnation) {
       return;
     }
     EndRun(aAgent, number,
-           [this, number, aAnswer, received = OnTheWire(aAnswer.mAnswer)](AgentRequestCore& aCore) {
-             return aCore.OnAlternateAnswer(
-               number, aAnswer.mOutcome, aAnswer.mRefusal.value_or(Refusal{}), received, Time(0));
+           [this, number, aReply, received = Transmit(aReply.mAnswer)](AgentRequestCore& aCore) {
+             return aCore.OnAlternateAnswer(number, aReply.mOutcome,
+                                            aReply.mRefusal.value_or(Refusal{}), received, Time(0));
            });
   };
-  const auto linkLost = [this, aAgent, incarnation, lost] {
+  const auto linkFailedAfterSend = [this, aAgent, incarnation, linkFailed] {
     if (mAgents[aAgent]->mIncarnation == incarnation) {
-      lost(true);
+      linkFailed(true);
     }
   };
-  Deliver(to, request, replied, linkLost, key);
+  Deliver(to, request, onReply, linkFailedAfterSend, key);
 }
 
-void RequestWorld::CancelRunAt(std::size_t aAgent, RunId aRun)
+void RequestSimulation::CancelRunAt(std::size_t aAgent, RunId aRun)
 {
   const auto found = mAgents[aAgent]->mRuns.find(aRun);
   if (found == mAgents[aAgent]->mRuns.end()) {
@@ -212,7 +214,7 @@
   }
 }
 
-void RequestWorld::CancelAt(std::size_t aAgent, const AttemptKey& aKey)
+void RequestSimulation::CancelAt(std::size_t aAgent, const AttemptKey& aKey)
 {
   std::vector<ReplyHandle> handles;
   for (const auto& [handle, reply] : mAgents[aAgent]->mReplies) {
@@ -223,21 +225,22 @@
   for (const ReplyHandle handle : handles) {
     Agent& agent = *mAgents[aAgent];
     if (agent.mCore && agent.mReplies.contains(handle)) {
-      PerformHome(aAgent, agent.mCore->OnCancel(handle, TimeOf(agent)));
+      PerformAgentActions(aAgent, agent.mCore->OnCancel(handle, TimeOf(agent)));
     }
   }
 }
 
-// Breaks the links to an agent whose process ended.
-void RequestWorld::DropLinks(std::size_t aAgent)
+// Reports the loss of all links to an agent whose process ended.
+void RequestSimulation::DropLinks(std::size_t aAgent)
 {
   mAgents[aAgent]->mRuns.clear();
   for (const auto& [handle, reply] : std::exchange(mAgents[aAgent]->mReplies, {})) {
-    After(Delay(), reply.mLost);
+    After(Delay(), reply.mOnLinkLost);
   }
 }
 
-ReceivedAnswer RequestWorld::OnTheWire(const UpstreamAnswer& aAnswer)
+// Returns the answer as its receiver sees it, sometimes truncated.
+ReceivedAnswer RequestSimulation::Transmit(const UpstreamAnswer& aAnswer)
 {
   ReceivedAnswer received{aAnswer, aAnswer.mBody.size(), true};
   if (!received.mAnswer.mBody.empty() && Chance(0.04)) {
--- a/unittests/Request/RequestWorldCallers.cpp
+++ b/unittests/Request/RequestSimulationCallers.cpp
@@ -1,9 +1,9 @@
-// Callers and balancers of the request world.
-#include "RequestWorldParts.h"
+// Callers and balancers of the request simulation.
+#include "RequestSimulationParts.h"
 
 namespace dandelionslip::requesttest {
 
-void RequestWorld::ScheduleBurst(std::int64_t aStart)
+void RequestSimulation::ScheduleBurst(std::int64_t aStart)
 {
   constexpr int kRequests = 25;
   for (int i = 0; i < kRequests; ++i) {
@@ -11,9 +11,9 @@
   }
 }
 
-void RequestWorld::NewRequest()
+void RequestSimulation::NewRequest()
 {
-  // An old id is resent now and then, as a caller does that was cut off for long.
+  // Sometimes an old id is resent, as by a caller that had no connection for a long time.
   if (!mCalls.empty() && Chance(0.2)) {
     SendCall(mCalls[mRandom.Below(mCalls.size())]);
     return;
@@ -22,13 +22,13 @@
   const auto wallOffsetMs = static_cast<std::int64_t>(mRandom.Below(14'000)) - 7'000;
   call->mId = RequestId::Make(Time(wallOffsetMs).mWallMs, mRandom);
   call->mIdempotent = Chance(0.15);
-  mHistory.Sent(call->mId, call->mIdempotent);
+  mHistory.AddRequest(call->mId, call->mIdempotent);
   mCalls.push_back(call);
   ++mTotals.mRequests;
   SendCall(call);
 }
 
-void RequestWorld::SendCall(const std::shared_ptr<Call>& aCall)
+void RequestSimulation::SendCall(const std::shared_ptr<Call>& aCall)
 {
   const std::size_t index = mRandom.Below(kBalancers);
   const ReplyHandle handle = mNextHandle++;
@@ -44,30 +44,33 @@
   ++aCall->mOpen;
   mBalancers[index]->mCalls[handle] = {aCall, request.mCallerAttempt};
   if (Chance(0.1)) {
-    Withdraw(index, handle, static_cast<std::int64_t>(mRandom.Below(200'000)));
+    ScheduleCancel(index, handle, static_cast<std::int64_t>(mRandom.Below(200'000)));
   }
   if (aCall->mAttempt < 4 && Chance(0.08)) {
-    // The caller's link fails. It resends at once; the balancer notices later.
-    Withdraw(index, handle, static_cast<std::int64_t>(mRandom.Below(400'000)));
+    // The link to the caller fails. The caller resends soon, and the balancer notices the failure
+    // at another time.
+    ScheduleCancel(index, handle, static_cast<std::int64_t>(mRandom.Below(400'000)));
     After(static_cast<std::int64_t>(mRandom.Below(50'000)), [this, aCall] { SendCall(aCall); });
   }
-  PerformRelay(index, mBalancers[index]->mCore->OnRequest(std::move(request), Time(0)));
+  PerformBalancerActions(index, mBalancers[index]->mCore->OnRequest(std::move(request), Time(0)));
 }
 
-void RequestWorld::Withdraw(std::size_t aBalancer, ReplyHandle aHandle, std::int64_t aDelay)
+void RequestSimulation::ScheduleCancel(std::size_t aBalancer, ReplyHandle aHandle,
+                                       std::int64_t aDelay)
 {
   After(aDelay, [this, aBalancer, aHandle] {
-    PerformRelay(aBalancer, mBalancers[aBalancer]->mCore->OnCallerCancelled(aHandle, Time(0)));
+    PerformBalancerActions(aBalancer,
+                           mBalancers[aBalancer]->mCore->OnCallerCancelled(aHandle, Time(0)));
   });
 }
 
-void RequestWorld::OnCallerReply(std::size_t aBalancer, const ReplyToCaller& aReply)
+void RequestSimulation::OnCallerReply(std::size_t aBalancer, const ReplyToCaller& aReply)
 {
   const auto open = mBalancers[aBalancer]->mCalls.extract(aReply.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const auto [call, attempt] = open.mapped();
   --call->mOpen;
-  mHistory.Claimed(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mReply);
+  mHistory.AddClaim(call->mId, MakeAttempt(attempt, kMaxTries - 1), aReply.mReply);
   const RequestOutcome outcome = aReply.mReply.mOutcome;
   CPPUNIT_ASSERT_MESSAGE("an internal outcome reached a caller",
                          outcome != RequestOutcome::NotOwner);
@@ -81,7 +84,8 @@
   }
 }
 
-void RequestWorld::PerformRelay(std::size_t aBalancer, const BalancerRequestActions& aActions)
+void RequestSimulation::PerformBalancerActions(std::size_t aBalancer,
+                                               const BalancerRequestActions& aActions)
 {
   for (const BalancerRequestAction& action : aActions) {
     if (const auto* send = std::get_if<SendToAgent>(&action)) {
@@ -94,7 +98,7 @@
   }
 }
 
-void RequestWorld::SendAttempt(std::size_t aBalancer, const SendToAgent& aSend)
+void RequestSimulation::SendAttempt(std::size_t aBalancer, const SendToAgent& aSend)
 {
   ReceivedRequest request;
   request.mId = aSend.mKey.mId;
@@ -105,44 +109,44 @@
   request.mClass = aSend.mClass;
   request.mBody = aSend.mBody;
   const AttemptKey key = aSend.mKey;
-  const std::uint64_t life = mBalancers[aBalancer]->mLife;
-  const auto toCore = [this, aBalancer, life](auto aEvent) {
-    After(Delay(), [this, aBalancer, life, aEvent] {
-      if (mBalancers[aBalancer]->mLife == life) {
-        PerformRelay(aBalancer, aEvent(*mBalancers[aBalancer]->mCore));
+  const std::uint64_t crashCount = mBalancers[aBalancer]->mCrashCount;
+  const auto toCore = [this, aBalancer, crashCount](auto aEvent) {
+    After(Delay(), [this, aBalancer, crashCount, aEvent] {
+      if (mBalancers[aBalancer]->mCrashCount == crashCount) {
+        PerformBalancerActions(aBalancer, aEvent(*mBalancers[aBalancer]->mCore));
       }
     });
   };
-  const auto lost = [this, key, toCore](bool aSent) {
+  const auto linkFailed = [this, key, toCore](bool aSent) {
     toCore([this, key, aSent](BalancerRequestCore& aCore) {
       return aCore.OnAgentLinkFailed(key, aSent, Time(0));
     });
   };
   const std::size_t agent = IndexOf(aSend.mAgent);
   if (!mAgents[agent]->mCore || Chance(0.02)) {
-    lost(false);
+    linkFailed(false);
     return;
   }
-  const auto replied = [this, key, toCore](const RequestReply& aAnswer) {
-    toCore([this, key, aAnswer, received = OnTheWire(aAnswer.mAnswer)](BalancerRequestCore& aCore) {
-      return aCore.OnAgentAnswer(key, aAnswer.mOutcome, aAnswer.mRefusal, received, Time(0));
+  const auto onReply = [this, key, toCore](const RequestReply& aReply) {
+    toCore([this, key, aReply, received = Transmit(aReply.mAnswer)](BalancerRequestCore& aCore) {
+      return aCore.OnAgentAnswer(key, aReply.mOutcome, aReply.mRefusal, received, Time(0));
     });
   };
   Deliver(
-    agent, request, replied, [lost] { lost(true); }, key);
+    agent, request, onReply, [linkFailed] { linkFailed(true); }, key);
 }
 
-void RequestWorld::CrashBalancer(std::size_t aBalancer)
+void RequestSimulation::CrashBalancer(std::size_t aBalancer)
 {
   Balancer& balancer = *mBalancers[aBalancer];
-  ++balancer.mLife;
+  ++balancer.mCrashCount;
   balancer.mCore.reset();
   balancer.mRegistry = std::make_unique<MetricsRegistry>();
   BalancerRequestSettings settings;
   settings.mBudget.mMaxTokens = 3;
   balancer.mCore =
     std::make_unique<BalancerRequestCore>(settings, balancer, mRandom.Next(), *balancer.mRegistry);
-  // The callers notice and resend through another connection.
+  // The callers notice the crash and resend through another connection.
   for (const auto& [handle, open] : std::exchange(balancer.mCalls, {})) {
     --open.mCall->mOpen;
     if (open.mCall->mAttempt < 4) {
--- a/unittests/Request/RequestWorldControl.cpp
+++ b/unittests/Request/RequestSimulationControl.cpp
@@ -1,5 +1,5 @@
-// Ownership changes, crashes and restarts of the request world.
-#include "RequestWorldParts.h"
+// Ownership changes, crashes and restarts of the request simulation.
+#include "RequestSimulationParts.h"
 
 namespace dandelionslip::requesttest {
 
@@ -9,7 +9,7 @@
 
 } // namespace
 
-void RequestWorld::ScheduleFaults(std::int64_t aStart)
+void RequestSimulation::ScheduleFaults(std::int64_t aStart)
 {
   const auto at = [this, aStart](Task aTask) {
     After(aStart + 50'000 + static_cast<std::int64_t>(mRandom.Below(1'500'000)), std::move(aTask));
@@ -17,11 +17,12 @@
   for (int i = 0; i < 5; ++i) {
     at([this] { MoveBuckets(); });
   }
-  using Fault = void (RequestWorld::*)(std::size_t);
-  constexpr std::array<std::pair<Fault, double>, 4> kFaults{{{&RequestWorld::CrashAgent, 0.5},
-                                                             {&RequestWorld::CutOff, 0.4},
-                                                             {&RequestWorld::RestartAgent, 0.6},
-                                                             {&RequestWorld::CrashUpstream, 0.5}}};
+  using Fault = void (RequestSimulation::*)(std::size_t);
+  constexpr std::array<std::pair<Fault, double>, 4> kFaults{
+    {{&RequestSimulation::CrashAgent, 0.5},
+     {&RequestSimulation::CutOffFromControl, 0.4},
+     {&RequestSimulation::RestartAgent, 0.6},
+     {&RequestSimulation::CrashUpstream, 0.5}}};
   for (const auto& [fault, share] : kFaults) {
     if (Chance(share)) {
       at([this, fault = fault] { (this->*fault)(mRandom.Below(kAgents)); });
@@ -32,16 +33,16 @@
   }
 }
 
-// Lets what the only request depends on fail.
-void RequestWorld::Inject(Fault aFault)
+// Injects a fault into the part that the only request depends on.
+void RequestSimulation::Inject(Fault aFault)
 {
   const std::shared_ptr<Call> call = mCalls.front();
-  const std::size_t home = mOwners[BucketOf(call->mId, kBuckets)];
+  const std::size_t owner = mOwners[BucketOf(call->mId, kBuckets)];
   switch (aFault) {
     case Fault::CallerLink:
       for (std::size_t i = 0; i < kBalancers; ++i) {
         for (const auto& [handle, open] : mBalancers[i]->mCalls) {
-          Withdraw(i, handle, Delay());
+          ScheduleCancel(i, handle, Delay());
         }
       }
       SendCall(call);
@@ -54,43 +55,44 @@
       }
       break;
     case Fault::Agent:
-      CrashAgent(home);
+      CrashAgent(owner);
       break;
     case Fault::Upstream:
-      CrashUpstream(home);
+      CrashUpstream(owner);
       break;
     case Fault::Restart:
-      RestartAgent(home);
+      RestartAgent(owner);
       break;
     case Fault::ControlContact:
-      CutOff(home);
+      CutOffFromControl(owner);
       break;
   }
 }
 
-// Tells the current life of an agent about a change; waits while a planned restart is under way.
-void RequestWorld::Control(std::size_t aAgent,
-                           std::function<AgentRequestActions(AgentRequestCore&)> aEvent)
+// Passes an event from control to an agent. During a planned restart the event waits for the next
+// process; after a crash it is discarded.
+void RequestSimulation::SendFromControl(
+  std::size_t aAgent, std::function<AgentRequestActions(AgentRequestCore&)> aEvent)
 {
   Agent& agent = *mAgents[aAgent];
   if (agent.mCore) {
-    PerformHome(aAgent, aEvent(*agent.mCore));
+    PerformAgentActions(aAgent, aEvent(*agent.mCore));
     return;
   }
-  After(20'000, [this, aAgent, life = agent.mLife, aEvent = std::move(aEvent)] {
-    if (mAgents[aAgent]->mLife == life) {
-      Control(aAgent, aEvent);
+  After(20'000, [this, aAgent, crashCount = agent.mCrashCount, aEvent = std::move(aEvent)] {
+    if (mAgents[aAgent]->mCrashCount == crashCount) {
+      SendFromControl(aAgent, aEvent);
     }
   });
 }
 
-bool RequestWorld::IsUsable(std::size_t aAgent) const
+bool RequestSimulation::IsUsable(std::size_t aAgent) const
 {
   const Agent& agent = *mAgents[aAgent];
   return agent.mCore && !agent.mLost && !agent.mStopping;
 }
 
-std::optional<std::size_t> RequestWorld::PickOwner(std::size_t aNot)
+std::optional<std::size_t> RequestSimulation::PickOwner(std::size_t aNot)
 {
   std::vector<std::size_t> usable;
   for (std::size_t i = 0; i < kAgents; ++i) {
@@ -104,7 +106,7 @@
   return usable[mRandom.Below(usable.size())];
 }
 
-void RequestWorld::SetOwner(std::uint32_t aBucket, std::size_t aOwner)
+void RequestSimulation::SetOwner(std::uint32_t aBucket, std::size_t aOwner)
 {
   mOwners[aBucket] = aOwner;
   for (std::size_t i = 0; i < kBalancers; ++i) {
@@ -112,7 +114,7 @@
   }
 }
 
-void RequestWorld::MoveBuckets()
+void RequestSimulation::MoveBuckets()
 {
   ++mGeneration;
   for (std::uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
@@ -123,19 +125,21 @@
     }
     mTransfers[bucket] = std::make_unique<Transfer>(Transfer{mGeneration, from, *to});
     SetOwner(bucket, *to);
-    After(Delay(), [this, bucket, generation = mGeneration, to = *to, life = mAgents[*to]->mLife] {
-      if (mAgents[to]->mLife == life) {
-        Control(to, [this, bucket, generation](AgentRequestCore& aCore) {
+    After(Delay(), [this, bucket, generation = mGeneration, to = *to,
+                    crashCount = mAgents[*to]->mCrashCount] {
+      if (mAgents[to]->mCrashCount == crashCount) {
+        SendFromControl(to, [this, bucket, generation](AgentRequestCore& aCore) {
           return aCore.OnBucketAcquired(bucket, generation, Time(0));
         });
-        AskForBucket(bucket, generation);
+        PullBucket(bucket, generation);
       }
     });
   }
 }
 
-// Asks the previous owner again and again, as messages are lost, until the bucket is complete.
-void RequestWorld::AskForBucket(std::uint32_t aBucket, std::uint32_t aGeneration)
+// Requests a bucket from its previous owner every 60 ms, because messages are lost, until the
+// bucket is complete.
+void RequestSimulation::PullBucket(std::uint32_t aBucket, std::uint32_t aGeneration)
 {
   const Transfer* transfer = mTransfers[aBucket].get();
   if (transfer == nullptr || transfer->mGeneration != aGeneration) {
@@ -143,20 +147,20 @@
   }
   const std::size_t from = transfer->mFrom;
   const std::size_t to = transfer->mTo;
-  Agent& asker = *mAgents[to];
-  if (asker.mCore && asker.mCore->Records().StateOf(aBucket) == RecordBucketState::Complete) {
+  Agent& newOwner = *mAgents[to];
+  if (newOwner.mCore && newOwner.mCore->Records().StateOf(aBucket) == RecordBucketState::Complete) {
     mTransfers[aBucket].reset();
     return;
   }
   if (transfer->mFromLost) {
     // The loss may have been reported before the bucket was acquired.
-    Control(to, [this, aBucket, to](AgentRequestCore& aCore) {
+    SendFromControl(to, [this, aBucket, to](AgentRequestCore& aCore) {
       return aCore.OnPreviousOwnerLost(aBucket, TimeOf(*mAgents[to]));
     });
   }
-  After(60'000, [this, aBucket, aGeneration] { AskForBucket(aBucket, aGeneration); });
+  After(60'000, [this, aBucket, aGeneration] { PullBucket(aBucket, aGeneration); });
   for (int copy = Chance(0.2) ? 2 : 1; copy > 0; --copy) {
-    After(Delay(), [this, aBucket, aGeneration, from, to, life = asker.mLife] {
+    After(Delay(), [this, aBucket, aGeneration, from, to, crashCount = newOwner.mCrashCount] {
       Agent& owner = *mAgents[from];
       if (!owner.mCore || Chance(0.15)) {
         return;
@@ -166,28 +170,29 @@
       if (!table || Chance(0.15)) {
         return;
       }
-      After(Delay(), [this, to, life, name = owner.mName, message = EncodeCbor(table.value())] {
-        if (mAgents[to]->mLife != life || !mAgents[to]->mCore) {
-          return;
-        }
-        ++mTotals.mHandoffs;
-        AgentRequestCore& core = *mAgents[to]->mCore;
-        PerformHome(
-          to,
-          core.OnHandoff(DecodeCbor(message, name).value(), name, TimeOf(*mAgents[to])).value());
-      });
+      After(
+        Delay(), [this, to, crashCount, name = owner.mName, message = EncodeCbor(table.value())] {
+          if (mAgents[to]->mCrashCount != crashCount || !mAgents[to]->mCore) {
+            return;
+          }
+          ++mTotals.mBucketTransfers;
+          AgentRequestCore& core = *mAgents[to]->mCore;
+          PerformAgentActions(
+            to,
+            core.OnHandoff(DecodeCbor(message, name).value(), name, TimeOf(*mAgents[to])).value());
+        });
     });
   }
 }
 
-void RequestWorld::CrashAgent(std::size_t aAgent)
+void RequestSimulation::CrashAgent(std::size_t aAgent)
 {
   if (!IsUsable(aAgent) || !PickOwner(aAgent)) {
     return;
   }
   Agent& agent = *mAgents[aAgent];
   ++mTotals.mCrashes;
-  ++agent.mLife;
+  ++agent.mCrashCount;
   agent.mCore.reset();
   DropLinks(aAgent);
   After(kLeaseUs, [this, aAgent] { DeclareLost(aAgent); });
@@ -197,29 +202,31 @@
   });
 }
 
-// The agent loses control contact: its own lease ends before control declares it lost.
-void RequestWorld::CutOff(std::size_t aAgent)
+// Ends the contact between an agent and control for a while: the agent's lease expires, and then
+// control declares the agent lost.
+void RequestSimulation::CutOffFromControl(std::size_t aAgent)
 {
   if (!IsUsable(aAgent) || !PickOwner(aAgent)) {
     return;
   }
   Agent& agent = *mAgents[aAgent];
   agent.mStopping = true;
-  PerformHome(aAgent, agent.mCore->OnLease(false, TimeOf(agent)));
+  PerformAgentActions(aAgent, agent.mCore->OnLease(false, TimeOf(agent)));
   After(20'000 + Delay(), [this, aAgent] { DeclareLost(aAgent); });
   After(900'000, [this, aAgent] {
-    Agent& back = *mAgents[aAgent];
+    Agent& reconnected = *mAgents[aAgent];
     for (std::uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
-      PerformHome(aAgent, back.mCore->OnBucketDropped(bucket, mGeneration, TimeOf(back)));
+      PerformAgentActions(
+        aAgent, reconnected.mCore->OnBucketTakenOver(bucket, mGeneration, TimeOf(reconnected)));
     }
     ++mGeneration;
-    back.mLost = false;
-    back.mStopping = false;
-    PerformHome(aAgent, back.mCore->OnLease(true, TimeOf(back)));
+    reconnected.mLost = false;
+    reconnected.mStopping = false;
+    PerformAgentActions(aAgent, reconnected.mCore->OnLease(true, TimeOf(reconnected)));
   });
 }
 
-void RequestWorld::RestartAgent(std::size_t aAgent)
+void RequestSimulation::RestartAgent(std::size_t aAgent)
 {
   if (!IsUsable(aAgent)) {
     return;
@@ -227,11 +234,11 @@
   ++mTotals.mRestarts;
   Agent& agent = *mAgents[aAgent];
   agent.mStopping = true;
-  PerformHome(aAgent, agent.mCore->OnPlannedStop(TimeOf(agent)));
+  PerformAgentActions(aAgent, agent.mCore->OnPlannedStop(TimeOf(agent)));
   FinishRestart(aAgent, mNow + static_cast<std::int64_t>(mRandom.Below(200'000)));
 }
 
-void RequestWorld::FinishRestart(std::size_t aAgent, std::int64_t aGiveUpAt)
+void RequestSimulation::FinishRestart(std::size_t aAgent, std::int64_t aGiveUpAt)
 {
   Agent& agent = *mAgents[aAgent];
   if (agent.mCore->Active() && mNow < aGiveUpAt) {
@@ -248,7 +255,7 @@
   });
 }
 
-void RequestWorld::CrashUpstream(std::size_t aAgent)
+void RequestSimulation::CrashUpstream(std::size_t aAgent)
 {
   std::vector<RunId> runs;
   for (const auto& [number, run] : mAgents[aAgent]->mRuns) {
@@ -263,7 +270,7 @@
   }
 }
 
-void RequestWorld::DeclareLost(std::size_t aAgent)
+void RequestSimulation::DeclareLost(std::size_t aAgent)
 {
   mAgents[aAgent]->mLost = true;
   ++mGeneration;
@@ -274,39 +281,43 @@
       ++mTotals.mLostOwners;
       const std::size_t to = mTransfers[bucket]->mTo;
       mTransfers[bucket]->mFromLost = true;
-      Control(to, [this, bucket, to](AgentRequestCore& aCore) {
+      SendFromControl(to, [this, bucket, to](AgentRequestCore& aCore) {
         return aCore.OnPreviousOwnerLost(bucket, TimeOf(*mAgents[to]));
       });
     }
   }
   for (std::size_t i = 0; i < kAgents; ++i) {
     if (i != aAgent && !mAgents[i]->mLost) {
-      After(Delay(), [this, i, name = mAgents[aAgent]->mName, life = mAgents[i]->mLife] {
-        if (mAgents[i]->mLife == life) {
-          Control(
-            i, [this, name](AgentRequestCore& aCore) { return aCore.OnAgentLost(name, Time(0)); });
-        }
-      });
+      After(Delay(),
+            [this, i, name = mAgents[aAgent]->mName, crashCount = mAgents[i]->mCrashCount] {
+              if (mAgents[i]->mCrashCount == crashCount) {
+                SendFromControl(i, [this, name](AgentRequestCore& aCore) {
+                  return aCore.OnAgentLost(name, Time(0));
+                });
+              }
+            });
     }
   }
 }
 
-void RequestWorld::Reassign(std::uint32_t aBucket, std::size_t aLost)
+void RequestSimulation::Reassign(std::uint32_t aBucket, std::size_t aLostAgent)
 {
-  const auto to = PickOwner(aLost);
+  const auto to = PickOwner(aLostAgent);
   if (!to) {
     return;
   }
-  // The lost agent may not have got the bucket yet; whoever had it before must have let go of it.
+  // If the lost agent had not received the bucket yet, the owner before it must not keep it: it
+  // learns that another agent owns the bucket now.
   if (const auto transfer = std::move(mTransfers[aBucket]); transfer && mAgents[transfer->mFrom]) {
-    Control(transfer->mFrom, [this, aBucket, generation = mGeneration](AgentRequestCore& aCore) {
-      return aCore.OnBucketDropped(aBucket, generation, Time(0));
-    });
+    SendFromControl(transfer->mFrom,
+                    [this, aBucket, generation = mGeneration](AgentRequestCore& aCore) {
+                      return aCore.OnBucketTakenOver(aBucket, generation, Time(0));
+                    });
   }
   ++mTotals.mLostOwners;
   const std::uint32_t generation = ++mGeneration;
   SetOwner(aBucket, *to);
-  Control(*to, [this, aBucket, generation, to = *to](AgentRequestCore& aCore) {
+  SendFromControl(*to, [this, aBucket, generation, to = *to](AgentRequestCore& aCore) {
     const RequestTime time = TimeOf(*mAgents[to]);
     aCore.OnBucketAcquired(aBucket, generation, time);
     return aCore.OnPreviousOwnerLost(aBucket, time);
--- a/unittests/Request/RequestWorldParts.h
+++ b/unittests/Request/RequestSimulationParts.h
@@ -1,7 +1,7 @@
-// The nodes of RequestWorld.
+// Agents, balancers and other parts of RequestSimulation.
 #pragma once
 
-#include "RequestWorld.h"
+#include "RequestSimulation.h"
 
 namespace dandelionslip::requesttest {
 
@@ -15,30 +15,30 @@
   return static_cast<std::size_t>(aName[1] - '0');
 }
 
-/// A run at a fake upstream or at an alternate's agent.
-struct RequestWorld::UpstreamRun
+/// A run at a simulated upstream or at an alternate agent.
+struct RequestSimulation::UpstreamRun
 {
   bool mEnded = false;
   bool mCancelled = false;
   std::optional<std::pair<std::size_t, AttemptKey>> mAlternate;
 };
 
-/// A message whose sender waits for the reply.
+/// A received message whose sender waits for the reply.
 struct OpenReply
 {
   AttemptKey mKey;
   bool mRecorded = false; ///< Neither idempotent nor relayed.
-  std::function<void(const RequestReply&)> mReplied;
-  std::function<void()> mLost;
+  std::function<void(const RequestReply&)> mOnReply;
+  std::function<void()> mOnLinkLost;
 };
 
-struct RequestWorld::Agent
+struct RequestSimulation::Agent
 {
   std::string mName;
   std::uint64_t mIncarnation = 0;
   std::int64_t mWallOffsetMs = 0;
-  std::uint64_t mLife = 0; ///< Changes with a crash; messages from control are for one life.
-  bool mLost = false;      ///< Declared lost by control.
+  std::uint64_t mCrashCount = 0; ///< Events from control are discarded after a crash.
+  bool mLost = false;            ///< Declared lost by control.
   bool mStopping = false;
   std::unique_ptr<FixedSlots> mSlots;
   std::unique_ptr<MetricsRegistry> mRegistry;
@@ -48,7 +48,7 @@
 };
 
 /// One request of a caller over all its resends.
-struct RequestWorld::Call
+struct RequestSimulation::Call
 {
   RequestId mId;
   bool mIdempotent = false;
@@ -56,7 +56,7 @@
   std::size_t mOpen = 0; ///< Messages without a reply.
 };
 
-struct RequestWorld::Balancer : RequestTargets
+struct RequestSimulation::Balancer : RequestTargets
 {
   std::optional<std::string> OwnerOf(ServiceId /*aService*/, const RequestId& aId) const override
   {
@@ -73,15 +73,15 @@
     std::shared_ptr<Call> mCall;
     std::uint32_t mAttempt = 0;
   };
-  std::uint64_t mLife = 0;
-  std::vector<std::size_t> mOwners; ///< Perhaps outdated.
+  std::uint64_t mCrashCount = 0;
+  std::vector<std::size_t> mOwners; ///< By bucket; may be outdated.
   std::unique_ptr<MetricsRegistry> mRegistry;
   std::unique_ptr<BalancerRequestCore> mCore;
   std::map<ReplyHandle, OpenCall> mCalls;
 };
 
-/// A bucket on its way to a new owner.
-struct RequestWorld::Transfer
+/// The transfer of a bucket to a new owner.
+struct RequestSimulation::Transfer
 {
   std::uint32_t mGeneration = 0;
   std::size_t mFrom = 0;
