--- a/include/dandelionslip/Packet/FlowDirectory.h
+++ b/include/dandelionslip/Packet/FlowDirectory.h
@@ -1,4 +1,4 @@
-// What a home agent knows of the flows that are registered with it.
+// The registrations that a directory agent keeps.
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
@@ -11,19 +11,19 @@
 
 namespace dandelionslip {
 
-/// Maps flows to the agents that hold them. Entries that are not registered again are forgotten.
-/// Not thread-safe.
+/// Maps flows to the agents that hold them. A registration expires unless it is refreshed. Not
+/// thread-safe.
 class FlowDirectory
 {
 public:
-  /// Agents register their open flows again after this time.
+  /// Interval at which agents refresh the registrations of their open flows.
   static constexpr Milliseconds kRefresh{20'000};
-  /// Two refreshes may be lost.
+  /// A registration survives the loss of two refreshes.
   static constexpr Milliseconds kLifetime{65'000};
-  /// 200,000 entries take about 20 MB; the target size needs 7,300 a home agent.
+  /// 200,000 entries take about 20 MB. A system of the target size needs 7,300 per directory agent.
   static constexpr std::size_t kMaxEntries = 200'000;
 
-  /// Returns whether the flow is stored now; false when the directory is full.
+  /// Adds or refreshes a registration. Returns false if the directory is full.
   bool Register(const FlowKey& aFlow, const Endpoint& aHolder, TimePoint aNow);
   std::optional<Endpoint> Find(const FlowKey& aFlow) const;
   void Expire(TimePoint aNow);
--- a/include/dandelionslip/Packet/FlowKey.h
+++ b/include/dandelionslip/Packet/FlowKey.h
@@ -1,4 +1,4 @@
-// The two ends of a flow.
+// Identifies a flow by its addresses and ports.
 #pragma once
 
 #include <array>
--- a/include/dandelionslip/Packet/FlowMessage.h
+++ b/include/dandelionslip/Packet/FlowMessage.h
@@ -1,4 +1,4 @@
-// Small messages between nodes about where flows are.
+// Payload of messages that find or register the holder of a flow.
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
@@ -11,17 +11,18 @@
 
 namespace dandelionslip {
 
-/// Flows and, where the kind of message needs it, the agent that holds them. Follows a HopHeader.
+/// Flows and, for message types that need it, the agent that holds them. Follows a HopHeader.
 struct FlowMessage
 {
-  /// Most flows in one message, so that it fits into a datagram of 1,200 bytes.
+  /// Maximum number of flows in one message; keeps it within a datagram of 1,200 bytes.
   static constexpr std::size_t kMaxFlows = 80;
 
-  Endpoint mHolder; ///< IPv4 only; all zero when the message names none.
+  Endpoint mHolder; ///< IPv4 only; all zero if the message names no holder.
   std::vector<FlowKey> mFlows;
 
   std::vector<std::uint8_t> Encode() const;
-  /// InvalidInput: truncated, trailing bytes, or no flow.
+  /// Fails with InvalidInput if the message is truncated, has trailing bytes, or contains no flow
+  /// or too many.
   static Result<FlowMessage> Decode(std::span<const std::uint8_t> aBytes);
 };
 
--- a/include/dandelionslip/Packet/HopHeader.h
+++ b/include/dandelionslip/Packet/HopHeader.h
@@ -11,19 +11,19 @@
 
 enum class HopKind : std::uint8_t
 {
-  Deliver = 1,   ///< To an agent: deliver the packet to the upstream, or return it.
-  DeliverIfHeld, ///< To an agent that was unsure: deliver the packet, to see if its flow is held.
-  Returned,      ///< To a balancer: the agent does not take the packet; mReason says why.
-  Load,          ///< To a balancer: a LoadReport follows.
+  Deliver = 1, ///< To an agent: deliver the packet to the upstream, or return it.
+  Probe,       ///< To an agent that was unsure: deliver the packet, to see if its flow is held.
+  Returned,    ///< To a balancer: the agent does not take the packet; mReason says why.
+  Load,        ///< To a balancer: a LoadReport follows.
   // A FlowMessage follows the kinds below.
-  Query,        ///< To an agent: does the upstream hold the flow, or is it registered here?
-  QueryHeld,    ///< To an agent: does the upstream hold the flow?
-  Held,         ///< To a balancer: the agent that holds the flow.
-  NotFound,     ///< To a balancer: the flow is not held here, or not known either.
-  Unsure,       ///< To a balancer: only the upstream knows; it needs a packet of the flow.
-  Register,     ///< To a home agent: flows that the sender holds.
-  Registered,   ///< To an agent: its flows are registered here.
-  Unregistered, ///< To a balancer: like NotFound, from a home whose directory is complete.
+  Query,         ///< To an agent: does the upstream hold the flow, or is it registered here?
+  QueryLocal,    ///< To an agent: does the upstream hold the flow?
+  HolderFound,   ///< To a balancer: the agent that holds the flow.
+  NotFound,      ///< To a balancer: the flow is not held here, or not known either.
+  ProbeNeeded,   ///< To a balancer: only the upstream knows; it needs a packet of the flow.
+  Register,      ///< To a home agent: flows that the sender holds.
+  Registered,    ///< To an agent: its flows are registered here.
+  NotRegistered, ///< To a balancer: like NotFound, from a home whose directory is complete.
 };
 
 /// Why an agent returned a packet.
--- a/include/dandelionslip/Packet/LoadReport.h
+++ b/include/dandelionslip/Packet/LoadReport.h
@@ -1,4 +1,4 @@
-// What an agent tells balancers about its upstream.
+// Load of an upstream, as its agent reports it to balancers.
 #pragma once
 
 #include "dandelionslip/Support/Json.h"
@@ -9,32 +9,33 @@
 
 namespace dandelionslip {
 
-/// State of one upstream, sent to every balancer several times a second.
+/// State and load of one upstream, sent to every balancer several times a second.
 struct LoadReport
 {
   std::string mService;
   std::string mDataCentre;
   bool mAccepts = false; ///< Whether new flows may be sent.
   bool mCold = false;
-  bool mGone = false;          ///< The upstream has ended for good and this agent ends too.
-  bool mStarting = false;      ///< The agent has just started and awaits its upstream's heartbeat.
-  std::uint32_t mFlows = 0;    ///< Open flows.
-  std::uint32_t mRequests = 0; ///< Requests delivered and not answered yet.
-  std::uint32_t mSlots = 1;    ///< Requests that the upstream runs at once.
-  /// Requests a second that one busy slot completes, in thousandths; 0 while unknown.
-  std::uint32_t mMilliRequestsPerSlot = 0;
-  std::uint32_t mOpensAllowed = 0;   ///< While cold: new flows that it takes at once.
-  std::uint32_t mOpensPerSecond = 0; ///< While cold: new flows that it takes over time.
+  bool mUpstreamExited = false; ///< The upstream has exited as planned, and so will this agent.
+  bool mStarting = false;       ///< The agent has just started and had no heartbeat yet.
+  std::uint32_t mFlows = 0;     ///< Open flows.
+  std::uint32_t mRequests = 0;  ///< Requests delivered and not yet answered.
+  std::uint32_t mSlots = 1;     ///< Requests that the upstream runs at once.
+  /// Requests per second that one busy slot completes, times 1,000; 0 if unknown.
+  std::uint32_t mMilliRequestsPerSlotSecond = 0;
+  std::uint32_t mOpensAllowed = 0;   ///< If cold: new flows that it accepts at once.
+  std::uint32_t mOpensPerSecond = 0; ///< If cold: new flows that it accepts per second.
   Milliseconds mColdLeft{0};         ///< How much longer the upstream stays cold.
-  /// FlowHomes::Digest() of the homes with which all flows of the upstream are registered; 0 while
-  /// that is not certain.
-  std::uint64_t mRegisteredWith = 0;
+  /// DirectoryAgents::Digest() of the agents with which all flows of the upstream are registered; 0
+  /// while that is not confirmed.
+  std::uint64_t mRegisteredWithDigest = 0;
 
   bool operator==(const LoadReport&) const = default;
 
-  /// A CBOR array of the fields in order, about 40 bytes: entry VMs have links of a few Mbit/s.
+  /// Encodes the report as a CBOR array of about 40 bytes; balancers' VMs may have links of only a
+  /// few Mbit/s.
   Bytes Encode() const;
-  /// InvalidInput: not CBOR, or another number or type of fields.
+  /// Fails with InvalidInput if aBytes is not CBOR or the number or type of the fields differs.
   static Result<LoadReport> Decode(std::span<const std::uint8_t> aBytes);
 };
 
--- a/include/dandelionslip/Packet/OpeningLimiter.h
+++ b/include/dandelionslip/Packet/OpeningLimiter.h
@@ -1,4 +1,4 @@
-// Bounds how many flows a cold upstream is opened within any second.
+// Limits how many flows are opened at a cold upstream within any second.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
@@ -8,24 +8,25 @@
 
 namespace dandelionslip {
 
-/// Counts openings in a sliding window. Not thread-safe.
+/// Rate limiter with a sliding window. Not thread-safe.
 class OpeningLimiter
 {
 public:
-  /// Whether one more opening stays within aLimit openings a second; counts it if so.
+  /// Counts one opening and returns true if it stays within aLimit openings per second.
   bool TryOpen(std::size_t aLimit, TimePoint aNow);
 
-  /// Openings that would be allowed now.
-  std::size_t Allowed(std::size_t aLimit, TimePoint aNow) const;
+  /// Number of openings that would be allowed now.
+  std::size_t Remaining(std::size_t aLimit, TimePoint aNow) const;
 
-  /// Allows nothing until a window has passed, because openings before aNow are not known.
+  /// Allows no opening until a window has passed, because openings before aNow are not known.
   void Block(TimePoint aNow) { mBlockedUntil = aNow + kWindow; }
 
 private:
-  /// The second that the limit is stated for, and a tenth for the way from agent to upstream.
+  /// The limit holds at the upstream for any second; another tenth allows for varying delays on the
+  /// way from agent to upstream.
   static constexpr Milliseconds kWindow{1'100};
 
-  std::deque<TimePoint> mOpened;
+  std::deque<TimePoint> mOpenings;
   TimePoint mBlockedUntil;
 };
 
--- a/include/dandelionslip/Packet/OpeningQueue.h
+++ b/include/dandelionslip/Packet/OpeningQueue.h
@@ -19,8 +19,8 @@
   FlowKey mFlow;
   std::vector<std::uint8_t> mPacket;
   std::uint32_t mPriority = 0; ///< Of its route; 0 is the highest.
-  TimePoint mSince;
-  Milliseconds mWait{0}; ///< Longest wait.
+  TimePoint mArrivedAt;
+  Milliseconds mMaxWait{0}; ///< Longest wait.
 };
 
 /// Keeps waiting openings in the order in which they leave: the most important routes first, and
@@ -48,11 +48,11 @@
 
 private:
   /// Priority, negated time of arrival, and a number that tells openings of the same moment apart.
-  using Place = std::tuple<std::uint32_t, RuntimeClock::duration, std::uint64_t>;
+  using SortKey = std::tuple<std::uint32_t, RuntimeClock::duration, std::uint64_t>;
 
-  std::map<Place, WaitingOpening> mOpenings;
+  std::map<SortKey, WaitingOpening> mOpenings;
   std::unordered_set<FlowKey, FlowKeyHash> mFlows;
-  std::uint64_t mAdded = 0;
+  std::uint64_t mNextNumber = 0;
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Packet/OpeningShares.h
+++ b/include/dandelionslip/Packet/OpeningShares.h
@@ -22,8 +22,8 @@
   std::uint32_t ForNewcomer();
 
 private:
-  std::size_t mNext = 0;   ///< Whose turn it is in the next round.
-  std::uint32_t mLeft = 0; ///< Openings of the round that no balancer was offered.
+  std::size_t mNextBalancer = 0; ///< Whose turn it is in the next round.
+  std::uint32_t mUnassigned = 0; ///< Openings of the round that no balancer was offered.
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -1,11 +1,11 @@
-// Decision core of an agent of the packet plane.
+// Decisions of a packet agent, independent of sockets and timers.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
 #include "dandelionslip/Model/Member.h"
 #include "dandelionslip/Model/View.h"
+#include "dandelionslip/Packet/DirectoryAgents.h"
 #include "dandelionslip/Packet/FlowDirectory.h"
-#include "dandelionslip/Packet/FlowHomes.h"
 #include "dandelionslip/Packet/FlowMessage.h"
 #include "dandelionslip/Packet/LoadReport.h"
 #include "dandelionslip/Packet/OpeningLimiter.h"
@@ -21,7 +21,7 @@
 
 namespace dandelionslip {
 
-/// Times and bounds of a packet agent.
+/// Settings, timeouts and limits of a packet agent.
 struct PacketAgentSettings
 {
   std::string mService;
@@ -29,8 +29,10 @@
   Endpoint mEndpoint;             ///< Where other nodes reach this agent.
   Milliseconds mHeartbeat{1'000}; ///< Interval of the upstream's heartbeats.
   Milliseconds mMaxFlowAge{60'000};
-  double mColdExcessFactor = 1.0; ///< Multiplies the cold opens a second of the service.
-  std::uint32_t mColdSlack = 0;   ///< Added to them.
+  /// A cold upstream is opened at most mColdExcessFactor * rate + mColdSlack flows a second, where
+  /// rate is mColdOpensPerSecond of the service.
+  double mColdExcessFactor = 1.0;
+  std::uint32_t mColdSlack = 0;
   std::size_t mMaxFlows = 50'000;
 };
 
@@ -38,15 +40,16 @@
 enum class ReportOutcome
 {
   Accepted,
-  Late,         ///< Of an earlier start of the upstream, or overtaken by a newer one.
-  WrongService, ///< Names another service than the one beside this agent.
+  Stale,        ///< From before the upstream's restart or exit, or older than the last heartbeat.
+  WrongService, ///< Names another service than the settings of this agent.
 };
 
-/// Delivers packets to the upstream beside it and decides which new flows the upstream takes.
+/// Delivers packets to the upstream on the same VM and decides which new flows it is sent.
 ///
-/// The upstream knows best which flows it holds: the table here is a cache, rebuilt from the
-/// traffic after a restart of the agent. Until it is complete, a packet of an unknown flow is
-/// delivered, and the upstream gives it back when it does not hold the flow. Not thread-safe.
+/// The upstream is the authority on which flows it holds. The agent's flow table is a cache,
+/// rebuilt from the traffic after the agent restarts. Until the table is complete, a packet of an
+/// unknown flow is delivered, and the upstream bounces it if it does not hold the flow. Not
+/// thread-safe.
 class PacketAgent
 {
 public:
@@ -54,31 +57,32 @@
               MetricsRegistry& aRegistry, TimePoint aNow);
 
   void OnConfiguration(const Configuration& aConfiguration);
-  /// aOwnIncarnation is the incarnation that this process announces.
+  /// aOwnIncarnation: the incarnation that this process announces.
   void OnView(const View& aView, std::uint64_t aOwnIncarnation);
   ReportOutcome OnUpstreamReport(const UpstreamReport& aReport, TimePoint aNow);
-  /// The upstream says that it exits.
+  /// The upstream has announced that it exits.
   void OnUpstreamLeft(const std::string& aId);
-  /// A datagram of a balancer after its hop header.
+  /// Handles a message from a balancer or another agent; aPacket is what follows the header.
   void OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
                     std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  /// A packet that the upstream sent or gave back.
+  /// Handles a packet that the upstream sent or bounced.
   void OnUpstreamPacket(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  /// Registers flows again where that is due; called every 250 ms.
+  /// Registers new and unconfirmed flows, and all flows after a change of the directory agents or
+  /// when their refresh is due. Must be called every 250 ms.
   void RegisterFlows(PacketOutput& aOutput, TimePoint aNow);
-  /// Forgets idle flows; called every second.
+  /// Removes idle flows and expired registrations. Must be called every second.
   void OnTick(TimePoint aNow);
-  /// A planned stop of the agent begins: no new flows.
+  /// Begins a planned stop: new flows are refused from now on.
   void StopAccepting() { mStopping = true; }
 
   LoadReport Report(TimePoint aNow) const;
   MemberState State(TimePoint aNow) const;
 
 private:
-  /// The newest heartbeat and what follows from it.
+  /// The upstream as known from its newest heartbeat.
   struct Upstream
   {
-    UpstreamReport mReport;
+    UpstreamReport mLastHeartbeat;
     TimePoint mHeardAt;
     TimePoint mColdUntil;
     bool mLeft = false;
@@ -87,22 +91,25 @@
   struct Flow
   {
     TimePoint mUsedAt;
-    std::optional<TimePoint> mOpenedAt; ///< Delivery of the opening packet, until it is answered.
-    std::optional<TimePoint> mRegisteredAt; ///< With its home agents.
-    /// Homes that have not confirmed the registration, by the hash of their endpoints; 0 for none.
-    std::array<std::uint64_t, FlowHomes::kHomes> mAwaited{};
-    TimePoint mAwaitedSince;   ///< Time of the first registration that a home has not confirmed.
-    bool mAccepted = false;    ///< The upstream answered the opening packet.
-    bool mEstablished = false; ///< The upstream sent more than that answer.
+    /// When the opening packet was delivered; empty once it is answered.
+    std::optional<TimePoint> mOpenedAt;
+    std::optional<TimePoint> mRegisteredAt; ///< When registrations were last sent.
+    /// Hashes of the endpoints of directory agents that have not confirmed the registration; 0 for
+    /// a free slot.
+    std::array<std::uint64_t, DirectoryAgents::kDirectoryAgentsPerFlow> mUnconfirmedAgents{};
+    TimePoint mUnconfirmedSince; ///< When the oldest unconfirmed registration was sent.
+    bool mAccepted = false;      ///< The upstream has answered the opening packet.
+    bool mEstablished = false;   ///< The upstream has sent a packet after that answer.
     bool mCallerEnded = false;
     bool mUpstreamEnded = false;
-    bool mClosed = false; ///< Both sides have ended it; kept for late packets.
-    bool mBusy = false;   ///< A request was delivered and not answered yet.
-    TimePoint mBusySince;
-    std::optional<std::uint32_t> mDelivered; ///< End of the caller's data delivered so far.
+    bool mClosed = false;         ///< Both sides have ended the flow; kept for late packets.
+    bool mRequestPending = false; ///< A request was delivered and is not answered yet.
+    TimePoint mRequestSince;
+    /// Sequence number after the last of the caller's data that was delivered.
+    std::optional<std::uint32_t> mDeliveredEnd;
   };
 
-  /// A delivery that the upstream may give back.
+  /// A delivered packet, remembered in case the upstream bounces it.
   struct Delivery
   {
     std::uint32_t mTag = 0;
@@ -110,25 +117,25 @@
     HopKind mKind = HopKind::Deliver;
   };
 
-  /// A packet that was delivered to see whether the upstream holds its flow.
-  struct Probe
+  /// A flow probe that the upstream has not reacted to yet.
+  struct PendingProbe
   {
     Endpoint mBalancer;
-    TimePoint mAt;
+    TimePoint mSentAt;
   };
 
-  /// Registrations by home, to be sent together.
+  /// Registrations to send, batched by directory agent.
   using Registrations = std::map<Endpoint, FlowMessage>;
 
-  /// Deliveries remembered; at 20,000 packets a second they cover the time to a bounce, 1 ms,
-  /// two hundred times.
-  static constexpr std::size_t kDeliveries = 4096;
+  /// At 20,000 packets a second this many deliveries span two hundred times the 1 ms that a bounce
+  /// takes.
+  static constexpr std::size_t kRememberedDeliveries = 4096;
 
   std::optional<ReturnReason> ReasonToRefuse(const Segment& aSegment, TimePoint aNow);
   ReturnReason UpstreamCondition(TimePoint aNow) const;
-  bool RouteLeadsHere(const FlowKey& aFlow) const;
+  bool RouteTargetsService(const FlowKey& aFlow) const;
   bool IsCold(TimePoint aNow) const;
-  bool Gone() const;
+  bool UpstreamExited() const;
   std::size_t ColdLimit() const;
   bool TableIsComplete(TimePoint aNow) const;
   bool UpstreamIsAbsent(TimePoint aNow) const;
@@ -149,17 +156,17 @@
   void Register(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
                 PacketOutput& aOutput, TimePoint aNow);
   static void SendRegistrations(const Registrations& aRegistrations, PacketOutput& aOutput);
-  static bool AwaitsHomes(const Flow& aFlow);
-  HopKind Denial(HopKind aQuery, TimePoint aNow) const;
-  void SayWhere(const Endpoint& aBalancer, HopKind aKind, const FlowKey& aFlow,
-                const Endpoint& aHolder, PacketOutput& aOutput);
-  void DenyFlow(const Delivery& aDelivery, const Segment& aSegment,
-                std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
+  static bool HasUnconfirmedAgents(const Flow& aFlow);
+  HopKind NegativeAnswer(HopKind aQuery, TimePoint aNow) const;
+  void SendFlowAnswer(const Endpoint& aBalancer, HopKind aKind, const FlowKey& aFlow,
+                      const Endpoint& aHolder, PacketOutput& aOutput);
+  void ReportNotHeld(const Delivery& aDelivery, const Segment& aSegment,
+                     std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
   void AnswerProbe(const FlowKey& aFlow, PacketOutput& aOutput);
   void OnBounced(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  Flow& FlowOf(const FlowKey& aFlow, TimePoint aNow);
-  void NoteRequest(Flow& aFlow, const Segment& aSegment, TimePoint aNow);
-  void SetBusy(Flow& aFlow, bool aBusy, TimePoint aNow);
+  Flow& FindOrAddFlow(const FlowKey& aFlow, TimePoint aNow);
+  void TrackRequest(Flow& aFlow, const Segment& aSegment, TimePoint aNow);
+  void SetRequestPending(Flow& aFlow, bool aPending, TimePoint aNow);
   void Close(Flow& aFlow, TimePoint aNow);
   void Forget(const FlowKey& aFlow, TimePoint aNow);
 
@@ -167,28 +174,33 @@
   const SegmentCodec& mCodec;
   TimePoint mStartedAt;
   std::optional<Upstream> mUpstream;
-  bool mUpstreamSentPackets = false; ///< Known to run, even before its first heartbeat.
-  bool mUpstreamStartSeen = false;   ///< All flows of the upstream were opened by this process.
+  bool mUpstreamSentPackets = false; ///< Shows that the upstream runs, even without a heartbeat.
+  /// Whether this process ran when the upstream started, and so opened all of its flows.
+  bool mSawUpstreamStart = false;
   bool mStopping = false;
   bool mDataCentreOut = false;
-  bool mReturnUnconfirmed = false; ///< The data centre came back; no heartbeat since then.
+  /// Set when the data centre returns to service, until the next heartbeat shows whether the
+  /// upstream is cold.
+  bool mColdUntilHeartbeat = false;
   RouteTable mRoutes;
-  std::unordered_map<std::uint64_t, bool> mLeadsHere; ///< Routes by address and port.
+  std::unordered_map<std::uint64_t, bool> mRouteTargetsService; ///< By route address and port.
   std::unordered_map<FlowKey, Flow, FlowKeyHash> mFlows;
-  std::unordered_map<FlowKey, Probe, FlowKeyHash> mProbes; ///< Of flows not known to be held.
-  FlowHomes mHomes;
-  bool mHomesChanged = false; ///< Since the last registration.
-  bool mIsHome = false; ///< The view shows this process, so that flows are registered with it.
-  /// Digest of the homes that have confirmed all flows; 0 while some have not.
-  std::uint64_t mRegisteredWith = 0;
+  std::unordered_map<FlowKey, PendingProbe, FlowKeyHash>
+    mProbes; ///< For flows that are not in mFlows.
+  DirectoryAgents mDirectoryAgents;
+  bool mDirectoryAgentsChanged = false; ///< Since RegisterFlows was last called.
+  /// Whether the view contains this process, which other agents need to register flows with it.
+  bool mInView = false;
+  /// DirectoryAgents::Digest() for which all flows are registered and confirmed; 0 if some are not.
+  std::uint64_t mRegisteredWithDigest = 0;
   FlowDirectory mDirectory;
-  std::array<Delivery, kDeliveries> mDeliveries{};
+  std::array<Delivery, kRememberedDeliveries> mDeliveries{};
   std::uint32_t mNextTag = 1;
   OpeningLimiter mColdOpens;
   SpeedEstimator mSpeed;
-  std::uint32_t mOpenFlows = 0;       ///< Of mFlows, those that are not closed.
-  std::uint32_t mActive = 0;          ///< Requests delivered and not answered yet.
-  std::uint32_t mUnansweredOpens = 0; ///< Since the upstream last sent anything.
+  std::uint32_t mOpenFlows = 0; ///< Flows in mFlows that are not closed.
+  std::uint32_t mPendingRequests = 0;
+  std::uint32_t mUnansweredOpens = 0; ///< Opening packets since the upstream last sent anything.
   TimePoint mUnansweredSince;
   Summary& mRequestSeconds; ///< From a request's first packet to the upstream's first answer.
   Summary& mOpeningSeconds; ///< From an opening packet to the upstream's answer.
--- a/include/dandelionslip/Packet/Placement.h
+++ b/include/dandelionslip/Packet/Placement.h
@@ -26,8 +26,8 @@
 /// Mean speed of a slot over the candidates that know it, in requests a second; a default if none.
 double MeanSlotSpeed(std::span<const PlacementCandidate> aCandidates);
 
-/// Picks the candidate with the lowest score, any of those that are within kPlacementSlack of it,
-/// so that balancers with the same reports do not all choose the same upstream. Empty without
+/// Picks the candidate with the lowest score, any of those that are within kPlacementTolerance of
+/// it, so that balancers with the same reports do not all choose the same upstream. Empty without
 /// candidates. Answers the load of many balancers that open long flows at the same moment.
 std::optional<std::size_t> ChoosePlacement(std::span<const PlacementCandidate> aCandidates,
                                            Random& aRandom);
@@ -35,10 +35,10 @@
 /// Upstreams of a service among which a flow is placed, chosen by the flow's hash. A few choices
 /// even out the load nearly as well as all, and after a restart of everything a flow is looked for
 /// at these first.
-inline constexpr std::size_t kPlacementChoices = 6;
+inline constexpr std::size_t kPlacementCandidates = 6;
 
 /// Scores within this factor of the best count as equal: one flow of ten.
-inline constexpr double kPlacementSlack = 1.1;
+inline constexpr double kPlacementTolerance = 1.1;
 
 /// Stands in for the speed of a slot until an upstream has completed requests: 50 ms a request.
 inline constexpr double kDefaultSlotSpeed = 20.0;
--- a/include/dandelionslip/Packet/Segment.h
+++ b/include/dandelionslip/Packet/Segment.h
@@ -18,8 +18,8 @@
   bool mAccepts = false; ///< The upstream's answer to the first packet.
   bool mEnds = false;    ///< The sender sends no further data.
   bool mResets = false;
-  bool mBounced = false;         ///< The upstream gave the packet back: it does not hold the flow.
-  std::uint32_t mCopyNumber = 0; ///< Of a packet that opens a flow; 0 is the first one.
+  bool mBounced = false; ///< The upstream gave the packet back: it does not hold the flow.
+  std::uint32_t mRetransmission = 0; ///< Of a packet that opens a flow; 0 is the first one.
   std::uint32_t mSequence = 0;
   std::uint32_t mAcknowledged = 0;
   std::uint16_t mDataBytes = 0;
--- a/include/dandelionslip/Packet/SpeedEstimator.h
+++ b/include/dandelionslip/Packet/SpeedEstimator.h
@@ -13,11 +13,11 @@
 {
 public:
   /// Requests in progress changed to aActive; aSlots of them run at once, the others wait.
-  void OnActive(std::uint32_t aActive, std::uint32_t aSlots, TimePoint aNow);
+  void OnActiveChanged(std::uint32_t aActive, std::uint32_t aSlots, TimePoint aNow);
   void OnCompleted() { mCompleted += 1; }
 
   /// Requests a second of a busy slot; 0 until enough were completed.
-  double RequestsPerSlot() const;
+  double RequestsPerSlotSecond() const;
 
 private:
   /// Completions before the estimate is used; ten samples of a spread of 0.5 are within 16%.
--- a/lib/Packet/FlowHomes.cpp
+++ b/lib/Packet/DirectoryAgents.cpp
@@ -1,5 +1,5 @@
-// Rendezvous hashing of flows to home agents.
-#include "dandelionslip/Packet/FlowHomes.h"
+// Rendezvous hashing of flows to directory agents.
+#include "dandelionslip/Packet/DirectoryAgents.h"
 
 #include "dandelionslip/Support/Hash.h"
 
@@ -7,7 +7,7 @@
 
 namespace dandelionslip {
 
-bool FlowHomes::Update(const View& aView)
+bool DirectoryAgents::Update(const View& aView)
 {
   std::vector<Agent> agents;
   for (const auto& [name, member] : aView.mMembers) {
@@ -22,18 +22,18 @@
   mAgents = std::move(agents);
   mDigest = 0;
   for (const Agent& agent : mAgents) {
-    mDigest = CombineHash(CombineHash(CombineHash(mDigest, agent.mSeed), agent.mIncarnation),
+    mDigest = CombineHash(CombineHash(CombineHash(mDigest, agent.mNameHash), agent.mIncarnation),
                           HashOf(agent.mEndpoint));
   }
   return true;
 }
 
-std::vector<Endpoint> FlowHomes::Of(const FlowKey& aFlow) const
+std::vector<Endpoint> DirectoryAgents::AgentsFor(const FlowKey& aFlow) const
 {
   const std::uint64_t hash = HashOf(aFlow);
-  std::array<std::pair<std::uint64_t, const Agent*>, kHomes> best{};
+  std::array<std::pair<std::uint64_t, const Agent*>, kDirectoryAgentsPerFlow> best{};
   for (const Agent& agent : mAgents) {
-    std::pair<std::uint64_t, const Agent*> candidate{CombineHash(hash, agent.mSeed), &agent};
+    std::pair<std::uint64_t, const Agent*> candidate{CombineHash(hash, agent.mNameHash), &agent};
     for (auto& place : best) {
       if (place.second == nullptr || candidate.first > place.first) {
         std::swap(place, candidate);
@@ -43,13 +43,13 @@
       }
     }
   }
-  std::vector<Endpoint> homes;
+  std::vector<Endpoint> directoryAgents;
   for (const auto& [score, agent] : best) {
     if (agent != nullptr) {
-      homes.push_back(agent->mEndpoint);
+      directoryAgents.push_back(agent->mEndpoint);
     }
   }
-  return homes;
+  return directoryAgents;
 }
 
 } // namespace dandelionslip
--- a/lib/Packet/FlowDirectory.cpp
+++ b/lib/Packet/FlowDirectory.cpp
@@ -1,4 +1,4 @@
-// Registered flows of a home agent.
+// Registered flows of a directory agent.
 #include "dandelionslip/Packet/FlowDirectory.h"
 
 namespace dandelionslip {
--- a/lib/Packet/FlowKey.cpp
+++ b/lib/Packet/FlowKey.cpp
@@ -1,4 +1,4 @@
-// Hash of a flow.
+// Text form and hash of a flow key.
 #include "dandelionslip/Packet/FlowKey.h"
 
 #include "dandelionslip/Support/Hash.h"
--- a/lib/Packet/HopHeader.cpp
+++ b/lib/Packet/HopHeader.cpp
@@ -37,7 +37,7 @@
     return invalid("found another magic number or version");
   }
   constexpr auto first = static_cast<std::uint8_t>(HopKind::Deliver);
-  constexpr auto last = static_cast<std::uint8_t>(HopKind::Unregistered);
+  constexpr auto last = static_cast<std::uint8_t>(HopKind::NotRegistered);
   if (aBytes[2] < first || aBytes[2] > last || aBytes[3] >= kReturnReasons) {
     return invalid("found kind " + std::to_string(aBytes[2]) + " with reason " +
                    std::to_string(aBytes[3]));
--- a/lib/Packet/LoadReport.cpp
+++ b/lib/Packet/LoadReport.cpp
@@ -10,16 +10,16 @@
 
 constexpr std::size_t kTexts = 2;
 
-constexpr std::array<bool LoadReport::*, 4> kFlags{&LoadReport::mAccepts, &LoadReport::mCold,
-                                                   &LoadReport::mGone, &LoadReport::mStarting};
+constexpr std::array<bool LoadReport::*, 4> kFlags{
+  &LoadReport::mAccepts, &LoadReport::mCold, &LoadReport::mUpstreamExited, &LoadReport::mStarting};
 
 constexpr std::array<std::uint32_t LoadReport::*, 6> kNumbers{
   &LoadReport::mFlows,        &LoadReport::mRequests,
-  &LoadReport::mSlots,        &LoadReport::mMilliRequestsPerSlot,
+  &LoadReport::mSlots,        &LoadReport::mMilliRequestsPerSlotSecond,
   &LoadReport::mOpensAllowed, &LoadReport::mOpensPerSecond};
 
-// The texts, one number with the flags as bits, the numbers, the time the upstream stays cold, and
-// the homes' digest, the only field of 64 bits.
+// The texts, one number with the flags as bits, kNumbers, mColdLeft, and mRegisteredWithDigest,
+// which is the only 64-bit field.
 constexpr std::size_t kFields = kTexts + 1 + kNumbers.size() + 2;
 
 bool IsNumber(const Json& aValue, std::uint64_t aLimit)
@@ -40,7 +40,7 @@
     fields.push_back(this->*member);
   }
   fields.push_back(static_cast<std::uint32_t>(mColdLeft.count()));
-  fields.push_back(mRegisteredWith);
+  fields.push_back(mRegisteredWithDigest);
   return EncodeCbor(fields);
 }
 
@@ -72,7 +72,7 @@
     report.*kNumbers[i] = json[kTexts + 1 + i].get<std::uint32_t>();
   }
   report.mColdLeft = Milliseconds(json[kFields - 2].get<std::uint32_t>());
-  report.mRegisteredWith = json[kFields - 1].get<std::uint64_t>();
+  report.mRegisteredWithDigest = json[kFields - 1].get<std::uint64_t>();
   return report;
 }
 
--- a/lib/Packet/OpeningQueue.cpp
+++ b/lib/Packet/OpeningQueue.cpp
@@ -11,7 +11,7 @@
   if (!mFlows.insert(aOpening.mFlow).second) {
     return false;
   }
-  const Place place{aOpening.mPriority, -aOpening.mSince.time_since_epoch(), mAdded++};
+  const SortKey place{aOpening.mPriority, -aOpening.mArrivedAt.time_since_epoch(), mNextNumber++};
   mOpenings.emplace(place, std::move(aOpening));
   return true;
 }
@@ -34,7 +34,7 @@
 std::vector<WaitingOpening> OpeningQueue::TakeExpired(TimePoint aNow)
 {
   return Take(std::numeric_limits<std::size_t>::max(), [aNow](const WaitingOpening& aOpening) {
-    return aNow - aOpening.mSince > aOpening.mWait;
+    return aNow - aOpening.mArrivedAt > aOpening.mMaxWait;
   });
 }
 
--- a/lib/Packet/OpeningShares.cpp
+++ b/lib/Packet/OpeningShares.cpp
@@ -6,19 +6,19 @@
 std::vector<std::uint32_t> OpeningShares::Split(std::uint32_t aAllowed, std::size_t aBalancers)
 {
   std::vector<std::uint32_t> shares(aBalancers, 0);
-  mLeft = aBalancers == 0 ? aAllowed : 0;
+  mUnassigned = aBalancers == 0 ? aAllowed : 0;
   for (std::uint32_t i = 0; i < aAllowed && aBalancers > 0; ++i) {
-    ++shares[mNext++ % aBalancers];
+    ++shares[mNextBalancer++ % aBalancers];
   }
   return shares;
 }
 
 std::uint32_t OpeningShares::ForNewcomer()
 {
-  if (mLeft == 0) {
+  if (mUnassigned == 0) {
     return 0;
   }
-  --mLeft;
+  --mUnassigned;
   return 1;
 }
 
--- a/lib/Packet/PacketAgent.cpp
+++ b/lib/Packet/PacketAgent.cpp
@@ -1,4 +1,4 @@
-// State and admission of a packet agent.
+// Upstream state and admission of new flows at a packet agent.
 #include "dandelionslip/Packet/PacketAgent.h"
 
 #include "RouteKey.h"
@@ -12,26 +12,26 @@
 
 namespace {
 
-// Heartbeats that may be missing before the upstream takes no new flows; one may be lost, and the
-// interval varies.
-constexpr int kMissedHeartbeats = 3;
+// Heartbeat intervals without a heartbeat after which the upstream gets no new flows: one may be
+// lost, and the interval varies.
+constexpr int kMaxMissedHeartbeats = 3;
 
-// Opening packets without any answer before the upstream counts as unresponsive, and the silence
-// that it takes: the first copy of an opening packet comes after 200 ms.
+// The upstream counts as unresponsive after this many unanswered opening packets and this time
+// since the first of them. An opening packet is first retransmitted after 200 ms.
 constexpr std::uint32_t kMaxUnansweredOpens = 2;
-constexpr Milliseconds kOpenAnswerTime{250};
+constexpr Milliseconds kOpenAnswerTimeout{250};
 
-// A request without an answer for this long no longer counts as running; longer than the longest
-// deadline of a request.
+// A request without an answer for this long no longer counts as pending; longer than any request's
+// deadline.
 constexpr Milliseconds kMaxRequestTime{8'000};
 
-// An upstream reacts to a probe within milliseconds, or when its request is done.
-constexpr Milliseconds kProbeTime{3'000};
+// An upstream reacts to a flow probe within milliseconds, or when the flow's request is done.
+constexpr Milliseconds kProbeTimeout{3'000};
 
-// How long a closed flow is remembered for late packets; retransmissions come up to 1.6 s apart.
-constexpr Milliseconds kClosedMemory{4'000};
+// How long a closed flow is kept for late packets; retransmissions are up to 1.6 s apart.
+constexpr Milliseconds kClosedFlowRetention{4'000};
 
-// An idle flow is forgotten this long after its timeout, because a packet may be on its way.
+// An idle flow is removed this long after its timeout, because a packet may be on its way.
 constexpr Milliseconds kIdleMargin{2'000};
 constexpr Milliseconds kDefaultIdleTimeout{15'000};
 
@@ -59,7 +59,8 @@
     mReturned[i] = &aRegistry.CounterFor("dandelionslip_packets_returned_total",
                                          "reason=\"" + std::string(reason) + "\"");
   }
-  // Tags of an earlier process that come back late must not match deliveries of this one.
+  // Start at a different tag in each process, so that packets which an earlier process tagged and
+  // which are bounced late do not match deliveries of this one.
   mNextTag = static_cast<std::uint32_t>(aNow.time_since_epoch().count()) | 1U;
 }
 
@@ -67,21 +68,21 @@
 {
   const bool out = aConfiguration.IsOut(mSettings.mDataCentre);
   if (mDataCentreOut && !out) {
-    // The upstream may have turned cold meanwhile; its next heartbeat tells.
-    mReturnUnconfirmed = true;
+    // The upstream may have turned cold in the meantime; its next heartbeat shows it.
+    mColdUntilHeartbeat = true;
   }
   mDataCentreOut = out;
   if (aConfiguration.mRoutes.mVersion <= mRoutes.mVersion) {
     return;
   }
   mRoutes = aConfiguration.mRoutes;
-  mLeadsHere.clear();
+  mRouteTargetsService.clear();
   for (const Route& route : mRoutes.mRoutes) {
     const bool leads =
       std::any_of(route.mTargets.begin(), route.mTargets.end(), [&](const RouteTarget& aTarget) {
         return aTarget.mService == mSettings.mService && aTarget.mWeight > 0;
       });
-    mLeadsHere[RouteKeyOf(Endpoint::Parse(route.mAddress).value())] = leads;
+    mRouteTargetsService[RouteKeyOf(Endpoint::Parse(route.mAddress).value())] = leads;
   }
   LogEvent(LogLevel::Info, "routes_in_force")
     .With("version", mRoutes.mVersion)
@@ -94,15 +95,15 @@
     return ReportOutcome::WrongService;
   }
   if (mUpstream) {
-    const UpstreamReport& known = mUpstream->mReport;
+    const UpstreamReport& known = mUpstream->mLastHeartbeat;
     const bool sameStart = known.mId == aReport.mId && known.mStartedMs == aReport.mStartedMs;
     if (sameStart ? aReport.mSequence <= known.mSequence : aReport.mStartedMs < known.mStartedMs) {
-      return ReportOutcome::Late;
+      return ReportOutcome::Stale;
     }
     if (sameStart && mUpstream->mLeft) {
-      return ReportOutcome::Late;
+      return ReportOutcome::Stale;
     }
-    mUpstreamStartSeen = mUpstreamStartSeen || !sameStart;
+    mSawUpstreamStart = mSawUpstreamStart || !sameStart;
     if (!sameStart || known.mDraining != aReport.mDraining) {
       LogEvent(LogLevel::Info, "upstream_changed")
         .With("upstream", aReport.mId)
@@ -116,21 +117,22 @@
       .With("sequence", aReport.mSequence)
       .With("started_ms", aReport.mStartedMs)
       .With("cold_left_ms", aReport.mColdLeft.count());
-    // Without its first heartbeat, an earlier process of this agent may have opened flows.
-    mUpstreamStartSeen = aReport.mSequence <= 1;
-    if (!mUpstreamStartSeen) {
+    // If this is not the upstream's first heartbeat, an earlier process of this agent may have
+    // opened flows, also in the limiter's current window.
+    mSawUpstreamStart = aReport.mSequence <= 1;
+    if (!mSawUpstreamStart) {
       mColdOpens.Block(mStartedAt);
     }
   }
   mUpstream = Upstream{aReport, aNow, aNow + aReport.mColdLeft, false};
-  mReturnUnconfirmed = false;
+  mColdUntilHeartbeat = false;
   mUnansweredOpens = 0;
   return ReportOutcome::Accepted;
 }
 
 void PacketAgent::OnUpstreamLeft(const std::string& aId)
 {
-  if (mUpstream && mUpstream->mReport.mId == aId) {
+  if (mUpstream && mUpstream->mLastHeartbeat.mId == aId) {
     mUpstream->mLeft = true;
     LogEvent(LogLevel::Info, "upstream_left").With("upstream", aId);
   }
@@ -138,7 +140,7 @@
 
 bool PacketAgent::IsCold(TimePoint aNow) const
 {
-  return mReturnUnconfirmed || (mUpstream && aNow < mUpstream->mColdUntil);
+  return mColdUntilHeartbeat || (mUpstream && aNow < mUpstream->mColdUntil);
 }
 
 std::size_t PacketAgent::ColdLimit() const
@@ -149,26 +151,26 @@
   return bound < 1 ? 1 : static_cast<std::size_t>(bound);
 }
 
-// ReturnReason::None when the upstream takes new flows.
+// Why the upstream takes no new flows; ReturnReason::None if it takes them.
 ReturnReason PacketAgent::UpstreamCondition(TimePoint aNow) const
 {
   if (!mUpstream || mUpstream->mLeft ||
-      aNow - mUpstream->mHeardAt > kMissedHeartbeats * mSettings.mHeartbeat) {
+      aNow - mUpstream->mHeardAt > kMaxMissedHeartbeats * mSettings.mHeartbeat) {
     return ReturnReason::NoUpstream;
   }
-  if (mStopping || mDataCentreOut || mUpstream->mReport.mDraining) {
+  if (mStopping || mDataCentreOut || mUpstream->mLastHeartbeat.mDraining) {
     return ReturnReason::Draining;
   }
-  if (mUnansweredOpens >= kMaxUnansweredOpens && aNow - mUnansweredSince > kOpenAnswerTime) {
+  if (mUnansweredOpens >= kMaxUnansweredOpens && aNow - mUnansweredSince > kOpenAnswerTimeout) {
     return ReturnReason::Unresponsive;
   }
   return ReturnReason::None;
 }
 
-bool PacketAgent::RouteLeadsHere(const FlowKey& aFlow) const
+bool PacketAgent::RouteTargetsService(const FlowKey& aFlow) const
 {
-  const auto found = mLeadsHere.find(RouteKeyOf(aFlow));
-  return found != mLeadsHere.end() && found->second;
+  const auto found = mRouteTargetsService.find(RouteKeyOf(aFlow));
+  return found != mRouteTargetsService.end() && found->second;
 }
 
 std::optional<ReturnReason> PacketAgent::ReasonToRefuse(const Segment& aSegment, TimePoint aNow)
@@ -176,7 +178,7 @@
   if (const auto condition = UpstreamCondition(aNow); condition != ReturnReason::None) {
     return condition;
   }
-  if (!RouteLeadsHere(aSegment.mFlow)) {
+  if (!RouteTargetsService(aSegment.mFlow)) {
     return ReturnReason::WrongService;
   }
   if (mFlows.size() >= mSettings.mMaxFlows) {
@@ -190,14 +192,15 @@
 
 bool PacketAgent::TableIsComplete(TimePoint aNow) const
 {
-  return mUpstreamStartSeen || aNow - mStartedAt > mSettings.mMaxFlowAge;
+  return mSawUpstreamStart || aNow - mStartedAt > mSettings.mMaxFlowAge;
 }
 
-// The machine of a removed upstream may start again without it.
+// Whether nothing has been heard of an upstream since the start of this process. The VM of a
+// removed upstream may start again with the agent alone.
 bool PacketAgent::UpstreamIsAbsent(TimePoint aNow) const
 {
   return !mUpstream && !mUpstreamSentPackets &&
-         aNow - mStartedAt > kMissedHeartbeats * mSettings.mHeartbeat;
+         aNow - mStartedAt > kMaxMissedHeartbeats * mSettings.mHeartbeat;
 }
 
 LoadReport PacketAgent::Report(TimePoint aNow) const
@@ -208,25 +211,26 @@
   report.mAccepts = UpstreamCondition(aNow) == ReturnReason::None;
   report.mCold = IsCold(aNow);
   if (report.mCold) {
-    report.mOpensAllowed = static_cast<std::uint32_t>(mColdOpens.Allowed(ColdLimit(), aNow));
-    report.mColdLeft = mReturnUnconfirmed
+    report.mOpensAllowed = static_cast<std::uint32_t>(mColdOpens.Remaining(ColdLimit(), aNow));
+    report.mColdLeft = mColdUntilHeartbeat
                          ? mSettings.mHeartbeat
                          : std::chrono::duration_cast<Milliseconds>(mUpstream->mColdUntil - aNow);
     report.mOpensPerSecond = static_cast<std::uint32_t>(ColdLimit());
   }
-  report.mRegisteredWith = TableIsComplete(aNow) || UpstreamIsAbsent(aNow) ? mRegisteredWith : 0;
-  report.mGone = Gone();
-  report.mStarting = !mUpstream && aNow - mStartedAt < kMissedHeartbeats * mSettings.mHeartbeat;
+  report.mRegisteredWithDigest =
+    TableIsComplete(aNow) || UpstreamIsAbsent(aNow) ? mRegisteredWithDigest : 0;
+  report.mUpstreamExited = UpstreamExited();
+  report.mStarting = !mUpstream && aNow - mStartedAt < kMaxMissedHeartbeats * mSettings.mHeartbeat;
   report.mFlows = mOpenFlows;
-  report.mRequests = mActive;
-  report.mSlots = mUpstream ? std::max<std::uint32_t>(mUpstream->mReport.mSlots, 1) : 1;
-  report.mMilliRequestsPerSlot =
-    static_cast<std::uint32_t>(std::lround(mSpeed.RequestsPerSlot() * kMilli));
+  report.mRequests = mPendingRequests;
+  report.mSlots = mUpstream ? std::max<std::uint32_t>(mUpstream->mLastHeartbeat.mSlots, 1) : 1;
+  report.mMilliRequestsPerSlotSecond =
+    static_cast<std::uint32_t>(std::lround(mSpeed.RequestsPerSlotSecond() * kMilli));
   return report;
 }
 
-// The upstream has said that it exits, so no flow is left here.
-bool PacketAgent::Gone() const
+// Whether both the agent and its upstream stop as planned, so that no flow is left here.
+bool PacketAgent::UpstreamExited() const
 {
   return mStopping && mUpstream && mUpstream->mLeft;
 }
@@ -234,7 +238,7 @@
 MemberState PacketAgent::State(TimePoint aNow) const
 {
   if (mStopping) {
-    return Gone() ? MemberState::Left : MemberState::Draining;
+    return UpstreamExited() ? MemberState::Left : MemberState::Draining;
   }
   if (UpstreamCondition(aNow) != ReturnReason::None) {
     return mUpstream ? MemberState::Draining : MemberState::Cold;
@@ -245,16 +249,17 @@
 void PacketAgent::OnTick(TimePoint aNow)
 {
   mDirectory.Expire(aNow);
-  std::erase_if(mProbes, [&](const auto& aItem) { return aNow - aItem.second.mAt > kProbeTime; });
+  std::erase_if(mProbes,
+                [&](const auto& aItem) { return aNow - aItem.second.mSentAt > kProbeTimeout; });
   const Milliseconds idleTimeout =
     (mRoutes.mFlowIdleTimeout.count() > 0 ? mRoutes.mFlowIdleTimeout : kDefaultIdleTimeout) +
     kIdleMargin;
   for (auto item = mFlows.begin(); item != mFlows.end();) {
     Flow& flow = item->second;
-    if (flow.mBusy && aNow - flow.mBusySince > kMaxRequestTime) {
-      SetBusy(flow, false, aNow);
+    if (flow.mRequestPending && aNow - flow.mRequestSince > kMaxRequestTime) {
+      SetRequestPending(flow, false, aNow);
     }
-    const Milliseconds kept = flow.mClosed ? kClosedMemory : idleTimeout;
+    const Milliseconds kept = flow.mClosed ? kClosedFlowRetention : idleTimeout;
     if (aNow - flow.mUsedAt > kept) {
       Close(flow, aNow);
       item = mFlows.erase(item);
--- a/lib/Packet/PacketAgentDirectory.cpp
+++ b/lib/Packet/PacketAgentDirectory.cpp
@@ -1,4 +1,4 @@
-// Registration of flows with their home agents, and answers to balancers that look for a flow.
+// Registration of flows with their directory agents, and answers to balancers' queries for flows.
 #include "dandelionslip/Packet/PacketAgent.h"
 
 #include <algorithm>
@@ -8,36 +8,37 @@
 
 namespace {
 
-// A registration that its homes have not confirmed within this time, two attempts, may be lost: the
-// balancers must ask this agent itself.
-constexpr Milliseconds kConfirmTime{400};
+// A registration that is not confirmed within this time, in which it is sent twice, may be lost:
+// balancers must then query this agent itself.
+constexpr Milliseconds kConfirmTimeout{400};
 
 } // namespace
 
 void PacketAgent::OnView(const View& aView, std::uint64_t aOwnIncarnation)
 {
-  mHomesChanged = mHomes.Update(aView) || mHomesChanged;
-  mRegisteredWith = mHomesChanged ? 0 : mRegisteredWith;
+  mDirectoryAgentsChanged = mDirectoryAgents.Update(aView) || mDirectoryAgentsChanged;
+  mRegisteredWithDigest = mDirectoryAgentsChanged ? 0 : mRegisteredWithDigest;
   const std::string own = mSettings.mEndpoint.ToString();
-  mIsHome = std::any_of(aView.mMembers.begin(), aView.mMembers.end(), [&](const auto& aItem) {
+  mInView = std::any_of(aView.mMembers.begin(), aView.mMembers.end(), [&](const auto& aItem) {
     const Member& member = aItem.second;
     return member.mDatagramEndpoint == own && member.mIncarnation == aOwnIncarnation &&
            HoldsFlows(member.mState);
   });
 }
 
-void PacketAgent::SayWhere(const Endpoint& aBalancer, HopKind aKind, const FlowKey& aFlow,
-                           const Endpoint& aHolder, PacketOutput& aOutput)
+void PacketAgent::SendFlowAnswer(const Endpoint& aBalancer, HopKind aKind, const FlowKey& aFlow,
+                                 const Endpoint& aHolder, PacketOutput& aOutput)
 {
   const FlowMessage message{aHolder, {aFlow}};
   aOutput.SendToNode(aBalancer, {aKind, ReturnReason::None}, message.Encode());
 }
 
-// The upstream has reacted to a probe with a packet of the flow, so it holds it.
+// The upstream has sent a packet of the flow, so it holds the flow. Answers a pending flow probe.
 void PacketAgent::AnswerProbe(const FlowKey& aFlow, PacketOutput& aOutput)
 {
   if (const auto probe = mProbes.find(aFlow); probe != mProbes.end()) {
-    SayWhere(probe->second.mBalancer, HopKind::Held, aFlow, mSettings.mEndpoint, aOutput);
+    SendFlowAnswer(probe->second.mBalancer, HopKind::HolderFound, aFlow, mSettings.mEndpoint,
+                   aOutput);
     mProbes.erase(probe);
   }
 }
@@ -53,24 +54,25 @@
   }
   const FlowKey& key = message.value().mFlows.front();
   if (mFlows.contains(key)) {
-    SayWhere(aFrom, HopKind::Held, key, mSettings.mEndpoint, aOutput);
+    SendFlowAnswer(aFrom, HopKind::HolderFound, key, mSettings.mEndpoint, aOutput);
     return;
   }
   if (aKind == HopKind::Query) {
     if (const auto holder = mDirectory.Find(key)) {
-      SayWhere(aFrom, HopKind::Held, key, *holder, aOutput);
+      SendFlowAnswer(aFrom, HopKind::HolderFound, key, *holder, aOutput);
       return;
     }
   }
-  SayWhere(aFrom, Denial(aKind, aNow), key, {}, aOutput);
+  SendFlowAnswer(aFrom, NegativeAnswer(aKind, aNow), key, {}, aOutput);
 }
 
-HopKind PacketAgent::Denial(HopKind aQuery, TimePoint aNow) const
+// The answer to a query for a flow that is neither in the table nor in the directory.
+HopKind PacketAgent::NegativeAnswer(HopKind aQuery, TimePoint aNow) const
 {
   if (!TableIsComplete(aNow) && !UpstreamIsAbsent(aNow)) {
-    return HopKind::Unsure;
+    return HopKind::ProbeNeeded;
   }
-  return aQuery == HopKind::Query && mIsHome ? HopKind::Unregistered : HopKind::NotFound;
+  return aQuery == HopKind::Query && mInView ? HopKind::NotRegistered : HopKind::NotFound;
 }
 
 void PacketAgent::OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
@@ -97,39 +99,39 @@
     mMalformed.Add();
     return;
   }
-  const std::uint64_t home = HashOf(aFrom);
+  const std::uint64_t agent = HashOf(aFrom);
   for (const FlowKey& key : message.value().mFlows) {
     if (const auto found = mFlows.find(key); found != mFlows.end()) {
-      auto& awaited = found->second.mAwaited;
-      std::replace(awaited.begin(), awaited.end(), home, std::uint64_t{0});
+      auto& unconfirmed = found->second.mUnconfirmedAgents;
+      std::replace(unconfirmed.begin(), unconfirmed.end(), agent, std::uint64_t{0});
     }
   }
 }
 
-bool PacketAgent::AwaitsHomes(const Flow& aFlow)
+bool PacketAgent::HasUnconfirmedAgents(const Flow& aFlow)
 {
-  return std::any_of(aFlow.mAwaited.begin(), aFlow.mAwaited.end(),
-                     [](std::uint64_t aHome) { return aHome != 0; });
+  return std::any_of(aFlow.mUnconfirmedAgents.begin(), aFlow.mUnconfirmedAgents.end(),
+                     [](std::uint64_t aAgent) { return aAgent != 0; });
 }
 
 void PacketAgent::Register(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
                            PacketOutput& aOutput, TimePoint aNow)
 {
-  if (!AwaitsHomes(aFlow)) {
-    aFlow.mAwaitedSince = aNow;
+  if (!HasUnconfirmedAgents(aFlow)) {
+    aFlow.mUnconfirmedSince = aNow;
   }
   aFlow.mRegisteredAt = aNow;
-  aFlow.mAwaited = {};
+  aFlow.mUnconfirmedAgents = {};
   std::size_t count = 0;
-  for (const Endpoint& home : mHomes.Of(aKey)) {
-    if (home == mSettings.mEndpoint) {
+  for (const Endpoint& agent : mDirectoryAgents.AgentsFor(aKey)) {
+    if (agent == mSettings.mEndpoint) {
       continue;
     }
-    aFlow.mAwaited[count++] = HashOf(home);
-    FlowMessage& message = aRegistrations[home];
+    aFlow.mUnconfirmedAgents[count++] = HashOf(agent);
+    FlowMessage& message = aRegistrations[agent];
     message.mFlows.push_back(aKey);
     if (message.mFlows.size() == FlowMessage::kMaxFlows) {
-      SendRegistrations({{home, message}}, aOutput);
+      SendRegistrations({{agent, message}}, aOutput);
       message.mFlows.clear();
     }
   }
@@ -137,38 +139,40 @@
 
 void PacketAgent::SendRegistrations(const Registrations& aRegistrations, PacketOutput& aOutput)
 {
-  for (const auto& [home, message] : aRegistrations) {
+  for (const auto& [agent, message] : aRegistrations) {
     if (!message.mFlows.empty()) {
-      aOutput.SendToNode(home, {HopKind::Register, ReturnReason::None}, message.Encode());
+      aOutput.SendToNode(agent, {HopKind::Register, ReturnReason::None}, message.Encode());
     }
   }
 }
 
-// Flows that their homes have not confirmed are registered again, and all flows after the homes
-// have changed.
+// Registers flows that are new, not confirmed or due for a refresh, and all flows after the
+// directory agents have changed.
 void PacketAgent::RegisterFlows(PacketOutput& aOutput, TimePoint aNow)
 {
-  const bool all = std::exchange(mHomesChanged, false);
+  const bool all = std::exchange(mDirectoryAgentsChanged, false);
   bool confirmed = true;
   Registrations registrations;
   for (auto& [key, flow] : mFlows) {
     if (!flow.mAccepted || flow.mClosed) {
       continue;
     }
-    const bool overdue = AwaitsHomes(flow) && aNow - flow.mAwaitedSince > kConfirmTime;
+    const bool overdue =
+      HasUnconfirmedAgents(flow) && aNow - flow.mUnconfirmedSince > kConfirmTimeout;
     confirmed = confirmed && !all && !overdue;
-    if (all || AwaitsHomes(flow) || !flow.mRegisteredAt ||
+    if (all || HasUnconfirmedAgents(flow) || !flow.mRegisteredAt ||
         aNow - *flow.mRegisteredAt >= FlowDirectory::kRefresh) {
       Register(key, flow, registrations, aOutput, aNow);
     }
   }
-  // After a change of the homes, a flow that awaits them is one they may not know at all.
-  const bool knownBefore = mRegisteredWith == mHomes.Digest();
+  // Directory agents that have just changed may not know an unconfirmed flow at all, so all flows
+  // must be confirmed first. Later, a new flow may be unconfirmed for kConfirmTimeout.
+  const bool knownBefore = mRegisteredWithDigest == mDirectoryAgents.Digest();
   const bool open =
     !knownBefore && std::any_of(mFlows.begin(), mFlows.end(), [](const auto& aItem) {
-      return !aItem.second.mClosed && AwaitsHomes(aItem.second);
+      return !aItem.second.mClosed && HasUnconfirmedAgents(aItem.second);
     });
-  mRegisteredWith = confirmed && !open ? mHomes.Digest() : 0;
+  mRegisteredWithDigest = confirmed && !open ? mDirectoryAgents.Digest() : 0;
   SendRegistrations(registrations, aOutput);
 }
 
--- a/lib/Packet/PacketAgentFlows.cpp
+++ b/lib/Packet/PacketAgentFlows.cpp
@@ -1,4 +1,4 @@
-// Packets of a packet agent.
+// Handling of callers' and upstream packets at a packet agent.
 #include "dandelionslip/Packet/PacketAgent.h"
 
 #include "dandelionslip/Support/Durations.h"
@@ -11,17 +11,18 @@
 
 namespace {
 
-// Sequence numbers wrap around; aFirst is later when the distance is below half of the range.
+// Whether sequence number aFirst comes after aSecond. Sequence numbers wrap around: the one that is
+// less than half of the range ahead is the later one.
 bool IsLater(std::uint32_t aFirst, std::uint32_t aSecond)
 {
   return static_cast<std::int32_t>(aFirst - aSecond) > 0;
 }
 
-// Four times the data that a caller has in flight: sequence numbers further apart belong to two
-// flows that used the same port one after the other.
+// Four times the data that a caller has in flight. Sequence numbers that are further apart belong
+// to different flows, which used the same port one after the other.
 constexpr std::uint32_t kSequenceWindow = 76'800;
 
-// Probes that await the upstream's reaction at once; each lasts for one exchange with it.
+// Limit of flow probes that await the upstream's reaction; each takes one exchange with it.
 constexpr std::size_t kMaxProbes = 10'000;
 
 bool IsNear(std::uint32_t aFirst, std::uint32_t aSecond)
@@ -37,7 +38,7 @@
                                std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                TimePoint aNow)
 {
-  if (aHeader.mKind == HopKind::Query || aHeader.mKind == HopKind::QueryHeld) {
+  if (aHeader.mKind == HopKind::Query || aHeader.mKind == HopKind::QueryLocal) {
     OnQuery(aFrom, aHeader.mKind, aPacket, aOutput, aNow);
     return;
   }
@@ -50,7 +51,7 @@
     return;
   }
   const auto segment = mCodec.DecodeFromCaller(aPacket);
-  const bool known = aHeader.mKind == HopKind::Deliver || aHeader.mKind == HopKind::DeliverIfHeld;
+  const bool known = aHeader.mKind == HopKind::Deliver || aHeader.mKind == HopKind::Probe;
   if (!segment || !known || segment->mBounced) {
     mMalformed.Add();
     return;
@@ -66,7 +67,7 @@
                             std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow)
 {
   const auto found = mFlows.find(aSegment.mFlow);
-  if (found != mFlows.end() && aSegment.mCopyNumber > 0 && !found->second.mAccepted) {
+  if (found != mFlows.end() && aSegment.mRetransmission > 0 && !found->second.mAccepted) {
     Forget(aSegment.mFlow, aNow);
     Return(aFrom, ReturnReason::Unresponsive, aPacket, aOutput);
     return;
@@ -76,12 +77,12 @@
     Return(aFrom, *reason, aPacket, aOutput);
     return;
   }
-  if (aSegment.mCopyNumber == 0) {
+  if (aSegment.mRetransmission == 0) {
     Forget(aSegment.mFlow, aNow);
   }
   LogOpening(aSegment.mFlow, ReturnReason::None, aNow);
-  Flow& flow = FlowOf(aSegment.mFlow, aNow);
-  flow.mDelivered = aSegment.mSequence;
+  Flow& flow = FindOrAddFlow(aSegment.mFlow, aNow);
+  flow.mDeliveredEnd = aSegment.mSequence;
   flow.mOpenedAt = flow.mOpenedAt.value_or(aNow);
   if (mUnansweredOpens++ == 0) {
     mUnansweredSince = aNow;
@@ -96,12 +97,12 @@
   LogEvent(LogLevel::Info, aReason == ReturnReason::None ? "flow_opened" : "flow_declined")
     .With("flow", ToString(aFlow))
     .With("reason", ToString(aReason))
-    .With("upstream", mUpstream ? mUpstream->mReport.mId : "")
-    .With("started_ms", mUpstream ? mUpstream->mReport.mStartedMs : 0)
+    .With("upstream", mUpstream ? mUpstream->mLastHeartbeat.mId : "")
+    .With("started_ms", mUpstream ? mUpstream->mLastHeartbeat.mStartedMs : 0)
     .With("heartbeat_age_ms", age)
     .With("cold", IsCold(aNow) ? "true" : "false")
     .With("flows", mOpenFlows)
-    .With("requests", mActive)
+    .With("requests", mPendingRequests)
     .With("routes", mRoutes.mVersion);
 }
 
@@ -109,27 +110,27 @@
                             std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow)
 {
   auto found = mFlows.find(aSegment.mFlow);
-  if (found != mFlows.end() && found->second.mDelivered &&
-      !IsNear(aSegment.mSequence, *found->second.mDelivered)) {
+  if (found != mFlows.end() && found->second.mDeliveredEnd &&
+      !IsNear(aSegment.mSequence, *found->second.mDeliveredEnd)) {
     Forget(aSegment.mFlow, aNow);
     found = mFlows.end();
   }
   if (found == mFlows.end()) {
     if (!TableIsComplete(aNow)) {
-      if (aKind == HopKind::DeliverIfHeld && mProbes.size() < kMaxProbes) {
+      if (aKind == HopKind::Probe && mProbes.size() < kMaxProbes) {
         mProbes[aSegment.mFlow] = {aFrom, aNow};
       }
       Deliver(aFrom, aKind, aPacket, aOutput);
     } else {
-      DenyFlow({0, aFrom, aKind}, aSegment, aPacket, aOutput);
+      ReportNotHeld({0, aFrom, aKind}, aSegment, aPacket, aOutput);
     }
     return;
   }
   Flow& flow = found->second;
   flow.mUsedAt = aNow;
-  NoteRequest(flow, aSegment, aNow);
-  if (aKind == HopKind::DeliverIfHeld) {
-    SayWhere(aFrom, HopKind::Held, aSegment.mFlow, mSettings.mEndpoint, aOutput);
+  TrackRequest(flow, aSegment, aNow);
+  if (aKind == HopKind::Probe) {
+    SendFlowAnswer(aFrom, HopKind::HolderFound, aSegment.mFlow, mSettings.mEndpoint, aOutput);
   }
   Deliver(aFrom, aKind, aPacket, aOutput);
   if (aSegment.mResets) {
@@ -156,8 +157,8 @@
     mMalformed.Add();
     return;
   }
-  // An upstream that resets a flow which it does not hold answers a probe; the flow may be open
-  // elsewhere.
+  // A reset of a flow that is not held here is a reaction to a flow probe. It must not reach the
+  // caller, because the flow may be open at another upstream.
   if (segment->mResets && !mFlows.contains(segment->mFlow)) {
     mProbeResets.Add();
     return;
@@ -168,7 +169,7 @@
     Forget(segment->mFlow, aNow);
     return;
   }
-  Flow& flow = FlowOf(segment->mFlow, aNow);
+  Flow& flow = FindOrAddFlow(segment->mFlow, aNow);
   AnswerProbe(segment->mFlow, aOutput);
   if (const auto opened = std::exchange(flow.mOpenedAt, std::nullopt)) {
     mOpeningSeconds.Observe(Seconds(aNow - *opened));
@@ -179,10 +180,10 @@
     SendRegistrations(registrations, aOutput);
   }
   flow.mEstablished = flow.mEstablished || !segment->mAccepts;
-  if (segment->mDataBytes > 0 && flow.mBusy) {
+  if (segment->mDataBytes > 0 && flow.mRequestPending) {
     mSpeed.OnCompleted();
-    mRequestSeconds.Observe(Seconds(aNow - flow.mBusySince));
-    SetBusy(flow, false, aNow);
+    mRequestSeconds.Observe(Seconds(aNow - flow.mRequestSince));
+    SetRequestPending(flow, false, aNow);
   }
   flow.mUpstreamEnded = flow.mUpstreamEnded || segment->mEnds;
   if (flow.mCallerEnded && flow.mUpstreamEnded) {
@@ -198,7 +199,7 @@
     mMalformed.Add();
     return;
   }
-  const Delivery delivery = mDeliveries[segment->mTag % kDeliveries];
+  const Delivery delivery = mDeliveries[segment->mTag % kRememberedDeliveries];
   if (delivery.mTag != segment->mTag) {
     return;
   }
@@ -210,8 +211,8 @@
     return;
   }
   const auto found = mFlows.find(segment->mFlow);
-  if (found != mFlows.end() && found->second.mEstablished && found->second.mDelivered) {
-    // The flow was open here and its upstream no longer holds it: nobody does.
+  if (found != mFlows.end() && found->second.mEstablished && found->second.mDeliveredEnd) {
+    // The flow was open at this upstream, which no longer holds it, so no upstream does.
     const bool ended = found->second.mUpstreamEnded || found->second.mClosed;
     Forget(segment->mFlow, aNow);
     if (!ended) {
@@ -219,14 +220,14 @@
       LogEvent(LogLevel::Info, "flow_reset")
         .With("flow", ToString(segment->mFlow))
         .With("reason", "upstream_lost_it")
-        .With("upstream", mUpstream ? mUpstream->mReport.mId : "");
+        .With("upstream", mUpstream ? mUpstream->mLastHeartbeat.mId : "");
       aOutput.SendToCaller(segment->mFlow,
                            mCodec.EncodeReset(segment->mFlow, segment->mAcknowledged));
     }
     return;
   }
   Forget(segment->mFlow, aNow);
-  DenyFlow(delivery, *segment, aPacket, aOutput);
+  ReportNotHeld(delivery, *segment, aPacket, aOutput);
 }
 
 void PacketAgent::Deliver(const Endpoint& aBalancer, HopKind aKind, std::span<std::uint8_t> aPacket,
@@ -234,7 +235,7 @@
 {
   mDelivered.Add();
   const std::uint32_t tag = mNextTag++;
-  mDeliveries[tag % kDeliveries] = {tag, aBalancer, aKind};
+  mDeliveries[tag % kRememberedDeliveries] = {tag, aBalancer, aKind};
   mCodec.SetTag(aPacket, tag);
   aOutput.SendToUpstream(aPacket);
 }
@@ -246,17 +247,17 @@
   aOutput.SendToNode(aBalancer, {HopKind::Returned, aReason}, aPacket);
 }
 
-void PacketAgent::DenyFlow(const Delivery& aDelivery, const Segment& aSegment,
-                           std::span<const std::uint8_t> aPacket, PacketOutput& aOutput)
+void PacketAgent::ReportNotHeld(const Delivery& aDelivery, const Segment& aSegment,
+                                std::span<const std::uint8_t> aPacket, PacketOutput& aOutput)
 {
-  if (aDelivery.mKind == HopKind::DeliverIfHeld) {
-    SayWhere(aDelivery.mBalancer, HopKind::NotFound, aSegment.mFlow, {}, aOutput);
+  if (aDelivery.mKind == HopKind::Probe) {
+    SendFlowAnswer(aDelivery.mBalancer, HopKind::NotFound, aSegment.mFlow, {}, aOutput);
   } else {
     Return(aDelivery.mBalancer, ReturnReason::NotHeld, aPacket, aOutput);
   }
 }
 
-PacketAgent::Flow& PacketAgent::FlowOf(const FlowKey& aFlow, TimePoint aNow)
+PacketAgent::Flow& PacketAgent::FindOrAddFlow(const FlowKey& aFlow, TimePoint aNow)
 {
   const auto [item, isNew] = mFlows.try_emplace(aFlow);
   Flow& flow = item->second;
@@ -267,34 +268,35 @@
   return flow;
 }
 
-// A request begins with data that was not delivered before; retransmissions do not count.
-void PacketAgent::NoteRequest(Flow& aFlow, const Segment& aSegment, TimePoint aNow)
+// Marks a request as pending if the packet carries data that was not delivered before; a
+// retransmission starts no request.
+void PacketAgent::TrackRequest(Flow& aFlow, const Segment& aSegment, TimePoint aNow)
 {
   if (aSegment.mDataBytes == 0) {
     return;
   }
   const std::uint32_t end = aSegment.mSequence + aSegment.mDataBytes;
-  if (aFlow.mDelivered && !IsLater(end, *aFlow.mDelivered)) {
+  if (aFlow.mDeliveredEnd && !IsLater(end, *aFlow.mDeliveredEnd)) {
     return;
   }
-  aFlow.mDelivered = end;
-  SetBusy(aFlow, true, aNow);
+  aFlow.mDeliveredEnd = end;
+  SetRequestPending(aFlow, true, aNow);
 }
 
-void PacketAgent::SetBusy(Flow& aFlow, bool aBusy, TimePoint aNow)
+void PacketAgent::SetRequestPending(Flow& aFlow, bool aPending, TimePoint aNow)
 {
-  if (aFlow.mBusy == aBusy) {
+  if (aFlow.mRequestPending == aPending) {
     return;
   }
-  aFlow.mBusy = aBusy;
-  aFlow.mBusySince = aNow;
-  mActive = aBusy ? mActive + 1 : mActive - 1;
-  mSpeed.OnActive(mActive, mUpstream ? mUpstream->mReport.mSlots : 1, aNow);
+  aFlow.mRequestPending = aPending;
+  aFlow.mRequestSince = aNow;
+  mPendingRequests = aPending ? mPendingRequests + 1 : mPendingRequests - 1;
+  mSpeed.OnActiveChanged(mPendingRequests, mUpstream ? mUpstream->mLastHeartbeat.mSlots : 1, aNow);
 }
 
 void PacketAgent::Close(Flow& aFlow, TimePoint aNow)
 {
-  SetBusy(aFlow, false, aNow);
+  SetRequestPending(aFlow, false, aNow);
   if (!aFlow.mClosed) {
     aFlow.mClosed = true;
     --mOpenFlows;
--- a/lib/Packet/PacketBalancer.cpp
+++ b/lib/Packet/PacketBalancer.cpp
@@ -1,4 +1,4 @@
-// Events and decisions of a packet balancer.
+// Event handling and placement of flows at a packet balancer.
 #include "dandelionslip/Packet/PacketBalancer.h"
 
 #include "RouteKey.h"
@@ -15,27 +15,30 @@
 
 namespace {
 
-// An agent without a place in the view is kept while it reports, and this much longer, since its
+// An agent that is not in the view is kept until it has not reported for this long, because its
 // upstream may still hold flows.
-constexpr Milliseconds kAgentMemory{10'000};
+constexpr Milliseconds kAgentRetention{10'000};
 
-// Packets that all agents get because only their upstreams know a flow. At 1,200 bytes they take a
-// quarter of the smallest link, 1.9 Mbit/s.
+// Limit of flow probes in searches among all agents. At 1,200 bytes each, they take a quarter of
+// the smallest link, 1.9 Mbit/s.
 constexpr std::uint32_t kProbesPerSecond = 50;
 
-// Packets of open flows kept until the balancer is ready; at 1,200 bytes they take 0.3 MB.
+// Limit of packets of open flows that are kept until the balancer is ready. At 1,200 bytes each,
+// they take 0.3 MB.
 constexpr std::size_t kMaxEarlyPackets = 256;
 
-// How often openings that waited too long are looked for; a caller waits that much longer at most.
+// Interval between checks for openings that waited too long; a caller waits at most that much
+// longer.
 constexpr Milliseconds kExpiryInterval{50};
 
-// A request that begins later than this part of its route's timeout rarely ends in time.
-constexpr double kWaitingPart = 0.8;
+// An opening waits at most this part of its route's timeout: requests that start later rarely end
+// in time.
+constexpr double kMaxWaitFraction = 0.8;
 
-Milliseconds LongestWait(Milliseconds aTimeout, const PacketBalancerSettings& aSettings)
+Milliseconds MaxWait(Milliseconds aTimeout, const PacketBalancerSettings& aSettings)
 {
-  const auto wait = std::chrono::duration_cast<Milliseconds>(aTimeout * kWaitingPart);
-  return std::min(aSettings.mOpeningWait, wait);
+  const auto wait = std::chrono::duration_cast<Milliseconds>(aTimeout * kMaxWaitFraction);
+  return std::min(aSettings.mMaxOpeningWait, wait);
 }
 
 } // namespace
@@ -56,7 +59,7 @@
   , mPlaced(aRegistry.CounterFor("dandelionslip_flows_placed_total"))
   , mFlowsFull(aRegistry.CounterFor("dandelionslip_packets_dropped_total", "reason=\"flows_full\""))
   , mWaited(aRegistry.CounterFor("dandelionslip_openings_waited_total"))
-  , mWaitedInVain(aRegistry.CounterFor("dandelionslip_openings_waited_in_vain_total"))
+  , mWaitExpired(aRegistry.CounterFor("dandelionslip_openings_waited_in_vain_total"))
 {
   for (std::size_t i = 0; i < kReturnReasons; ++i) {
     const auto reason = ToString(static_cast<ReturnReason>(i));
@@ -68,8 +71,8 @@
 void PacketBalancer::OnState(const Configuration& aConfiguration, const View& aView,
                              PacketOutput& aOutput, TimePoint aNow)
 {
-  if (aConfiguration.mRevision > mRevision) {
-    mRevision = aConfiguration.mRevision;
+  if (aConfiguration.mRevision > mConfigurationRevision) {
+    mConfigurationRevision = aConfiguration.mRevision;
     mDataCentres = aConfiguration.mDataCentres;
   }
   const bool newRoutes = aConfiguration.mRoutes.mVersion > mRouteVersion;
@@ -79,7 +82,7 @@
     mRoutes.clear();
     for (const Route& route : aConfiguration.mRoutes.mRoutes) {
       RouteEntry entry{route.mName, route.mTargets, 0, route.mPriority,
-                       LongestWait(route.mTimeout, mSettings)};
+                       MaxWait(route.mTimeout, mSettings)};
       for (const RouteTarget& target : route.mTargets) {
         entry.mTotalWeight += target.mWeight;
       }
@@ -87,23 +90,23 @@
     }
     LogEvent(LogLevel::Info, "routes_in_force")
       .With("version", mRouteVersion)
-      .With("revision", mRevision)
+      .With("revision", mConfigurationRevision)
       .With("routes", mRoutes.size());
   }
   if (aView.mRevision > mViewRevision) {
     mViewRevision = aView.mRevision;
-    TakeView(aView, aNow);
+    ApplyView(aView, aNow);
   }
   if (mRouteVersion != 0 && (newRoutes || !hadAgents)) {
-    PlaceWaiting(
+    PlaceWaitingOpenings(
       mWaiting.Size(), [](const WaitingOpening&) { return true; }, aOutput, aNow);
   }
-  if (Ready() && !mEarly.empty()) {
-    ForwardEarly(aOutput, aNow);
+  if (Ready() && !mEarlyPackets.empty()) {
+    ForwardEarlyPackets(aOutput, aNow);
   }
 }
 
-void PacketBalancer::TakeView(const View& aView, TimePoint aNow)
+void PacketBalancer::ApplyView(const View& aView, TimePoint aNow)
 {
   for (auto& [endpoint, agent] : mAgents) {
     agent.mInView = false;
@@ -113,22 +116,22 @@
     std::count_if(aView.mMembers.begin(), aView.mMembers.end(), [](const auto& aItem) {
       return aItem.second.mKind == MemberKind::Balancer && HoldsFlows(aItem.second.mState);
     }));
-  // A lost agent's endpoint may belong to a live one by now, which comes second.
+  // The endpoint of a lost agent may meanwhile belong to a live one, which must be applied last.
   for (const bool lost : {true, false}) {
     for (const auto& [name, member] : aView.mMembers) {
       if (member.mKind == MemberKind::Agent && member.mState != MemberState::Left &&
           (member.mState == MemberState::Lost) == lost) {
-        TakeAgent(member, aNow);
+        ApplyAgent(member, aNow);
       }
     }
   }
-  mHomes.Update(aView);
+  mDirectoryAgents.Update(aView);
   if (!mFirstAgentAt && !mAgents.empty()) {
     mFirstAgentAt = aNow;
   }
 }
 
-void PacketBalancer::TakeAgent(const Member& aMember, TimePoint aNow)
+void PacketBalancer::ApplyAgent(const Member& aMember, TimePoint aNow)
 {
   const auto endpoint = Endpoint::Parse(aMember.mDatagramEndpoint);
   if (!endpoint) {
@@ -139,7 +142,7 @@
   }
   Agent& agent = mAgents[endpoint.value()];
   agent.mService = aMember.mService;
-  agent.mSeed = HashOf(endpoint.value());
+  agent.mEndpointHash = HashOf(endpoint.value());
   agent.mDataCentre = aMember.mDataCentre;
   if (aMember.mState == MemberState::Lost) {
     agent.mLostAt = agent.mLostAt.value_or(aNow);
@@ -156,7 +159,8 @@
   return found == mRoutes.end() ? nullptr : &found->second;
 }
 
-// The same on every balancer, so that a copy of an opening packet goes to the same service.
+// Chooses a target of the route by weight. The choice depends only on the flow and the route, so
+// that every balancer sends a retransmitted opening packet to the same service.
 const std::string& PacketBalancer::ServiceFor(const RouteEntry& aRoute, const FlowKey& aFlow) const
 {
   std::uint64_t point = HashOf(aFlow) % aRoute.mTotalWeight;
@@ -169,7 +173,7 @@
   return aRoute.mTargets.back().mService;
 }
 
-PacketBalancer::Flow& PacketBalancer::FlowOf(const FlowKey& aFlow, TimePoint aNow)
+PacketBalancer::Flow& PacketBalancer::FindOrAddFlow(const FlowKey& aFlow, TimePoint aNow)
 {
   Flow& flow = mFlows[aFlow];
   flow.mUsedAt = aNow;
@@ -189,12 +193,12 @@
     return;
   }
   if (segment->mOpens) {
-    Open(*segment, aPacket, aOutput, aNow);
+    OnOpening(*segment, aPacket, aOutput, aNow);
     return;
   }
   if (!Ready()) {
-    if (mEarly.size() < kMaxEarlyPackets) {
-      mEarly.push_back({{aPacket.begin(), aPacket.end()}, aNow});
+    if (mEarlyPackets.size() < kMaxEarlyPackets) {
+      mEarlyPackets.push_back({{aPacket.begin(), aPacket.end()}, aNow});
     }
     return;
   }
@@ -202,58 +206,58 @@
     mNoRoute.Add();
     return;
   }
-  Flow& flow = FlowOf(segment->mFlow, aNow);
+  Flow& flow = FindOrAddFlow(segment->mFlow, aNow);
   if (!flow.mHolder) {
-    LookFor(*segment, flow, aPacket, aOutput, aNow);
+    SearchHolder(*segment, flow, aPacket, aOutput, aNow);
     return;
   }
   mForwarded.Add();
   aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
 }
 
-// Packets of open flows that came before the balancer was ready: their callers send them again only
-// after up to 1.6 s.
-void PacketBalancer::ForwardEarly(PacketOutput& aOutput, TimePoint aNow)
+// Handles the packets of open flows that came before the balancer was ready, because callers may
+// wait up to 1.6 s before they retransmit. Packets that are too old are dropped.
+void PacketBalancer::ForwardEarlyPackets(PacketOutput& aOutput, TimePoint aNow)
 {
-  for (EarlyPacket& early : std::exchange(mEarly, {})) {
-    if (aNow - early.mAt <= mSettings.mOpeningWait) {
+  for (EarlyPacket& early : std::exchange(mEarlyPackets, {})) {
+    if (aNow - early.mArrivedAt <= mSettings.mMaxOpeningWait) {
       OnCallerPacket(early.mPacket, aOutput, aNow);
     }
   }
 }
 
-void PacketBalancer::Open(const Segment& aSegment, std::span<const std::uint8_t> aPacket,
-                          PacketOutput& aOutput, TimePoint aNow)
+void PacketBalancer::OnOpening(const Segment& aSegment, std::span<const std::uint8_t> aPacket,
+                               PacketOutput& aOutput, TimePoint aNow)
 {
   if (mRouteVersion == 0) {
-    Wait(aSegment, 0, mSettings.mOpeningWait, aPacket, aNow);
+    EnqueueOpening(aSegment, 0, mSettings.mMaxOpeningWait, aPacket, aNow);
     return;
   }
   const RouteEntry* route = FindRoute(aSegment.mFlow);
   if (route == nullptr) {
-    Reset(aSegment, aOutput, mNoRoute);
+    RefuseFlow(aSegment, aOutput, mNoRoute);
     return;
   }
   if (mWaiting.Contains(aSegment.mFlow)) {
     return;
   }
-  Flow& flow = FlowOf(aSegment.mFlow, aNow);
-  if (aSegment.mCopyNumber > 0 && flow.mHolder) {
+  Flow& flow = FindOrAddFlow(aSegment.mFlow, aNow);
+  if (aSegment.mRetransmission > 0 && flow.mHolder) {
     mForwarded.Add();
     aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
     return;
   }
   flow = Flow{};
   flow.mUsedAt = aNow;
-  Place(aSegment, flow, *route, aPacket, aOutput, aNow);
+  PlaceFlow(aSegment, flow, *route, aPacket, aOutput, aNow);
 }
 
-void PacketBalancer::Place(const Segment& aSegment, Flow& aFlow, const RouteEntry& aRoute,
-                           std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
-                           TimePoint aNow)
+void PacketBalancer::PlaceFlow(const Segment& aSegment, Flow& aFlow, const RouteEntry& aRoute,
+                               std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
+                               TimePoint aNow)
 {
   auto holder = ChooseAgent(ServiceFor(aRoute, aSegment.mFlow), aSegment.mFlow, aFlow, aNow);
-  // Where the drawn service has no upstream left, the other services of the route may serve.
+  // If the chosen service has no upstream for the flow, try the other targets of the route.
   for (auto target = aRoute.mTargets.begin(); !holder && target != aRoute.mTargets.end();
        ++target) {
     if (target->mWeight > 0) {
@@ -265,15 +269,15 @@
     const bool waits = MayAcceptSoon(aRoute, aFlow, aNow);
     mFlows.erase(aSegment.mFlow);
     if (waits) {
-      Wait(aSegment, aRoute.mPriority, aRoute.mWait, aPacket, aNow);
+      EnqueueOpening(aSegment, aRoute.mPriority, aRoute.mMaxWait, aPacket, aNow);
     } else {
-      Reset(aSegment, aOutput, mNoUpstream);
+      RefuseFlow(aSegment, aOutput, mNoUpstream);
     }
     return;
   }
   mPlaced.Add();
   LogPlacement(aSegment, *holder, aNow);
-  ++mAgents[*holder].mPlaced;
+  ++mAgents[*holder].mPlacedSinceReport;
   aOutput.SendToNode(*holder, {HopKind::Deliver, ReturnReason::None}, aPacket);
 }
 
@@ -285,18 +289,18 @@
                      : -1;
   LogEvent(LogLevel::Info, "flow_placed")
     .With("flow", ToString(aSegment.mFlow))
-    .With("copy", aSegment.mCopyNumber)
+    .With("copy", aSegment.mRetransmission)
     .With("service", agent.mService)
     .With("agent", aHolder.ToString())
     .With("report_age_ms", age)
-    .With("flows", agent.mReport.mFlows + agent.mPlaced)
+    .With("flows", agent.mReport.mFlows + agent.mPlacedSinceReport)
     .With("requests", agent.mReport.mRequests)
     .With("cold", agent.mReport.mCold ? "true" : "false")
     .With("routes", mRouteVersion)
     .With("view", mViewRevision);
 }
 
-bool PacketBalancer::RouteEntry::LeadsTo(const std::string& aService) const
+bool PacketBalancer::RouteEntry::HasTarget(const std::string& aService) const
 {
   return std::any_of(mTargets.begin(), mTargets.end(), [&](const RouteTarget& aTarget) {
     return aTarget.mWeight > 0 && aTarget.mService == aService;
@@ -323,28 +327,28 @@
     return aAgent.mTakesNewWork;
   }
   const bool fresh = aNow - *aAgent.mReportedAt <= mSettings.mReportLifetime;
-  const bool coldAndFull = aAgent.mReport.mCold && OpensLeft(aAgent) == 0;
+  const bool coldAndFull = aAgent.mReport.mCold && ColdOpensLeft(aAgent) == 0;
   return fresh && aAgent.mReport.mAccepts && !coldAndFull;
 }
 
-std::vector<Endpoint> PacketBalancer::ChoicesFor(const std::string& aService,
-                                                 const FlowKey& aKey) const
+std::vector<Endpoint> PacketBalancer::CandidatesFor(const std::string& aService,
+                                                    const FlowKey& aKey) const
 {
   const std::uint64_t hash = HashOf(aKey);
   std::vector<std::pair<std::uint64_t, Endpoint>> ranked;
   for (const auto& [endpoint, agent] : mAgents) {
     if (agent.mService == aService) {
-      ranked.emplace_back(CombineHash(hash, agent.mSeed), endpoint);
+      ranked.emplace_back(CombineHash(hash, agent.mEndpointHash), endpoint);
     }
   }
-  const std::size_t count = std::min(ranked.size(), kPlacementChoices);
+  const std::size_t count = std::min(ranked.size(), kPlacementCandidates);
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count),
                     ranked.end(), std::greater<>());
-  std::vector<Endpoint> choices;
+  std::vector<Endpoint> candidates;
   for (std::size_t i = 0; i < count; ++i) {
-    choices.push_back(ranked[i].second);
+    candidates.push_back(ranked[i].second);
   }
-  return choices;
+  return candidates;
 }
 
 std::optional<Endpoint> PacketBalancer::ChooseAmong(std::span<const Endpoint> aAgents,
@@ -355,7 +359,8 @@
   for (std::size_t i = 0; i < aAgents.size(); ++i) {
     const Agent& agent = mAgents.at(aAgents[i]);
     if (Accepts(aAgents[i], agent, aFlow, aNow)) {
-      candidates.push_back({i, agent.mReportedAt ? &agent.mReport : &kUnreported, agent.mPlaced});
+      candidates.push_back(
+        {i, agent.mReportedAt ? &agent.mReport : &kUnreported, agent.mPlacedSinceReport});
     }
   }
   const auto chosen = ChoosePlacement(candidates, mRandom);
@@ -366,7 +371,7 @@
                                                     const FlowKey& aKey, const Flow& aFlow,
                                                     TimePoint aNow)
 {
-  if (const auto chosen = ChooseAmong(ChoicesFor(aService, aKey), aFlow, aNow)) {
+  if (const auto chosen = ChooseAmong(CandidatesFor(aService, aKey), aFlow, aNow)) {
     return chosen;
   }
   std::vector<Endpoint> all;
@@ -384,15 +389,15 @@
 {
   switch (aHeader.mKind) {
     case HopKind::Load:
-      OnLoad(aFrom, aPacket, aOutput, aNow);
+      OnLoadReport(aFrom, aPacket, aOutput, aNow);
       return;
     case HopKind::Returned:
       OnReturned(aFrom, aHeader.mReason, aPacket, aOutput, aNow);
       return;
-    case HopKind::Held:
+    case HopKind::HolderFound:
     case HopKind::NotFound:
-    case HopKind::Unregistered:
-    case HopKind::Unsure:
+    case HopKind::NotRegistered:
+    case HopKind::ProbeNeeded:
       OnFlowMessage(aFrom, aHeader.mKind, aPacket, aOutput, aNow);
       return;
     default:
@@ -414,67 +419,67 @@
     .With("flow", ToString(segment->mFlow))
     .With("agent", aFrom.ToString())
     .With("reason", ToString(aReason));
-  Flow& flow = FlowOf(segment->mFlow, aNow);
+  Flow& flow = FindOrAddFlow(segment->mFlow, aNow);
   if (flow.mHolder && *flow.mHolder != aFrom) {
-    // The flow was found or placed elsewhere meanwhile.
+    // The flow was found or placed at another agent in the meantime.
     aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
     return;
   }
   flow.mHolder.reset();
   if (!segment->mOpens) {
     flow.mTried.push_back(aFrom);
-    LookFor(*segment, flow, aPacket, aOutput, aNow);
+    SearchHolder(*segment, flow, aPacket, aOutput, aNow);
     return;
   }
   if (aReason == ReturnReason::Cold) {
-    // Another balancer used the allowance; the next report brings a new one.
+    // Other balancers have used up the upstream's openings; the next report allows new ones.
     mAgents[aFrom].mReport.mOpensAllowed = 0;
   } else {
     flow.mTried.push_back(aFrom);
   }
   const RouteEntry* route = FindRoute(segment->mFlow);
   if (route == nullptr) {
-    Reset(*segment, aOutput, mNoRoute);
+    RefuseFlow(*segment, aOutput, mNoRoute);
     return;
   }
-  Place(*segment, flow, *route, aPacket, aOutput, aNow);
+  PlaceFlow(*segment, flow, *route, aPacket, aOutput, aNow);
 }
 
-void PacketBalancer::OnLoad(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
-                            PacketOutput& aOutput, TimePoint aNow)
+void PacketBalancer::OnLoadReport(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
+                                  PacketOutput& aOutput, TimePoint aNow)
 {
   auto report = LoadReport::Decode(aBytes);
   if (!report) {
     mMalformed.Add();
     return;
   }
-  if (report.value().mGone) {
+  if (report.value().mUpstreamExited) {
     mAgents.erase(aFrom);
     return;
   }
   Agent& agent = mAgents[aFrom];
-  agent.mSeed = HashOf(aFrom);
+  agent.mEndpointHash = HashOf(aFrom);
   agent.mService = report.value().mService;
   agent.mDataCentre = report.value().mDataCentre;
   agent.mReport = std::move(report.value());
   agent.mReportedAt = aNow;
-  agent.mPlaced = 0;
-  OfferToWaiting(agent, aOutput, aNow);
+  agent.mPlacedSinceReport = 0;
+  PlaceWaitingAt(agent, aOutput, aNow);
   if (aNow - mExpiryCheckedAt >= kExpiryInterval) {
-    GiveUpExpired(aOutput, aNow);
+    ResetExpiredOpenings(aOutput, aNow);
   }
 }
 
-void PacketBalancer::Reset(const Segment& aSegment, PacketOutput& aOutput, Counter& aCounter)
+void PacketBalancer::RefuseFlow(const Segment& aSegment, PacketOutput& aOutput, Counter& aCounter)
 {
   aCounter.Add();
   LogEvent(LogLevel::Info, "flow_refused")
     .With("flow", ToString(aSegment.mFlow))
-    .With("copy", aSegment.mCopyNumber)
-    .With("reason", &aCounter == &mNoRoute        ? "no_route"
-                    : &aCounter == &mNotFound     ? "not_found"
-                    : &aCounter == &mWaitedInVain ? "waited_too_long"
-                                                  : "no_upstream")
+    .With("copy", aSegment.mRetransmission)
+    .With("reason", &aCounter == &mNoRoute       ? "no_route"
+                    : &aCounter == &mNotFound    ? "not_found"
+                    : &aCounter == &mWaitExpired ? "waited_too_long"
+                                                 : "no_upstream")
     .With("routes", mRouteVersion)
     .With("view", mViewRevision)
     .With("agents", mAgents.size())
@@ -485,14 +490,15 @@
 void PacketBalancer::OnTick(PacketOutput& aOutput, TimePoint aNow)
 {
   mProbesLeft = kProbesPerSecond;
-  GiveUpExpired(aOutput, aNow);
-  std::erase_if(
-    mFlows, [&](const auto& aItem) { return aNow - aItem.second.mUsedAt > mSettings.mFlowMemory; });
+  ResetExpiredOpenings(aOutput, aNow);
+  std::erase_if(mFlows, [&](const auto& aItem) {
+    return aNow - aItem.second.mUsedAt > mSettings.mFlowRetention;
+  });
   std::erase_if(mAgents, [&](const auto& aItem) {
     const Agent& agent = aItem.second;
     const bool mayHoldFlows = agent.mLostAt && aNow - *agent.mLostAt <= mSettings.mMaxFlowAge;
     return !agent.mInView && !mayHoldFlows &&
-           (!agent.mReportedAt || aNow - *agent.mReportedAt > kAgentMemory);
+           (!agent.mReportedAt || aNow - *agent.mReportedAt > kAgentRetention);
   });
 }
 
--- a/lib/Packet/PacketBalancerSearch.cpp
+++ b/lib/Packet/PacketBalancerSearch.cpp
@@ -1,4 +1,4 @@
-// Finds the agent that holds a flow which this balancer does not know.
+// Search for the holder of a flow that is not in the balancer's flow table.
 #include "dandelionslip/Packet/PacketBalancer.h"
 
 #include "dandelionslip/Support/Log.h"
@@ -9,17 +9,17 @@
 
 namespace {
 
-// Agents that have not answered a search are asked again when this has passed: the first
+// A packet that comes this long after the last queries sends new ones. Slightly less than the first
 // retransmission interval of callers.
-constexpr Milliseconds kSearchPause{180};
+constexpr Milliseconds kRetryInterval{180};
 
-// A search that has not ended asks the homes again after this time; a registration may have come
-// since.
+// A search that has not ended in this time starts over with the directory agents, because the flow
+// may have been registered since.
 constexpr Milliseconds kSearchLifetime{2'000};
 
-// Packets kept until the holder is found; a caller has up to 16 in flight, and sends the others
-// again.
-constexpr std::size_t kKeptPackets = 4;
+// Limit of packets that are kept until the holder is found. A caller has up to 16 in flight and
+// retransmits the others.
+constexpr std::size_t kMaxKeptPackets = 4;
 
 bool Contains(std::span<const Endpoint> aEndpoints, const Endpoint& aEndpoint)
 {
@@ -28,121 +28,128 @@
 
 } // namespace
 
-void PacketBalancer::Ask(const FlowKey& aKey, Search& aSearch, HopKind aKind, PacketOutput& aOutput,
-                         TimePoint aNow)
+// Queries all agents that have not answered. In stage AllAgents, the search budget limits the
+// number of queries.
+void PacketBalancer::SendQueries(const FlowKey& aKey, Search& aSearch, HopKind aKind,
+                                 PacketOutput& aOutput, TimePoint aNow)
 {
-  const bool rationed = aSearch.mStage == SearchStage::Everywhere;
+  const bool limited = aSearch.mStage == SearchStage::AllAgents;
   const auto message = FlowMessage{{}, {aKey}}.Encode();
-  for (const Endpoint& agent : aSearch.mAsked) {
-    if (rationed && !mSearchBudget.TryTake(aNow)) {
+  for (const Endpoint& agent : aSearch.mUnanswered) {
+    if (limited && !mSearchBudget.TryTake(aNow)) {
       return;
     }
     aOutput.SendToNode(agent, {aKind, ReturnReason::None}, message);
   }
 }
 
-// Whether the homes know all flows of the agent, so that it need not be asked itself.
-bool PacketBalancer::IsCovered(const Agent& aAgent, TimePoint aNow) const
+// Whether the directory agents know all flows of the agent, so that it need not be queried itself.
+bool PacketBalancer::IsCoveredByDirectory(const Agent& aAgent, TimePoint aNow) const
 {
   return aAgent.mReportedAt && aNow - *aAgent.mReportedAt <= mSettings.mReportLifetime &&
-         mHomes.Digest() != 0 && aAgent.mReport.mRegisteredWith == mHomes.Digest();
+         mDirectoryAgents.Digest() != 0 &&
+         aAgent.mReport.mRegisteredWithDigest == mDirectoryAgents.Digest();
 }
 
-// Whether both homes deny a flow that they would know if a covered agent held it. The homes must
-// have seen the view that this balancer has, with their present process in it.
-bool PacketBalancer::HomesDeny(const FlowKey& aKey, const Search& aSearch, TimePoint aNow) const
+// Whether the directory agents show that no covered agent holds the flow: all of them have answered
+// NotRegistered, so that each is in its own view in its current incarnation, and each is itself
+// covered, so that it has applied the same agents as this balancer.
+bool PacketBalancer::DirectoryRulesOut(const FlowKey& aKey, const Search& aSearch,
+                                       TimePoint aNow) const
 {
-  const auto homes = mHomes.Of(aKey);
-  return aSearch.mStage == SearchStage::Homes && !homes.empty() &&
-         std::all_of(homes.begin(), homes.end(), [&](const Endpoint& aHome) {
-           const auto agent = mAgents.find(aHome);
-           return Contains(aSearch.mUnregistered, aHome) && agent != mAgents.end() &&
-                  IsCovered(agent->second, aNow);
+  const auto directoryAgents = mDirectoryAgents.AgentsFor(aKey);
+  return aSearch.mStage == SearchStage::DirectoryAgents && !directoryAgents.empty() &&
+         std::all_of(directoryAgents.begin(), directoryAgents.end(), [&](const Endpoint& aAgent) {
+           const auto agent = mAgents.find(aAgent);
+           return Contains(aSearch.mAgentsWithoutEntry, aAgent) && agent != mAgents.end() &&
+                  IsCoveredByDirectory(agent->second, aNow);
          });
 }
 
-// The agents of the next stage that have not denied the flow. The last stage asks every agent, or
-// those that the homes do not speak for.
-void PacketBalancer::AskNext(const FlowKey& aKey, Search& aSearch, PacketOutput& aOutput,
-                             TimePoint aNow)
+// Goes on to the next stage that has agents which are not ruled out, and queries them. The last
+// stage consists of all agents or, if the directory rules out the covered agents, of the others.
+void PacketBalancer::QueryNextStage(const FlowKey& aKey, Search& aSearch, PacketOutput& aOutput,
+                                    TimePoint aNow)
 {
-  const bool denied = HomesDeny(aKey, aSearch, aNow);
-  aSearch.mAsked.clear();
+  const bool directoryRulesOut = DirectoryRulesOut(aKey, aSearch, aNow);
+  aSearch.mUnanswered.clear();
   const auto add = [&](const Endpoint& aAgent) {
-    if (!Contains(aSearch.mDenied, aAgent)) {
-      aSearch.mAsked.push_back(aAgent);
+    if (!Contains(aSearch.mRuledOut, aAgent)) {
+      aSearch.mUnanswered.push_back(aAgent);
     }
   };
-  if (aSearch.mStage == SearchStage::Homes && !denied) {
-    aSearch.mStage = SearchStage::Choices;
+  if (aSearch.mStage == SearchStage::DirectoryAgents && !directoryRulesOut) {
+    aSearch.mStage = SearchStage::Candidates;
     const RouteEntry* route = FindRoute(aKey);
     for (std::size_t i = 0; route != nullptr && i < route->mTargets.size(); ++i) {
-      const auto choices = ChoicesFor(route->mTargets[i].mService, aKey);
-      std::for_each(choices.begin(), choices.end(), add);
+      const auto candidates = CandidatesFor(route->mTargets[i].mService, aKey);
+      std::for_each(candidates.begin(), candidates.end(), add);
     }
   }
-  if (aSearch.mAsked.empty()) {
-    aSearch.mStage = SearchStage::Everywhere;
+  if (aSearch.mUnanswered.empty()) {
+    aSearch.mStage = SearchStage::AllAgents;
     for (const auto& [endpoint, agent] : mAgents) {
-      if (!denied || !IsCovered(agent, aNow)) {
+      if (!directoryRulesOut || !IsCoveredByDirectory(agent, aNow)) {
         add(endpoint);
       }
     }
   }
-  Ask(aKey, aSearch, HopKind::QueryHeld, aOutput, aNow);
+  SendQueries(aKey, aSearch, HopKind::QueryLocal, aOutput, aNow);
 }
 
-// The homes of the flow are asked first. When they do not answer, or named an agent that does not
-// hold the flow, the search goes on.
-void PacketBalancer::LookFor(const Segment& aSegment, Flow& aFlow,
-                             std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
-                             TimePoint aNow)
+// Starts or continues the search for a flow's holder. The directory agents are queried first. The
+// search goes on to the next stage if they do not answer or have named an agent that does not hold
+// the flow.
+void PacketBalancer::SearchHolder(const Segment& aSegment, Flow& aFlow,
+                                  std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
+                                  TimePoint aNow)
 {
-  if (aFlow.mSearch && aNow - aFlow.mSearch->mBegan <= kSearchLifetime) {
-    Continue(aSegment, aFlow, aPacket, aOutput, aNow);
+  if (aFlow.mSearch && aNow - aFlow.mSearch->mStartedAt <= kSearchLifetime) {
+    ContinueSearch(aSegment, aFlow, aPacket, aOutput, aNow);
     return;
   }
   aFlow.mSearch = std::make_unique<Search>();
   Search& search = *aFlow.mSearch;
-  search.mBegan = search.mSince = aNow;
-  search.mDenied = aFlow.mTried;
+  search.mStartedAt = search.mLastQueriedAt = aNow;
+  search.mRuledOut = aFlow.mTried;
   search.mPackets.emplace_back(aPacket.begin(), aPacket.end());
   mSearched.Add();
-  search.mAsked = mHomes.Of(aSegment.mFlow);
-  if (search.mAsked.empty() || !aFlow.mTried.empty()) {
-    AskNext(aSegment.mFlow, search, aOutput, aNow);
+  search.mUnanswered = mDirectoryAgents.AgentsFor(aSegment.mFlow);
+  if (search.mUnanswered.empty() || !aFlow.mTried.empty()) {
+    QueryNextStage(aSegment.mFlow, search, aOutput, aNow);
   } else {
-    Ask(aSegment.mFlow, search, HopKind::Query, aOutput, aNow);
+    SendQueries(aSegment.mFlow, search, HopKind::Query, aOutput, aNow);
   }
-  EndFruitless(aSegment.mFlow, search, aOutput, aNow);
+  ResetIfNotFound(aSegment.mFlow, search, aOutput, aNow);
 }
 
-// A packet of a flow that is being looked for. Agents that have not answered are asked again; what
-// others have denied stays denied.
-void PacketBalancer::Continue(const Segment& aSegment, Flow& aFlow,
-                              std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
-                              TimePoint aNow)
+// Handles a further packet of a flow during a search: keeps it and, after kRetryInterval, sends new
+// queries. Agents that were ruled out are not queried again.
+void PacketBalancer::ContinueSearch(const Segment& aSegment, Flow& aFlow,
+                                    std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
+                                    TimePoint aNow)
 {
   Search& search = *aFlow.mSearch;
-  const bool pause = aNow - search.mSince > kSearchPause;
-  if (pause) {
+  const bool retry = aNow - search.mLastQueriedAt > kRetryInterval;
+  if (retry) {
     search.mPackets.clear();
   }
-  if (search.mPackets.size() < kKeptPackets) {
+  if (search.mPackets.size() < kMaxKeptPackets) {
     search.mPackets.emplace_back(aPacket.begin(), aPacket.end());
   }
-  if (!pause) {
+  if (!retry) {
     return;
   }
-  search.mSince = aNow;
-  if (search.mStage == SearchStage::Everywhere) {
-    Ask(aSegment.mFlow, search, HopKind::QueryHeld, aOutput, aNow);
+  search.mLastQueriedAt = aNow;
+  if (search.mStage == SearchStage::AllAgents) {
+    SendQueries(aSegment.mFlow, search, HopKind::QueryLocal, aOutput, aNow);
   } else {
-    AskNext(aSegment.mFlow, search, aOutput, aNow);
+    QueryNextStage(aSegment.mFlow, search, aOutput, aNow);
   }
-  EndFruitless(aSegment.mFlow, search, aOutput, aNow);
+  ResetIfNotFound(aSegment.mFlow, search, aOutput, aNow);
 }
 
+// Whether the view has had time to become complete since the first agents were known.
 bool PacketBalancer::IsSettled(TimePoint aNow) const
 {
   return mFirstAgentAt && aNow - *mFirstAgentAt >= mSettings.mSettleTime;
@@ -163,35 +170,36 @@
     return;
   }
   Flow& flow = found->second;
-  if (aKind == HopKind::Unsure) {
-    Probe(aFrom, *flow.mSearch, aOutput);
-  } else if (aKind == HopKind::Held) {
-    OnHeld(key, flow, message.value().mHolder, aOutput, aNow);
+  if (aKind == HopKind::ProbeNeeded) {
+    SendProbe(aFrom, *flow.mSearch, aOutput);
+  } else if (aKind == HopKind::HolderFound) {
+    OnHolderFound(key, flow, message.value().mHolder, aOutput, aNow);
   } else {
-    if (aKind == HopKind::Unregistered) {
-      flow.mSearch->mUnregistered.push_back(aFrom);
+    if (aKind == HopKind::NotRegistered) {
+      flow.mSearch->mAgentsWithoutEntry.push_back(aFrom);
     }
-    OnDenied(key, *flow.mSearch, aFrom, aOutput, aNow);
+    OnNotFound(key, *flow.mSearch, aFrom, aOutput, aNow);
   }
 }
 
-// Only the agent's upstream knows: it gets a packet of the flow.
-void PacketBalancer::Probe(const Endpoint& aAgent, const Search& aSearch, PacketOutput& aOutput)
+// Sends the agent a packet of the flow to deliver, because only its upstream knows whether it holds
+// the flow.
+void PacketBalancer::SendProbe(const Endpoint& aAgent, const Search& aSearch, PacketOutput& aOutput)
 {
-  const bool rationed = aSearch.mStage == SearchStage::Everywhere;
-  if (rationed && mProbesLeft == 0) {
+  const bool limited = aSearch.mStage == SearchStage::AllAgents;
+  if (limited && mProbesLeft == 0) {
     return;
   }
-  mProbesLeft -= rationed ? 1 : 0;
-  aOutput.SendToNode(aAgent, {HopKind::DeliverIfHeld, ReturnReason::None}, aSearch.mPackets.back());
+  mProbesLeft -= limited ? 1 : 0;
+  aOutput.SendToNode(aAgent, {HopKind::Probe, ReturnReason::None}, aSearch.mPackets.back());
 }
 
-void PacketBalancer::OnHeld(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
-                            PacketOutput& aOutput, TimePoint aNow)
+void PacketBalancer::OnHolderFound(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
+                                   PacketOutput& aOutput, TimePoint aNow)
 {
-  if (Contains(aFlow.mTried, aHolder) && aFlow.mSearch->mStage == SearchStage::Homes) {
-    // The registration is out of date.
-    AskNext(aKey, *aFlow.mSearch, aOutput, aNow);
+  if (Contains(aFlow.mTried, aHolder) && aFlow.mSearch->mStage == SearchStage::DirectoryAgents) {
+    // The registration is out of date: this agent has returned a packet of the flow.
+    QueryNextStage(aKey, *aFlow.mSearch, aOutput, aNow);
     return;
   }
   const auto search = std::move(aFlow.mSearch);
@@ -200,9 +208,9 @@
   LogEvent(LogLevel::Info, "flow_found")
     .With("flow", ToString(aKey))
     .With("agent", aHolder.ToString())
-    .With("asked", search->mStage == SearchStage::Homes     ? "homes"
-                   : search->mStage == SearchStage::Choices ? "choices"
-                                                            : "all")
+    .With("asked", search->mStage == SearchStage::DirectoryAgents ? "homes"
+                   : search->mStage == SearchStage::Candidates    ? "choices"
+                                                                  : "all")
     .With("view", mViewRevision);
   for (const auto& packet : search->mPackets) {
     mForwarded.Add();
@@ -210,33 +218,34 @@
   }
 }
 
-void PacketBalancer::OnDenied(const FlowKey& aKey, Search& aSearch, const Endpoint& aFrom,
-                              PacketOutput& aOutput, TimePoint aNow)
+void PacketBalancer::OnNotFound(const FlowKey& aKey, Search& aSearch, const Endpoint& aFrom,
+                                PacketOutput& aOutput, TimePoint aNow)
 {
-  if (!Contains(aSearch.mDenied, aFrom)) {
-    aSearch.mDenied.push_back(aFrom);
+  if (!Contains(aSearch.mRuledOut, aFrom)) {
+    aSearch.mRuledOut.push_back(aFrom);
   }
-  if (std::erase(aSearch.mAsked, aFrom) == 0 || !aSearch.mAsked.empty()) {
+  if (std::erase(aSearch.mUnanswered, aFrom) == 0 || !aSearch.mUnanswered.empty()) {
     return;
   }
-  if (aSearch.mStage != SearchStage::Everywhere) {
-    AskNext(aKey, aSearch, aOutput, aNow);
+  if (aSearch.mStage != SearchStage::AllAgents) {
+    QueryNextStage(aKey, aSearch, aOutput, aNow);
   }
-  EndFruitless(aKey, aSearch, aOutput, aNow);
+  ResetIfNotFound(aKey, aSearch, aOutput, aNow);
 }
 
-// A flow that no upstream holds is reset, so that its caller does not wait for an answer until its
-// deadline.
-void PacketBalancer::EndFruitless(const FlowKey& aKey, const Search& aSearch, PacketOutput& aOutput,
-                                  TimePoint aNow)
+// Resets the flow if all agents are ruled out, so that its caller does not wait until the deadline.
+// Before the view is settled, an unknown agent may still hold the flow.
+void PacketBalancer::ResetIfNotFound(const FlowKey& aKey, const Search& aSearch,
+                                     PacketOutput& aOutput, TimePoint aNow)
 {
-  if (aSearch.mStage != SearchStage::Everywhere || !aSearch.mAsked.empty() || !IsSettled(aNow)) {
+  if (aSearch.mStage != SearchStage::AllAgents || !aSearch.mUnanswered.empty() ||
+      !IsSettled(aNow)) {
     return;
   }
   const auto segment = mCodec.DecodeFromCaller(aSearch.mPackets.back());
   mFlows.erase(aKey);
   if (segment && !segment->mResets) {
-    Reset(*segment, aOutput, mNotFound);
+    RefuseFlow(*segment, aOutput, mNotFound);
   }
 }
 
--- a/lib/Packet/PacketBalancerWaiting.cpp
+++ b/lib/Packet/PacketBalancerWaiting.cpp
@@ -1,4 +1,4 @@
-// Opening packets that wait at a balancer until an upstream may accept them.
+// Opening packets that a balancer queues until an upstream may accept them.
 #include "dandelionslip/Packet/PacketBalancer.h"
 
 #include "dandelionslip/Support/Durations.h"
@@ -8,8 +8,9 @@
 
 namespace dandelionslip {
 
-void PacketBalancer::Wait(const Segment& aSegment, std::uint32_t aPriority, Milliseconds aWait,
-                          std::span<const std::uint8_t> aPacket, TimePoint aNow)
+void PacketBalancer::EnqueueOpening(const Segment& aSegment, std::uint32_t aPriority,
+                                    Milliseconds aWait, std::span<const std::uint8_t> aPacket,
+                                    TimePoint aNow)
 {
   if (mWaiting.Size() >= mSettings.mMaxWaiting) {
     mFlowsFull.Add();
@@ -18,9 +19,9 @@
   const bool isNew = mWaiting.Add({aSegment.mFlow,
                                    {aPacket.begin(), aPacket.end()},
                                    aPriority,
-                                   mPlacedSince.value_or(aNow),
+                                   mRetriedArrival.value_or(aNow),
                                    aWait});
-  if (!isNew || mPlacedSince) {
+  if (!isNew || mRetriedArrival) {
     return;
   }
   mWaited.Add();
@@ -32,69 +33,74 @@
     .With("view", mViewRevision);
 }
 
-// Tries openings that wait again. One that must wait on keeps its place.
-void PacketBalancer::PlaceWaiting(std::size_t aCount, const OpeningQueue::Condition& aCondition,
-                                  PacketOutput& aOutput, TimePoint aNow)
+// Takes up to aCount openings out of the queue and places them again. An opening that has to wait
+// again keeps its position in the queue.
+void PacketBalancer::PlaceWaitingOpenings(std::size_t aCount,
+                                          const OpeningQueue::Condition& aCondition,
+                                          PacketOutput& aOutput, TimePoint aNow)
 {
   for (const WaitingOpening& opening : mWaiting.Take(aCount, aCondition)) {
     if (const auto segment = mCodec.DecodeFromCaller(opening.mPacket)) {
-      mPlacedSince = opening.mSince;
-      Open(*segment, opening.mPacket, aOutput, aNow);
-      mPlacedSince.reset();
+      mRetriedArrival = opening.mArrivedAt;
+      OnOpening(*segment, opening.mPacket, aOutput, aNow);
+      mRetriedArrival.reset();
       if (!mWaiting.Contains(opening.mFlow)) {
-        mWaitSeconds.Observe(Seconds(aNow - opening.mSince));
+        mWaitSeconds.Observe(Seconds(aNow - opening.mArrivedAt));
       }
     }
   }
 }
 
-// An agent that takes flows is offered the openings of its service that wait: as many as it has
-// allowed while its upstream is cold, and all afterwards.
-void PacketBalancer::OfferToWaiting(const Agent& aAgent, PacketOutput& aOutput, TimePoint aNow)
+// Places the waiting openings of routes to the agent's service if the agent accepts flows: as many
+// as it allows while its upstream is cold, otherwise all.
+void PacketBalancer::PlaceWaitingAt(const Agent& aAgent, PacketOutput& aOutput, TimePoint aNow)
 {
   const std::size_t room = !aAgent.mReport.mAccepts ? 0
-                           : aAgent.mReport.mCold   ? OpensLeft(aAgent)
+                           : aAgent.mReport.mCold   ? ColdOpensLeft(aAgent)
                                                     : mWaiting.Size();
   if (room == 0 || mRouteVersion == 0) {
     return;
   }
   const std::string service = aAgent.mService;
-  PlaceWaiting(
+  PlaceWaitingOpenings(
     room,
     [&](const WaitingOpening& aOpening) {
       const RouteEntry* route = FindRoute(aOpening.mFlow);
-      return route == nullptr || route->LeadsTo(service);
+      return route == nullptr || route->HasTarget(service);
     },
     aOutput, aNow);
 }
 
-// A caller whose opening has waited too long learns it at once, so that it need not wait for the
-// end of its own patience.
-void PacketBalancer::GiveUpExpired(PacketOutput& aOutput, TimePoint aNow)
+// Resets openings that have waited too long, so that their callers do not wait for their own
+// timeout.
+void PacketBalancer::ResetExpiredOpenings(PacketOutput& aOutput, TimePoint aNow)
 {
   mExpiryCheckedAt = aNow;
   for (const WaitingOpening& opening : mWaiting.TakeExpired(aNow)) {
     if (const auto segment = mCodec.DecodeFromCaller(opening.mPacket)) {
-      Reset(*segment, aOutput, mWaitedInVain);
+      RefuseFlow(*segment, aOutput, mWaitExpired);
     }
   }
 }
 
-std::uint32_t PacketBalancer::OpensLeft(const Agent& aAgent) const
+std::uint32_t PacketBalancer::ColdOpensLeft(const Agent& aAgent) const
 {
   const LoadReport& report = aAgent.mReport;
-  return aAgent.mPlaced >= report.mOpensAllowed ? 0 : report.mOpensAllowed - aAgent.mPlaced;
+  return aAgent.mPlacedSinceReport >= report.mOpensAllowed
+           ? 0
+           : report.mOpensAllowed - aAgent.mPlacedSinceReport;
 }
 
-// Whether an upstream of the route may accept the flow shortly: its agent has just started or has
-// not been heard from for so long that its last report says nothing; or cold upstreams, which are
-// opened few flows a second, will have taken those that wait before the caller gives up.
+// Whether an upstream of the route may accept the flow before the opening's wait expires. This
+// holds if agents may still be missing from the view, if an agent has just started or its last load
+// report is out of date, if a cold upstream will be warm in time, or if this balancer's share of
+// the flows that cold upstreams take during the wait exceeds the number of waiting openings.
 bool PacketBalancer::MayAcceptSoon(const RouteEntry& aRoute, const Flow& aFlow,
                                    TimePoint aNow) const
 {
   double coldOpens = 0;
   for (const auto& [endpoint, agent] : mAgents) {
-    if (!aRoute.LeadsTo(agent.mService)) {
+    if (!aRoute.HasTarget(agent.mService)) {
       continue;
     }
     const bool silent = !agent.mReportedAt || aNow - *agent.mReportedAt > mSettings.mReportLifetime;
@@ -103,14 +109,14 @@
       return true;
     }
     if (!silent && agent.mReport.mAccepts && agent.mReport.mCold) {
-      if (agent.mReport.mColdLeft < aRoute.mWait) {
+      if (agent.mReport.mColdLeft < aRoute.mMaxWait) {
         return true;
       }
       coldOpens += agent.mReport.mOpensPerSecond;
     }
   }
   const double share = coldOpens / static_cast<double>(std::max<std::size_t>(mBalancers, 1));
-  const double seconds = std::chrono::duration<double>(aRoute.mWait).count();
+  const double seconds = std::chrono::duration<double>(aRoute.mMaxWait).count();
   return !IsSettled(aNow) || static_cast<double>(mWaiting.Size()) < share * seconds;
 }
 
--- a/lib/Packet/Placement.cpp
+++ b/lib/Packet/Placement.cpp
@@ -9,13 +9,14 @@
 namespace {
 
 // A cold upstream runs requests at about half its speed and is opened few flows.
-constexpr double kColdShare = 0.5;
+constexpr double kColdSpeedFactor = 0.5;
 
 constexpr double kMilli = 1000.0;
 
 double SlotSpeed(const LoadReport& aReport, double aMeanSpeed)
 {
-  return aReport.mMilliRequestsPerSlot == 0 ? aMeanSpeed : aReport.mMilliRequestsPerSlot / kMilli;
+  return aReport.mMilliRequestsPerSlotSecond == 0 ? aMeanSpeed
+                                                  : aReport.mMilliRequestsPerSlotSecond / kMilli;
 }
 
 } // namespace
@@ -25,8 +26,8 @@
   double sum = 0;
   std::size_t known = 0;
   for (const PlacementCandidate& candidate : aCandidates) {
-    if (candidate.mReport->mMilliRequestsPerSlot > 0) {
-      sum += candidate.mReport->mMilliRequestsPerSlot / kMilli;
+    if (candidate.mReport->mMilliRequestsPerSlotSecond > 0) {
+      sum += candidate.mReport->mMilliRequestsPerSlotSecond / kMilli;
       ++known;
     }
   }
@@ -37,7 +38,8 @@
 {
   const LoadReport& report = *aCandidate.mReport;
   const double slots = std::max<std::uint32_t>(report.mSlots, 1);
-  const double capacity = slots * SlotSpeed(report, aMeanSpeed) * (report.mCold ? kColdShare : 1.0);
+  const double capacity =
+    slots * SlotSpeed(report, aMeanSpeed) * (report.mCold ? kColdSpeedFactor : 1.0);
   // Requests beyond the slots wait; each of them weighs like a flow that sends all the time.
   const double waiting = report.mRequests > report.mSlots ? report.mRequests - slots : 0.0;
   return (report.mFlows + aCandidate.mPlacedSinceReport + 1.0 + waiting) / capacity;
@@ -55,7 +57,7 @@
   for (const PlacementCandidate& candidate : aCandidates) {
     scores.push_back(PlacementScore(candidate, meanSpeed));
   }
-  const double limit = *std::min_element(scores.begin(), scores.end()) * kPlacementSlack;
+  const double limit = *std::min_element(scores.begin(), scores.end()) * kPlacementTolerance;
   std::vector<std::size_t> best;
   for (std::size_t i = 0; i < scores.size(); ++i) {
     if (scores[i] <= limit) {
--- a/lib/Packet/SearchBudget.cpp
+++ b/lib/Packet/SearchBudget.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 // Shares of the processor and of the link that searches may take; callers' packets need the rest.
-constexpr double kProcessorPart = 0.5;
-constexpr double kLinkPart = 0.25;
+constexpr double kProcessorFraction = 0.5;
+constexpr double kLinkFraction = 0.25;
 
 // Processor time of a query and its answer: docs/CAPACITY.md gives 28.9 us a datagram at a
 // balancer.
@@ -24,8 +24,8 @@
 
 double SearchBudget::QueriesPerSecond(const NodeCapacity& aCapacity)
 {
-  const double processor = kProcessorPart * aCapacity.mProcessorShare / kSecondsPerQuery;
-  const double link = kLinkPart * aCapacity.mLinkMbps * kMega / kBitsPerQuery;
+  const double processor = kProcessorFraction * aCapacity.mProcessorShare / kSecondsPerQuery;
+  const double link = kLinkFraction * aCapacity.mLinkMbps * kMega / kBitsPerQuery;
   return std::max(1.0, std::min(processor, link));
 }
 
--- a/lib/Packet/SpeedEstimator.cpp
+++ b/lib/Packet/SpeedEstimator.cpp
@@ -6,7 +6,7 @@
 
 namespace dandelionslip {
 
-void SpeedEstimator::OnActive(std::uint32_t aActive, std::uint32_t aSlots, TimePoint aNow)
+void SpeedEstimator::OnActiveChanged(std::uint32_t aActive, std::uint32_t aSlots, TimePoint aNow)
 {
   const double busy = std::chrono::duration<double>(aNow - mChangedAt).count() * mBusySlots;
   mChangedAt = aNow;
@@ -19,7 +19,7 @@
   mBusySeconds = mBusySeconds * kept + busy;
 }
 
-double SpeedEstimator::RequestsPerSlot() const
+double SpeedEstimator::RequestsPerSlotSecond() const
 {
   return mCompleted < kMinCompleted || mBusySeconds <= 0 ? 0.0 : mCompleted / mBusySeconds;
 }
--- a/unittests/Packet/OpeningQueueTest.cpp
+++ b/unittests/Packet/OpeningQueueTest.cpp
@@ -18,13 +18,13 @@
 class OpeningQueueTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(OpeningQueueTest);
-  CPPUNIT_TEST(ImportantAndNewOpeningsLeaveFirst);
-  CPPUNIT_TEST(CrowdAtColdUpstreamsIsServedInTime);
-  CPPUNIT_TEST(FlowsWaitOnce);
-  CPPUNIT_TEST(OnlyTheCountThatFitsLeaves);
-  CPPUNIT_TEST(ExpiredOpeningsLeave);
-  CPPUNIT_TEST(SharesAddUpAndTakeTurns);
-  CPPUNIT_TEST(NewcomersGetWhatIsLeft);
+  CPPUNIT_TEST(HighPriorityAndNewOpeningsLeaveFirst);
+  CPPUNIT_TEST(OpeningsTakenForColdUpstreamsAreServedInTime);
+  CPPUNIT_TEST(EachFlowIsQueuedOnce);
+  CPPUNIT_TEST(TakeStopsAtTheCount);
+  CPPUNIT_TEST(ExpiredOpeningsAreTaken);
+  CPPUNIT_TEST(SharesAddUpAndRotate);
+  CPPUNIT_TEST(NewBalancersGetUnassignedOpenings);
   CPPUNIT_TEST_SUITE_END();
 
   OpeningQueue mQueue;
@@ -37,7 +37,7 @@
   static bool Any(const WaitingOpening& /*aOpening*/) { return true; }
 
   // Guards against unimportant flows that overtake others, and against the order of arrival.
-  void ImportantAndNewOpeningsLeaveFirst()
+  void HighPriorityAndNewOpeningsLeaveFirst()
   {
     Add(1, 2, Milliseconds{0});
     Add(2, 1, Milliseconds{20});
@@ -52,7 +52,7 @@
   // 100 callers a second come for two seconds to upstreams that take 10 flows a second, and each
   // request has 500 ms and takes 60 ms once its flow is open. Every flow that is opened must serve
   // its first request.
-  void CrowdAtColdUpstreamsIsServedInTime()
+  void OpeningsTakenForColdUpstreamsAreServedInTime()
   {
     constexpr Milliseconds kStep{10};
     constexpr Milliseconds kTimeout{500};
@@ -68,7 +68,7 @@
       }
       for (const WaitingOpening& opening : mQueue.Take(1, Any)) {
         ++opened;
-        inTime += now + kWork - opening.mSince <= kTimeout ? 1 : 0;
+        inTime += now + kWork - opening.mArrivedAt <= kTimeout ? 1 : 0;
       }
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, opened);
@@ -76,7 +76,7 @@
   }
 
   // Guards against copies of an opening packet that open the flow several times.
-  void FlowsWaitOnce()
+  void EachFlowIsQueuedOnce()
   {
     CPPUNIT_ASSERT(Add(1, 0, Milliseconds{0}));
     CPPUNIT_ASSERT(!Add(1, 0, Milliseconds{200}));
@@ -87,7 +87,7 @@
   }
 
   // Guards against work for every waiting opening whenever one upstream has room.
-  void OnlyTheCountThatFitsLeaves()
+  void TakeStopsAtTheCount()
   {
     for (std::uint16_t i = 0; i < 100; ++i) {
       Add(i, 0, Milliseconds{i});
@@ -103,7 +103,7 @@
   }
 
   // Guards against openings that wait longer than their callers.
-  void ExpiredOpeningsLeave()
+  void ExpiredOpeningsAreTaken()
   {
     Add(1, 0, Milliseconds{0});
     Add(2, 0, Milliseconds{500});
@@ -116,7 +116,7 @@
 
   // Guards against balancers that are offered the same opening, and against one that is never
   // offered any: a cold upstream takes 5 openings, and 24 balancers have callers for it.
-  void SharesAddUpAndTakeTurns()
+  void SharesAddUpAndRotate()
   {
     constexpr std::uint32_t kAllowed = 5;
     constexpr std::size_t kBalancers = 24;
@@ -135,7 +135,7 @@
   }
 
   // Guards against a first balancer that waits for the next round while openings are free.
-  void NewcomersGetWhatIsLeft()
+  void NewBalancersGetUnassignedOpenings()
   {
     OpeningShares shares;
     CPPUNIT_ASSERT(shares.Split(2, 0).empty());
--- a/unittests/Packet/PacketAgentTest.cpp
+++ b/unittests/Packet/PacketAgentTest.cpp
@@ -23,28 +23,28 @@
 {
   CPPUNIT_TEST_SUITE(PacketAgentTest);
   CPPUNIT_TEST(OpeningsNeedAnUpstreamAndARoute);
-  CPPUNIT_TEST(DrainingUpstreamsKeepFlowsAndTakeNone);
+  CPPUNIT_TEST(DrainingUpstreamsKeepFlowsAndRefuseOpenings);
   CPPUNIT_TEST(DataCentreOutRefusesOpenings);
-  CPPUNIT_TEST(ColdUpstreamsAreOpenedFewFlows);
+  CPPUNIT_TEST(ColdUpstreamsStayWithinTheirOpeningLimit);
   CPPUNIT_TEST(ReturnedDataCentreIsColdUntilTheNextHeartbeat);
-  CPPUNIT_TEST(RestartedAgentCountsNoOpeningsAsAllowed);
-  CPPUNIT_TEST(UnansweredOpeningsGoElsewhere);
+  CPPUNIT_TEST(RestartedAgentRefusesColdOpeningsForOneWindow);
+  CPPUNIT_TEST(RetransmittedUnansweredOpeningsAreReturned);
   CPPUNIT_TEST(RestartedAgentDeliversFlowsItDoesNotKnow);
-  CPPUNIT_TEST(CompleteTablesDenyUnknownFlows);
+  CPPUNIT_TEST(UnknownFlowsAreNotFoundWhenTheTableIsComplete);
   CPPUNIT_TEST(BouncedOpeningsAreReturned);
-  CPPUNIT_TEST(LostEstablishedFlowsAreReset);
+  CPPUNIT_TEST(FlowsThatTheUpstreamLostAreReset);
   CPPUNIT_TEST(ReusedPortsAreNotTakenForTheOldFlow);
-  CPPUNIT_TEST(AgentsBeforeTheFirstHeartbeatAreUnsure);
-  CPPUNIT_TEST(AgentsWhoseUpstreamNeverCameDenyFlows);
-  CPPUNIT_TEST(ResetsOfUnknownFlowsStayHere);
-  CPPUNIT_TEST(BouncedProbesAreDenied);
-  CPPUNIT_TEST(LateHeartbeatsChangeNothing);
+  CPPUNIT_TEST(AgentsNeedAProbeBeforeTheFirstHeartbeat);
+  CPPUNIT_TEST(AgentsWithoutAnUpstreamAnswerNotFound);
+  CPPUNIT_TEST(ResetsOfUnknownFlowsAreDropped);
+  CPPUNIT_TEST(BouncedProbesAreAnsweredNotFound);
+  CPPUNIT_TEST(StaleHeartbeatsAreIgnored);
   CPPUNIT_TEST(ReportsCountOpenFlowsAndRequests);
   CPPUNIT_TEST(LatenciesAreMeasured);
-  CPPUNIT_TEST(SilentUpstreamsTakeNoFlows);
-  CPPUNIT_TEST(FlowsAreRegisteredWithTheirHomes);
+  CPPUNIT_TEST(UpstreamsWithoutHeartbeatsTakeNoFlows);
+  CPPUNIT_TEST(FlowsAreRegisteredWithTheirDirectoryAgents);
   CPPUNIT_TEST(RegistrationsAreConfirmed);
-  CPPUNIT_TEST(HomesSpeakOnlyInAViewThatShowsThem);
+  CPPUNIT_TEST(DirectoryAgentsAnswerNotRegisteredOnlyWhenInTheView);
   CPPUNIT_TEST_SUITE_END();
 
   platform::PacketCodec mCodec;
@@ -125,7 +125,7 @@
 
   // Guards against a flow that no balancer finds after the fabric has moved it: its agent registers
   // it with two homes, again when the homes change, and a home answers for it.
-  void FlowsAreRegisteredWithTheirHomes()
+  void FlowsAreRegisteredWithTheirDirectoryAgents()
   {
     Prepare();
     std::vector<Member> members;
@@ -137,21 +137,22 @@
     FromBalancer(CallerPacket(TestFlow(2), FlagSyn));
     mOutput.Clear();
     Open(1);
-    CPPUNIT_ASSERT_EQUAL(FlowHomes::kHomes, Registrations());
+    CPPUNIT_ASSERT_EQUAL(DirectoryAgents::kDirectoryAgentsPerFlow, Registrations());
     // Repeated until the homes have confirmed it.
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(2 * FlowHomes::kHomes, Registrations());
+    CPPUNIT_ASSERT_EQUAL(2 * DirectoryAgents::kDirectoryAgentsPerFlow, Registrations());
     ConfirmRegistrations();
     mAgent.RegisterFlows(mOutput, mNow);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Registrations());
     members.pop_back();
     mAgent.OnView(TestView(2, members), 1);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(FlowHomes::kHomes, Registrations());
+    CPPUNIT_ASSERT_EQUAL(DirectoryAgents::kDirectoryAgentsPerFlow, Registrations());
     FromBalancer(FlowMessage{{}, {TestFlow(3)}}.Encode(), HopKind::Register);
-    CPPUNIT_ASSERT(AssertAnswer(HopKind::Held, HopKind::Query, TestFlow(3)) == NodeEndpoint(9));
-    AssertAnswer(HopKind::NotFound, HopKind::QueryHeld, TestFlow(3));
-    CPPUNIT_ASSERT(AssertAnswer(HopKind::Held, HopKind::QueryHeld, TestFlow(1)) ==
+    CPPUNIT_ASSERT(AssertAnswer(HopKind::HolderFound, HopKind::Query, TestFlow(3)) ==
+                   NodeEndpoint(9));
+    AssertAnswer(HopKind::NotFound, HopKind::QueryLocal, TestFlow(3));
+    CPPUNIT_ASSERT(AssertAnswer(HopKind::HolderFound, HopKind::QueryLocal, TestFlow(1)) ==
                    NodeEndpoint(kSelf));
   }
 
@@ -183,51 +184,51 @@
     for (unsigned node = 20; node < 26; ++node) {
       members.push_back(TestAgent(node, "web"));
     }
-    FlowHomes homes;
-    homes.Update(TestView(1, members));
+    DirectoryAgents directoryAgents;
+    directoryAgents.Update(TestView(1, members));
     mAgent.OnView(TestView(1, members), 1);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(homes.Digest(), mAgent.Report(mNow).mRegisteredWith);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
     Open(1);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(homes.Digest(), mAgent.Report(mNow).mRegisteredWith);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
     mNow += Milliseconds{500};
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWith);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
     ConfirmRegistrations();
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(homes.Digest(), mAgent.Report(mNow).mRegisteredWith);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
     // A home restarts: it must confirm the flow again.
     for (Member& member : members) {
       member.mIncarnation = 2;
     }
-    homes.Update(TestView(2, members));
+    directoryAgents.Update(TestView(2, members));
     mAgent.OnView(TestView(2, members), 1);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWith);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
     mAgent.RegisterFlows(mOutput, mNow);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWith);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
     ConfirmRegistrations();
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(homes.Digest(), mAgent.Report(mNow).mRegisteredWith);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
   }
 
   // Guards against a restarted home that denies flows which were registered with the process before
   // it, and against homes that speak for an agent which does not know its own flows.
-  void HomesSpeakOnlyInAViewThatShowsThem()
+  void DirectoryAgentsAnswerNotRegisteredOnlyWhenInTheView()
   {
     Prepare();
     const std::vector<Member> members{TestAgent(kSelf, "web"), TestAgent(20, "web")};
     mAgent.OnView(TestView(1, members), 2);
     AssertAnswer(HopKind::NotFound, HopKind::Query, TestFlow(1));
     mAgent.OnView(TestView(2, members), 1);
-    AssertAnswer(HopKind::Unregistered, HopKind::Query, TestFlow(1));
-    AssertAnswer(HopKind::NotFound, HopKind::QueryHeld, TestFlow(1));
+    AssertAnswer(HopKind::NotRegistered, HopKind::Query, TestFlow(1));
+    AssertAnswer(HopKind::NotFound, HopKind::QueryLocal, TestFlow(1));
     PacketAgent restarted(Settings(), mCodec, mRegistry, kStart);
     restarted.OnView(TestView(1, members), 1);
     restarted.RegisterFlows(mOutput, mNow);
     restarted.OnUpstreamReport({"i-1", "web", false, {}, 4, 1'000, 7}, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, restarted.Report(mNow).mRegisteredWith);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, restarted.Report(mNow).mRegisteredWithDigest);
   }
 
   // Guards against flows of another service after an address was reused, and against flows for an
@@ -247,7 +248,7 @@
   }
 
   // Guards against new work for a leaving upstream and against cut flows on it.
-  void DrainingUpstreamsKeepFlowsAndTakeNone()
+  void DrainingUpstreamsKeepFlowsAndRefuseOpenings()
   {
     Prepare();
     Establish(1);
@@ -272,7 +273,7 @@
   }
 
   // Guards against a cold upstream that is opened more flows than it bears in any second.
-  void ColdUpstreamsAreOpenedFewFlows()
+  void ColdUpstreamsStayWithinTheirOpeningLimit()
   {
     Prepare(1, Milliseconds{5'000});
     std::vector<TimePoint> delivered;
@@ -313,7 +314,7 @@
   }
 
   // Guards against twice the cold limit in one second when the agent is killed and restarts.
-  void RestartedAgentCountsNoOpeningsAsAllowed()
+  void RestartedAgentRefusesColdOpeningsForOneWindow()
   {
     Prepare(7, Milliseconds{5'000});
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
@@ -324,7 +325,7 @@
   }
 
   // Guards against copies of an opening packet that all go to a dead upstream.
-  void UnansweredOpeningsGoElsewhere()
+  void RetransmittedUnansweredOpeningsAreReturned()
   {
     Prepare();
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
@@ -339,23 +340,23 @@
   {
     Prepare(7);
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5, 10));
-    FromBalancer(CallerPacket(TestFlow(2), FlagAck, 5, 5, 10), HopKind::DeliverIfHeld);
+    FromBalancer(CallerPacket(TestFlow(2), FlagAck, 5, 5, 10), HopKind::Probe);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, mOutput.mToUpstream.size());
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck));
     // The balancer learns at once that the probe has found the flow.
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::Held);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::HolderFound);
     mOutput.mToNodes.clear();
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck, 2, 100));
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
-    FromBalancer(CallerPacket(TestFlow(2), FlagAck, 15, 5, 10), HopKind::DeliverIfHeld);
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::Held);
+    FromBalancer(CallerPacket(TestFlow(2), FlagAck, 15, 5, 10), HopKind::Probe);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::HolderFound);
   }
 
   // Guards against a search that never ends.
-  void CompleteTablesDenyUnknownFlows()
+  void UnknownFlowsAreNotFoundWhenTheTableIsComplete()
   {
     Prepare(1);
-    AssertAnswer(HopKind::NotFound, HopKind::QueryHeld, TestFlow(1));
+    AssertAnswer(HopKind::NotFound, HopKind::QueryLocal, TestFlow(1));
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5));
     AssertReturned(ReturnReason::NotHeld);
     CPPUNIT_ASSERT(mOutput.mToUpstream.empty());
@@ -375,7 +376,7 @@
   }
 
   // Guards against callers that wait on a flow which its upstream lost in a restart.
-  void LostEstablishedFlowsAreReset()
+  void FlowsThatTheUpstreamLostAreReset()
   {
     Prepare();
     Establish(1);
@@ -399,32 +400,32 @@
 
   // Guards against a denial by an agent that has just restarted beside a live upstream, and against
   // flows that are not found until the upstream's next heartbeat.
-  void AgentsBeforeTheFirstHeartbeatAreUnsure()
+  void AgentsNeedAProbeBeforeTheFirstHeartbeat()
   {
-    AssertAnswer(HopKind::Unsure, HopKind::Query, TestFlow(1));
-    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5, 10), HopKind::DeliverIfHeld);
+    AssertAnswer(HopKind::ProbeNeeded, HopKind::Query, TestFlow(1));
+    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5, 10), HopKind::Probe);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToUpstream.size());
     Heartbeat(7);
-    AssertAnswer(HopKind::Unsure, HopKind::Query, TestFlow(1));
+    AssertAnswer(HopKind::ProbeNeeded, HopKind::Query, TestFlow(1));
   }
 
   // Guards against searches that never end: the machine of a removed upstream lost power and
   // started again, and its agent waits for heartbeats that never come.
-  void AgentsWhoseUpstreamNeverCameDenyFlows()
+  void AgentsWithoutAnUpstreamAnswerNotFound()
   {
     mNow += std::chrono::seconds(4);
     AssertAnswer(HopKind::NotFound, HopKind::Query, TestFlow(1));
-    AssertAnswer(HopKind::NotFound, HopKind::QueryHeld, TestFlow(1));
+    AssertAnswer(HopKind::NotFound, HopKind::QueryLocal, TestFlow(1));
     // A sign of life: the upstream may hold flows of before the agent's start.
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck));
-    AssertAnswer(HopKind::Unsure, HopKind::QueryHeld, TestFlow(1));
+    AssertAnswer(HopKind::ProbeNeeded, HopKind::QueryLocal, TestFlow(1));
   }
 
   // Guards against the reset of a flow by an upstream that only saw a probe of it.
-  void ResetsOfUnknownFlowsStayHere()
+  void ResetsOfUnknownFlowsAreDropped()
   {
     Prepare(7);
-    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), HopKind::DeliverIfHeld);
+    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), HopKind::Probe);
     FromUpstream(UpstreamPacket(TestFlow(1), FlagRst));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     Establish(2);
@@ -433,22 +434,22 @@
   }
 
   // Guards against a flow that counts as held because a restarted agent delivered its packet.
-  void BouncedProbesAreDenied()
+  void BouncedProbesAreAnsweredNotFound()
   {
     Prepare(7);
-    AssertAnswer(HopKind::Unsure, HopKind::Query, TestFlow(1));
-    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), HopKind::DeliverIfHeld);
+    AssertAnswer(HopKind::ProbeNeeded, HopKind::Query, TestFlow(1));
+    FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), HopKind::Probe);
     Bounce();
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::NotFound);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
   // Guards against a heartbeat of an earlier start that arrives after its successor's.
-  void LateHeartbeatsChangeNothing()
+  void StaleHeartbeatsAreIgnored()
   {
     Prepare(5);
-    CPPUNIT_ASSERT(Heartbeat(4, true) == ReportOutcome::Late);
-    CPPUNIT_ASSERT(Heartbeat(9, true, Milliseconds{0}, 500) == ReportOutcome::Late);
+    CPPUNIT_ASSERT(Heartbeat(4, true) == ReportOutcome::Stale);
+    CPPUNIT_ASSERT(Heartbeat(9, true, Milliseconds{0}, 500) == ReportOutcome::Stale);
     CPPUNIT_ASSERT(mAgent.Report(mNow).mAccepts);
     // The same id after a restart: its counts start anew.
     CPPUNIT_ASSERT(Heartbeat(1, false, Milliseconds{0}, 2'000) == ReportOutcome::Accepted);
@@ -498,7 +499,7 @@
   }
 
   // Guards against new flows for an upstream that crashed and says nothing any more.
-  void SilentUpstreamsTakeNoFlows()
+  void UpstreamsWithoutHeartbeatsTakeNoFlows()
   {
     Prepare();
     CPPUNIT_ASSERT(mAgent.Report(mNow).mAccepts);
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -20,24 +20,24 @@
   CPPUNIT_TEST(FlowsStayWithTheirHolder);
   CPPUNIT_TEST(UnknownFlowsAreSearched);
   CPPUNIT_TEST(FlowsThatNobodyHoldsAreReset);
-  CPPUNIT_TEST(HomesSpeakForAgentsWhoseFlowsTheyKnow);
-  CPPUNIT_TEST(HomesOfAnotherViewDoNotEndASearch);
-  CPPUNIT_TEST(DeniedFlowsAreNotAskedForAgain);
-  CPPUNIT_TEST(PacketsBeforeTheRoutesAreKept);
-  CPPUNIT_TEST(SearchesStayWithinTheLinkAfterALossOfPower);
+  CPPUNIT_TEST(AgentsWithConfirmedRegistrationsAreNotQueried);
+  CPPUNIT_TEST(OutdatedDirectoryAgentsDoNotEndASearch);
+  CPPUNIT_TEST(OnlyAgentsThatDidNotAnswerAreQueriedAgain);
+  CPPUNIT_TEST(PacketsAreKeptUntilRoutesAreKnown);
+  CPPUNIT_TEST(QueriesStayWithinTheLinkBudget);
   CPPUNIT_TEST(SilentAgentsPreventAReset);
   CPPUNIT_TEST(LostAgentsPreventAReset);
-  CPPUNIT_TEST(UnsureAgentsGetThePacket);
-  CPPUNIT_TEST(StaleRegistrationsAreNotFollowedTwice);
-  CPPUNIT_TEST(SearchesStaySmallAfterARestartOfEverything);
+  CPPUNIT_TEST(AgentsThatNeedAProbeGetThePacket);
+  CPPUNIT_TEST(OutdatedRegistrationsAreNotFollowedTwice);
+  CPPUNIT_TEST(ProbesStayFewWhenAllNodesRestart);
   CPPUNIT_TEST(RefusedOpeningsTryAnotherUpstream);
   CPPUNIT_TEST(UnroutableOpeningsAreResetAtOnce);
   CPPUNIT_TEST(OpeningsWaitForRoutes);
   CPPUNIT_TEST(OpeningsWaitForColdUpstreams);
   CPPUNIT_TEST(OpeningsThatCannotBeServedInTimeAreReset);
-  CPPUNIT_TEST(ImportantRoutesLeaveTheQueueFirst);
+  CPPUNIT_TEST(HighPriorityRoutesLeaveTheQueueFirst);
   CPPUNIT_TEST(DataCentresThatAreOutGetNoOpenings);
-  CPPUNIT_TEST(EvenLoadAcrossUnevenUpstreams);
+  CPPUNIT_TEST(FlowsFollowTheSpeedOfUpstreams);
   CPPUNIT_TEST_SUITE_END();
 
   platform::PacketCodec mCodec;
@@ -45,7 +45,7 @@
   RecordingOutput mOutput;
   TimePoint mNow = kStart;
   PacketBalancer mBalancer{{}, mCodec, mRegistry, Random(1)};
-  FlowHomes mHomes;
+  DirectoryAgents mDirectoryAgents;
 
   void Send(PacketBytes aPacket) { mBalancer.OnCallerPacket(aPacket, mOutput, mNow); }
 
@@ -133,7 +133,7 @@
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Sent(HopKind::Query));
-    Answer(1, HopKind::Held, TestFlow(1), NodeEndpoint(2));
+    Answer(1, HopKind::HolderFound, TestFlow(1), NodeEndpoint(2));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(2));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
     mOutput.Clear();
@@ -153,7 +153,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     Answer(2, HopKind::NotFound, TestFlow(1));
     // Both homes have denied it themselves, and there are no other agents.
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(HopKind::QueryLocal));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
     const auto reset = mCodec.DecodeFromUpstream(mOutput.mToCallers[0]);
     CPPUNIT_ASSERT(reset && reset->mFlow == TestFlow(1) && reset->mSequence == 9);
@@ -167,52 +167,53 @@
       members.push_back(TestAgent(node, "web"));
     }
     const View view = TestView(1, members);
-    mHomes.Update(view);
+    mDirectoryAgents.Update(view);
     mBalancer.OnState(TestRoutes(1, {"web"}), view, mOutput, mNow);
     mNow += kSettled;
-    ReportRegistered(aAgents, mHomes.Digest());
+    ReportRegistered(aAgents, mDirectoryAgents.Digest());
     mOutput.Clear();
   }
 
-  void ReportRegistered(unsigned aAgents, std::uint64_t aHomes)
+  void ReportRegistered(unsigned aAgents, std::uint64_t aDigest)
   {
     for (unsigned node = 1; node <= aAgents; ++node) {
       LoadReport report = Accepting();
-      report.mRegisteredWith = aHomes;
+      report.mRegisteredWithDigest = aDigest;
       Report(node, report);
     }
   }
 
-  void HomesAnswer(HopKind aKind, const FlowKey& aFlow)
+  void DirectoryAgentsAnswer(HopKind aKind, const FlowKey& aFlow)
   {
-    for (const Endpoint& home : mHomes.Of(aFlow)) {
+    for (const Endpoint& agent : mDirectoryAgents.AgentsFor(aFlow)) {
       auto bytes = FlowMessage{{}, {aFlow}}.Encode();
-      mBalancer.OnNodePacket(home, {aKind, ReturnReason::None}, bytes, mOutput, mNow);
+      mBalancer.OnNodePacket(agent, {aKind, ReturnReason::None}, bytes, mOutput, mNow);
     }
   }
 
   // Guards against searches that ask 60 agents for each flow that a loss of power has ended, and
   // against the reset of a flow that an agent holds for which the homes do not speak.
-  void HomesSpeakForAgentsWhoseFlowsTheyKnow()
+  void AgentsWithConfirmedRegistrationsAreNotQueried()
   {
     SettleMany(60);
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::Unregistered, TestFlow(1));
+    DirectoryAgentsAnswer(HopKind::NotRegistered, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(HopKind::QueryLocal));
 
     // An agent that has restarted does not know its flows: only it is asked.
     unsigned restarted = 1;
-    for (const auto homes = mHomes.Of(TestFlow(2));
-         std::find(homes.begin(), homes.end(), NodeEndpoint(restarted)) != homes.end();) {
+    for (const auto directoryAgents = mDirectoryAgents.AgentsFor(TestFlow(2));
+         std::find(directoryAgents.begin(), directoryAgents.end(), NodeEndpoint(restarted)) !=
+         directoryAgents.end();) {
       ++restarted;
     }
     Report(restarted, Accepting());
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::Unregistered, TestFlow(2));
+    DirectoryAgentsAnswer(HopKind::NotRegistered, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(restarted));
     Answer(restarted, HopKind::NotFound, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
@@ -220,29 +221,29 @@
 
   // Guards against the reset of a flow that is registered with the homes of another view, with a
   // home that has restarted, or whose agent has gone silent.
-  void HomesOfAnotherViewDoNotEndASearch()
+  void OutdatedDirectoryAgentsDoNotEndASearch()
   {
     SettleMany(60);
-    ReportRegistered(60, mHomes.Digest() + 1);
+    ReportRegistered(60, mDirectoryAgents.Digest() + 1);
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::Unregistered, TestFlow(1));
+    DirectoryAgentsAnswer(HopKind::NotRegistered, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT(Sent(HopKind::QueryHeld) > 0);
+    CPPUNIT_ASSERT(Sent(HopKind::QueryLocal) > 0);
 
-    ReportRegistered(60, mHomes.Digest());
+    ReportRegistered(60, mDirectoryAgents.Digest());
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::NotFound, TestFlow(2));
+    DirectoryAgentsAnswer(HopKind::NotFound, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
 
     mNow += Milliseconds{1'100};
     Send(CallerPacket(TestFlow(3), FlagAck, 7, 9, 50));
-    HomesAnswer(HopKind::Unregistered, TestFlow(3));
+    DirectoryAgentsAnswer(HopKind::NotRegistered, TestFlow(3));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
   // Guards against a search that begins anew with every retransmission: one agent is silent, and
   // only that one is asked again.
-  void DeniedFlowsAreNotAskedForAgain()
+  void OnlyAgentsThatDidNotAnswerAreQueriedAgain()
   {
     mBalancer.OnState(TestRoutes(1, {"web"}),
                       TestView(1, {TestAgent(1, "web"), TestAgent(2, "web"), TestAgent(3, "web")}),
@@ -257,7 +258,7 @@
       mOutput.Clear();
       mNow += Milliseconds{200};
       Send(packet);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryHeld));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryLocal));
       CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(3));
       CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     }
@@ -267,7 +268,7 @@
 
   // Guards against the loss of packets that come while a restarted balancer has no routes, and
   // against packets that are forwarded long after their callers gave up.
-  void PacketsBeforeTheRoutesAreKept()
+  void PacketsAreKeptUntilRoutesAreKnown()
   {
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
     mNow += Milliseconds{1'200};
@@ -282,7 +283,7 @@
 
   // Guards against queries that fill a small link: 60 agents are silent after a loss of power, and
   // callers send on 200 flows that nobody holds. A query takes 50 bytes on the wire.
-  void SearchesStayWithinTheLinkAfterALossOfPower()
+  void QueriesStayWithinTheLinkBudget()
   {
     PacketBalancerSettings settings;
     settings.mCapacity = {0.09, 2.5};
@@ -302,9 +303,9 @@
       }
       mNow += Milliseconds{200};
     }
-    constexpr std::size_t kStaged = FlowHomes::kHomes + kPlacementChoices;
+    constexpr std::size_t kStaged = DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates;
     const std::size_t wide =
-      Sent(HopKind::QueryHeld) - std::min(Sent(HopKind::QueryHeld), 200 * kStaged);
+      Sent(HopKind::QueryLocal) - std::min(Sent(HopKind::QueryLocal), 200 * kStaged);
     CPPUNIT_ASSERT(wide * 50 * 8 <= kSeconds * 2'500'000 / 4);
   }
 
@@ -335,7 +336,7 @@
     Answer(1, HopKind::NotFound, TestFlow(1));
     Answer(1, HopKind::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(2));
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagSyn));
@@ -351,32 +352,32 @@
   }
 
   // Guards against a restarted agent that is asked in vain: only its upstream knows.
-  void UnsureAgentsGetThePacket()
+  void AgentsThatNeedAProbeGetThePacket()
   {
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::Unsure, TestFlow(1));
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::DeliverIfHeld);
+    Answer(1, HopKind::ProbeNeeded, TestFlow(1));
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::Probe);
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
   }
 
   // Guards against packets that go back and forth because a registration is out of date.
-  void StaleRegistrationsAreNotFollowedTwice()
+  void OutdatedRegistrationsAreNotFollowedTwice()
   {
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::Held, TestFlow(1), NodeEndpoint(2));
+    Answer(1, HopKind::HolderFound, TestFlow(1), NodeEndpoint(2));
     Return(2, ReturnReason::NotHeld, packet);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::Deliver));
   }
 
   // Guards against a flood of probes when all processes restart at once and no agent knows its
   // flows: 60 agents answer that they are unsure, for 200 flows a second at one balancer.
-  void SearchesStaySmallAfterARestartOfEverything()
+  void ProbesStayFewWhenAllNodesRestart()
   {
     std::vector<Member> members;
     for (unsigned node = 1; node <= 60; ++node) {
@@ -399,17 +400,18 @@
       restarted.OnCallerPacket(packet, mOutput, mNow);
       for (std::size_t at = 0; at < mOutput.mToNodes.size(); ++at) {
         const auto sent = mOutput.mToNodes[at];
-        const bool probe = sent.mHeader.mKind == HopKind::DeliverIfHeld;
+        const bool probe = sent.mHeader.mKind == HopKind::Probe;
         const bool holds = probe && sent.mNode == holder;
         foundAmongChoices += holds ? 1 : 0;
         if (!holds && sent.mHeader.mKind != HopKind::Deliver) {
           auto bytes = FlowMessage{{}, {TestFlow(i)}}.Encode();
-          restarted.OnNodePacket(sent.mNode,
-                                 {probe ? HopKind::NotFound : HopKind::Unsure, ReturnReason::None},
-                                 bytes, mOutput, mNow);
+          restarted.OnNodePacket(
+            sent.mNode, {probe ? HopKind::NotFound : HopKind::ProbeNeeded, ReturnReason::None},
+            bytes, mOutput, mNow);
         }
       }
-      CPPUNIT_ASSERT(Sent(HopKind::DeliverIfHeld) <= FlowHomes::kHomes + kPlacementChoices);
+      CPPUNIT_ASSERT(Sent(HopKind::Probe) <=
+                     DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongChoices);
   }
@@ -489,7 +491,7 @@
   }
 
   // Guards against a crowd of unimportant flows that takes the places of important ones.
-  void ImportantRoutesLeaveTheQueueFirst()
+  void HighPriorityRoutesLeaveTheQueueFirst()
   {
     Configuration configuration = TestRoutes(1, {"web"});
     configuration.mRoutes.mRoutes[0].mPriority = 3;
@@ -521,7 +523,7 @@
 
   // Guards against equal shares for upstreams of unequal speed: a crowd of long flows is opened,
   // with reports only every 40 openings, and no upstream may get more than 15% above its share.
-  void EvenLoadAcrossUnevenUpstreams()
+  void FlowsFollowTheSpeedOfUpstreams()
   {
     const std::array<std::uint32_t, 3> speeds{30'000, 50'000, 80'000};
     std::vector<Member> members;
@@ -536,7 +538,7 @@
       for (unsigned node = 0; i % 40 == 0 && node < speeds.size(); ++node) {
         LoadReport report = Accepting();
         report.mFlows = flows[node];
-        report.mMilliRequestsPerSlot = speeds[node];
+        report.mMilliRequestsPerSlotSecond = speeds[node];
         Report(node + 1, report);
       }
       Send(CallerPacket(TestFlow(i), FlagSyn));
--- a/unittests/Packet/PacketCodecsTest.cpp
+++ b/unittests/Packet/PacketCodecsTest.cpp
@@ -1,7 +1,7 @@
 // Tests of the messages between nodes of the packet plane.
 #include "PacketFixtures.h"
 
-#include "dandelionslip/Packet/FlowHomes.h"
+#include "dandelionslip/Packet/DirectoryAgents.h"
 #include "dandelionslip/Packet/FlowMessage.h"
 #include "dandelionslip/Packet/SpeedEstimator.h"
 #include "dandelionslip/Support/Random.h"
@@ -18,23 +18,23 @@
 class PacketCodecsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PacketCodecsTest);
-  CPPUNIT_TEST(MessagesComeBackWhole);
-  CPPUNIT_TEST(DamagedMessagesAreRefused);
+  CPPUNIT_TEST(MessagesSurviveARoundTrip);
+  CPPUNIT_TEST(DamagedMessagesAreRejected);
   CPPUNIT_TEST(ReportsAreSmall);
-  CPPUNIT_TEST(FewHomesMoveWhenAnAgentJoins);
-  CPPUNIT_TEST(IdleTimeDoesNotSlowAnEstimate);
+  CPPUNIT_TEST(FewDirectoryAgentsChangeWhenAnAgentJoins);
+  CPPUNIT_TEST(IdleTimeDoesNotLowerTheEstimate);
   CPPUNIT_TEST_SUITE_END();
 
   static LoadReport Report()
   {
     LoadReport report{"huvo11a", "fukuoka", true, false, false, true, 120, 7, 4, 66'000, 3, 5};
     report.mColdLeft = Milliseconds{1'500};
-    report.mRegisteredWith = 0xfedcba9876543210;
+    report.mRegisteredWithDigest = 0xfedcba9876543210;
     return report;
   }
 
   // Guards against fields that are lost or change places.
-  void MessagesComeBackWhole()
+  void MessagesSurviveARoundTrip()
   {
     const HopHeader header{HopKind::Returned, ReturnReason::Cold};
     const auto back = HopHeader::Decode(header.Encode());
@@ -49,7 +49,7 @@
   }
 
   // Guards against reads beyond the end and values that were never sent.
-  void DamagedMessagesAreRefused()
+  void DamagedMessagesAreRejected()
   {
     const auto flows = FlowMessage{NodeEndpoint(3), {TestFlow(1), TestFlow(2)}}.Encode();
     const Bytes report = Report().Encode();
@@ -91,27 +91,27 @@
   }
 
   // Guards against homes that all move, which would make every flow unknown at once.
-  void FewHomesMoveWhenAnAgentJoins()
+  void FewDirectoryAgentsChangeWhenAnAgentJoins()
   {
     std::vector<Member> members;
     for (unsigned node = 1; node <= 20; ++node) {
       members.push_back(TestAgent(node, "web"));
     }
-    FlowHomes before;
+    DirectoryAgents before;
     CPPUNIT_ASSERT(before.Update(TestView(1, members)));
     CPPUNIT_ASSERT(!before.Update(TestView(2, members)));
     members.push_back(TestAgent(21, "web"));
-    FlowHomes after;
+    DirectoryAgents after;
     after.Update(TestView(3, members));
     std::size_t lostBoth = 0;
     std::size_t moved = 0;
     constexpr std::uint16_t kFlows = 2'000;
     for (std::uint16_t i = 0; i < kFlows; ++i) {
-      const auto old = before.Of(TestFlow(i));
-      const auto fresh = after.Of(TestFlow(i));
-      CPPUNIT_ASSERT_EQUAL(FlowHomes::kHomes, fresh.size());
-      const auto kept = std::count_if(fresh.begin(), fresh.end(), [&](const Endpoint& aHome) {
-        return std::find(old.begin(), old.end(), aHome) != old.end();
+      const auto old = before.AgentsFor(TestFlow(i));
+      const auto fresh = after.AgentsFor(TestFlow(i));
+      CPPUNIT_ASSERT_EQUAL(DirectoryAgents::kDirectoryAgentsPerFlow, fresh.size());
+      const auto kept = std::count_if(fresh.begin(), fresh.end(), [&](const Endpoint& aAgent) {
+        return std::find(old.begin(), old.end(), aAgent) != old.end();
       });
       lostBoth += kept == 0 ? 1 : 0;
       moved += kept < 2 ? 1 : 0;
@@ -121,19 +121,19 @@
   }
 
   // Guards against an upstream that gets few flows because it had few before.
-  void IdleTimeDoesNotSlowAnEstimate()
+  void IdleTimeDoesNotLowerTheEstimate()
   {
     SpeedEstimator estimator;
     TimePoint now{std::chrono::seconds(10)};
-    estimator.OnActive(0, 4, now);
+    estimator.OnActiveChanged(0, 4, now);
     for (int i = 0; i < 100; ++i) {
-      estimator.OnActive(1, 4, now);
+      estimator.OnActiveChanged(1, 4, now);
       now += Milliseconds{20};
       estimator.OnCompleted();
-      estimator.OnActive(0, 4, now);
+      estimator.OnActiveChanged(0, 4, now);
       now += Milliseconds{500};
     }
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(50.0, estimator.RequestsPerSlot(), 5.0);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(50.0, estimator.RequestsPerSlotSecond(), 5.0);
   }
 };
 
--- a/unittests/Platform/PlatformCodecTest.cpp
+++ b/unittests/Platform/PlatformCodecTest.cpp
@@ -35,13 +35,13 @@
 {
   CPPUNIT_TEST_SUITE(PlatformCodecTest);
   CPPUNIT_TEST(PacketsMatchThePublishedExamples);
-  CPPUNIT_TEST(DamagedPacketsAreRefused);
-  CPPUNIT_TEST(TagsAndBouncesLeaveTheRestAlone);
+  CPPUNIT_TEST(DamagedPacketsAreRejected);
+  CPPUNIT_TEST(TagsAndBounceMarksChangeNothingElse);
   CPPUNIT_TEST(RouteDocumentsBecomeRouteTables);
-  CPPUNIT_TEST(InvalidRouteDocumentsAreRefused);
-  CPPUNIT_TEST(HeartbeatsOfOtherWritersAreRefused);
+  CPPUNIT_TEST(InvalidRouteDocumentsAreRejected);
+  CPPUNIT_TEST(MalformedHeartbeatsAreRejected);
   CPPUNIT_TEST(NodeFilesBecomeSettings);
-  CPPUNIT_TEST(IncompleteNodeFilesAreRefused);
+  CPPUNIT_TEST(IncompleteNodeFilesAreRejected);
   CPPUNIT_TEST_SUITE_END();
 
   // Guards against a header that callers or upstreams cannot read.
@@ -64,7 +64,7 @@
   }
 
   // Guards against reads beyond the end of a short packet, and against lengths that lie.
-  void DamagedPacketsAreRefused()
+  void DamagedPacketsAreRejected()
   {
     const PacketCodec codec;
     const std::vector<std::uint8_t> whole = codec.EncodeReset({1, 2, 3, 4}, 5);
@@ -79,7 +79,7 @@
   }
 
   // Guards against a changed packet: the checksum does not cover the tag and the mark.
-  void TagsAndBouncesLeaveTheRestAlone()
+  void TagsAndBounceMarksChangeNothingElse()
   {
     const PacketCodec codec;
     const auto original = codec.EncodeReset({1, 2, 3, 4}, 5);
@@ -109,31 +109,31 @@
   }
 
   // Guards against an invalid configuration that is acknowledged.
-  void InvalidRouteDocumentsAreRefused()
+  void InvalidRouteDocumentsAreRejected()
   {
-    const auto refused = [](const std::string& aText) {
+    const auto assertRejected = [](const std::string& aText) {
       const auto table = DecodeRouteDocument(aText);
       CPPUNIT_ASSERT_MESSAGE(aText, !table || !CheckRouteTable(table.value()));
     };
     for (std::size_t size = 0; size < kDocument.size(); size += 7) {
-      refused(std::string(kDocument.substr(0, size)));
+      assertRejected(std::string(kDocument.substr(0, size)));
     }
-    refused(Replaced(kDocument, "\"version\":7", "\"version\":0"));
-    refused(Replaced(kDocument, "\"version\":7", "\"version\":\"7\""));
-    refused(
+    assertRejected(Replaced(kDocument, "\"version\":7", "\"version\":0"));
+    assertRejected(Replaced(kDocument, "\"version\":7", "\"version\":\"7\""));
+    assertRejected(
       Replaced(kDocument, "\"service\":\"x\",\"weight\":90", "\"service\":\"q\",\"weight\":90"));
-    refused(Replaced(kDocument, "/8080/", "/8443/"));
-    refused(Replaced(kDocument, "/8080/", "/web/"));
-    refused(Replaced(kDocument, "\"timeout_ms\":600", "\"timeout_ms\":0"));
-    refused(Replaced(kDocument, "\"timeout_ms\":600", "\"timeout_ms\":-5"));
-    refused(Replaced(Replaced(kDocument, "\"weight\":90", "\"weight\":0"), "\"weight\":10",
-                     "\"weight\":0"));
-    refused(Replaced(kDocument, "\"weight\":90", "\"share\":90"));
-    refused(Replaced(kDocument, "\"host\":\"198.18.0.1\"", "\"host\":\"web.example\""));
+    assertRejected(Replaced(kDocument, "/8080/", "/8443/"));
+    assertRejected(Replaced(kDocument, "/8080/", "/web/"));
+    assertRejected(Replaced(kDocument, "\"timeout_ms\":600", "\"timeout_ms\":0"));
+    assertRejected(Replaced(kDocument, "\"timeout_ms\":600", "\"timeout_ms\":-5"));
+    assertRejected(Replaced(Replaced(kDocument, "\"weight\":90", "\"weight\":0"), "\"weight\":10",
+                            "\"weight\":0"));
+    assertRejected(Replaced(kDocument, "\"weight\":90", "\"share\":90"));
+    assertRejected(Replaced(kDocument, "\"host\":\"198.18.0.1\"", "\"host\":\"web.example\""));
   }
 
   // Guards against an upstream taken from a heartbeat that somebody else wrote.
-  void HeartbeatsOfOtherWritersAreRefused()
+  void MalformedHeartbeatsAreRejected()
   {
     const auto good = DecodeHeartbeat("i-1", kHeartbeat);
     CPPUNIT_ASSERT(good && good.value().mId == "i-1" && good.value().mSlots == 2);
@@ -186,7 +186,7 @@
   }
 
   // Guards against a role that starts without what it needs.
-  void IncompleteNodeFilesAreRefused()
+  void IncompleteNodeFilesAreRejected()
   {
     NodeFile file = File();
     file.mDataFolder.clear();
