--- a/include/dandelionslip/Packet/FlowMessage.h
+++ b/include/dandelionslip/Packet/FlowMessage.h
@@ -11,7 +11,8 @@
 
 namespace dandelionslip {
 
-/// Flows and, for message types that need it, the agent that holds them. Follows a HopHeader.
+/// Flows and, for message types that need it, the agent that holds them. Follows a
+/// NodeMessageHeader.
 struct FlowMessage
 {
   /// Maximum number of flows in one message; keeps it within a datagram of 1,200 bytes.
--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -9,9 +9,9 @@
 #include "dandelionslip/Packet/FlowMessage.h"
 #include "dandelionslip/Packet/LoadReport.h"
 #include "dandelionslip/Packet/OpeningLimiter.h"
-#include "dandelionslip/Packet/PacketActions.h"
+#include "dandelionslip/Packet/PacketOutput.h"
 #include "dandelionslip/Packet/SpeedEstimator.h"
-#include "dandelionslip/Packet/UpstreamReport.h"
+#include "dandelionslip/Packet/UpstreamHeartbeat.h"
 #include "dandelionslip/Support/Metrics.h"
 
 #include <array>
@@ -37,7 +37,7 @@
 };
 
 /// Outcome of an upstream's heartbeat.
-enum class ReportOutcome
+enum class HeartbeatOutcome
 {
   Accepted,
   Stale,        ///< From before the upstream's restart or exit, or older than the last heartbeat.
@@ -59,11 +59,11 @@
   void OnConfiguration(const Configuration& aConfiguration);
   /// aOwnIncarnation: the incarnation that this process announces.
   void OnView(const View& aView, std::uint64_t aOwnIncarnation);
-  ReportOutcome OnUpstreamReport(const UpstreamReport& aReport, TimePoint aNow);
+  HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport, TimePoint aNow);
   /// The upstream has announced that it exits.
   void OnUpstreamLeft(const std::string& aId);
   /// Handles a message from a balancer or another agent; aPacket is what follows the header.
-  void OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
+  void OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                     std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   /// Handles a packet that the upstream sent or bounced.
   void OnUpstreamPacket(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
@@ -82,7 +82,7 @@
   /// The upstream as known from its newest heartbeat.
   struct Upstream
   {
-    UpstreamReport mLastHeartbeat;
+    UpstreamHeartbeat mLastHeartbeat;
     TimePoint mHeardAt;
     TimePoint mColdUntil;
     bool mLeft = false;
@@ -114,7 +114,7 @@
   {
     std::uint32_t mTag = 0;
     Endpoint mBalancer;
-    HopKind mKind = HopKind::Deliver;
+    NodeMessageType mKind = NodeMessageType::Deliver;
   };
 
   /// A flow probe that the upstream has not reacted to yet.
@@ -139,26 +139,26 @@
   std::size_t ColdLimit() const;
   bool TableIsComplete(TimePoint aNow) const;
   bool UpstreamIsAbsent(TimePoint aNow) const;
-  void Deliver(const Endpoint& aBalancer, HopKind aKind, std::span<std::uint8_t> aPacket,
+  void Deliver(const Endpoint& aBalancer, NodeMessageType aKind, std::span<std::uint8_t> aPacket,
                PacketOutput& aOutput);
   void Return(const Endpoint& aBalancer, ReturnReason aReason,
               std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
   void OnOpening(const Endpoint& aFrom, const Segment& aSegment, std::span<std::uint8_t> aPacket,
                  PacketOutput& aOutput, TimePoint aNow);
   void LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const;
-  void OnMidFlow(const Endpoint& aFrom, HopKind aKind, const Segment& aSegment,
+  void OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
                  std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  void OnQuery(const Endpoint& aFrom, HopKind aKind, std::span<const std::uint8_t> aBytes,
+  void OnQuery(const Endpoint& aFrom, NodeMessageType aKind, std::span<const std::uint8_t> aBytes,
                PacketOutput& aOutput, TimePoint aNow);
   void OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
                   PacketOutput& aOutput, TimePoint aNow);
-  void OnRegistered(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes);
+  void OnRegisterAck(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes);
   void Register(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
                 PacketOutput& aOutput, TimePoint aNow);
   static void SendRegistrations(const Registrations& aRegistrations, PacketOutput& aOutput);
   static bool HasUnconfirmedAgents(const Flow& aFlow);
-  HopKind NegativeAnswer(HopKind aQuery, TimePoint aNow) const;
-  void SendFlowAnswer(const Endpoint& aBalancer, HopKind aKind, const FlowKey& aFlow,
+  NodeMessageType NegativeAnswer(NodeMessageType aQuery, TimePoint aNow) const;
+  void SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aKind, const FlowKey& aFlow,
                       const Endpoint& aHolder, PacketOutput& aOutput);
   void ReportNotHeld(const Delivery& aDelivery, const Segment& aSegment,
                      std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
--- a/include/dandelionslip/Packet/PacketBalancer.h
+++ b/include/dandelionslip/Packet/PacketBalancer.h
@@ -7,7 +7,7 @@
 #include "dandelionslip/Packet/FlowMessage.h"
 #include "dandelionslip/Packet/LoadReport.h"
 #include "dandelionslip/Packet/OpeningQueue.h"
-#include "dandelionslip/Packet/PacketActions.h"
+#include "dandelionslip/Packet/PacketOutput.h"
 #include "dandelionslip/Packet/Placement.h"
 #include "dandelionslip/Packet/SearchBudget.h"
 #include "dandelionslip/Support/Metrics.h"
@@ -56,7 +56,7 @@
   /// Handles a packet of a caller; may modify it.
   void OnCallerPacket(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   /// Handles a message from an agent; aPacket is what follows the header.
-  void OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
+  void OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                     std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   /// Removes idle flows and unknown agents, and resets openings that waited too long. Must be
   /// called every second.
@@ -161,8 +161,8 @@
   void ContinueSearch(const Segment& aSegment, Flow& aFlow, std::span<const std::uint8_t> aPacket,
                       PacketOutput& aOutput, TimePoint aNow);
   void ForwardEarlyPackets(PacketOutput& aOutput, TimePoint aNow);
-  void SendQueries(const FlowKey& aKey, Search& aSearch, HopKind aKind, PacketOutput& aOutput,
-                   TimePoint aNow);
+  void SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aKind,
+                   PacketOutput& aOutput, TimePoint aNow);
   void QueryNextStage(const FlowKey& aKey, Search& aSearch, PacketOutput& aOutput, TimePoint aNow);
   void SendProbe(const Endpoint& aAgent, const Search& aSearch, PacketOutput& aOutput);
   void ResetIfNotFound(const FlowKey& aKey, const Search& aSearch, PacketOutput& aOutput,
@@ -171,8 +171,8 @@
   bool DirectoryRulesOut(const FlowKey& aKey, const Search& aSearch, TimePoint aNow) const;
   std::vector<Endpoint> CandidatesFor(const std::string& aService, const FlowKey& aKey) const;
   bool IsSettled(TimePoint aNow) const;
-  void OnFlowMessage(const Endpoint& aFrom, HopKind aKind, std::span<const std::uint8_t> aBytes,
-                     PacketOutput& aOutput, TimePoint aNow);
+  void OnFlowMessage(const Endpoint& aFrom, NodeMessageType aKind,
+                     std::span<const std::uint8_t> aBytes, PacketOutput& aOutput, TimePoint aNow);
   void OnHolderFound(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
                      PacketOutput& aOutput, TimePoint aNow);
   void OnNotFound(const FlowKey& aKey, Search& aSearch, const Endpoint& aFrom,
--- a/lib/Packet/PacketAgentDirectory.cpp
+++ b/lib/Packet/PacketAgentDirectory.cpp
@@ -26,8 +26,9 @@
   });
 }
 
-void PacketAgent::SendFlowAnswer(const Endpoint& aBalancer, HopKind aKind, const FlowKey& aFlow,
-                                 const Endpoint& aHolder, PacketOutput& aOutput)
+void PacketAgent::SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aKind,
+                                 const FlowKey& aFlow, const Endpoint& aHolder,
+                                 PacketOutput& aOutput)
 {
   const FlowMessage message{aHolder, {aFlow}};
   aOutput.SendToNode(aBalancer, {aKind, ReturnReason::None}, message.Encode());
@@ -37,13 +38,13 @@
 void PacketAgent::AnswerProbe(const FlowKey& aFlow, PacketOutput& aOutput)
 {
   if (const auto probe = mProbes.find(aFlow); probe != mProbes.end()) {
-    SendFlowAnswer(probe->second.mBalancer, HopKind::HolderFound, aFlow, mSettings.mEndpoint,
-                   aOutput);
+    SendFlowAnswer(probe->second.mBalancer, NodeMessageType::HolderFound, aFlow,
+                   mSettings.mEndpoint, aOutput);
     mProbes.erase(probe);
   }
 }
 
-void PacketAgent::OnQuery(const Endpoint& aFrom, HopKind aKind,
+void PacketAgent::OnQuery(const Endpoint& aFrom, NodeMessageType aKind,
                           std::span<const std::uint8_t> aBytes, PacketOutput& aOutput,
                           TimePoint aNow)
 {
@@ -54,12 +55,12 @@
   }
   const FlowKey& key = message.value().mFlows.front();
   if (mFlows.contains(key)) {
-    SendFlowAnswer(aFrom, HopKind::HolderFound, key, mSettings.mEndpoint, aOutput);
+    SendFlowAnswer(aFrom, NodeMessageType::HolderFound, key, mSettings.mEndpoint, aOutput);
     return;
   }
-  if (aKind == HopKind::Query) {
+  if (aKind == NodeMessageType::Query) {
     if (const auto holder = mDirectory.Find(key)) {
-      SendFlowAnswer(aFrom, HopKind::HolderFound, key, *holder, aOutput);
+      SendFlowAnswer(aFrom, NodeMessageType::HolderFound, key, *holder, aOutput);
       return;
     }
   }
@@ -67,12 +68,13 @@
 }
 
 // The answer to a query for a flow that is neither in the table nor in the directory.
-HopKind PacketAgent::NegativeAnswer(HopKind aQuery, TimePoint aNow) const
+NodeMessageType PacketAgent::NegativeAnswer(NodeMessageType aQuery, TimePoint aNow) const
 {
   if (!TableIsComplete(aNow) && !UpstreamIsAbsent(aNow)) {
-    return HopKind::ProbeNeeded;
+    return NodeMessageType::ProbeNeeded;
   }
-  return aQuery == HopKind::Query && mInView ? HopKind::NotRegistered : HopKind::NotFound;
+  return aQuery == NodeMessageType::Query && mInView ? NodeMessageType::NotRegistered
+                                                     : NodeMessageType::NotFound;
 }
 
 void PacketAgent::OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
@@ -88,11 +90,11 @@
     stored = mDirectory.Register(flow, aFrom, aNow) && stored;
   }
   if (stored) {
-    aOutput.SendToNode(aFrom, {HopKind::Registered, ReturnReason::None}, aBytes);
+    aOutput.SendToNode(aFrom, {NodeMessageType::RegisterAck, ReturnReason::None}, aBytes);
   }
 }
 
-void PacketAgent::OnRegistered(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes)
+void PacketAgent::OnRegisterAck(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes)
 {
   const auto message = FlowMessage::Decode(aBytes);
   if (!message) {
@@ -141,7 +143,7 @@
 {
   for (const auto& [agent, message] : aRegistrations) {
     if (!message.mFlows.empty()) {
-      aOutput.SendToNode(agent, {HopKind::Register, ReturnReason::None}, message.Encode());
+      aOutput.SendToNode(agent, {NodeMessageType::Register, ReturnReason::None}, message.Encode());
     }
   }
 }
--- a/lib/Packet/PacketAgentFlows.cpp
+++ b/lib/Packet/PacketAgentFlows.cpp
@@ -34,24 +34,25 @@
 
 } // namespace
 
-void PacketAgent::OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
+void PacketAgent::OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                                std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                TimePoint aNow)
 {
-  if (aHeader.mKind == HopKind::Query || aHeader.mKind == HopKind::QueryLocal) {
+  if (aHeader.mKind == NodeMessageType::Query || aHeader.mKind == NodeMessageType::QueryLocal) {
     OnQuery(aFrom, aHeader.mKind, aPacket, aOutput, aNow);
     return;
   }
-  if (aHeader.mKind == HopKind::Register) {
+  if (aHeader.mKind == NodeMessageType::Register) {
     OnRegister(aFrom, aPacket, aOutput, aNow);
     return;
   }
-  if (aHeader.mKind == HopKind::Registered) {
-    OnRegistered(aFrom, aPacket);
+  if (aHeader.mKind == NodeMessageType::RegisterAck) {
+    OnRegisterAck(aFrom, aPacket);
     return;
   }
   const auto segment = mCodec.DecodeFromCaller(aPacket);
-  const bool known = aHeader.mKind == HopKind::Deliver || aHeader.mKind == HopKind::Probe;
+  const bool known =
+    aHeader.mKind == NodeMessageType::Deliver || aHeader.mKind == NodeMessageType::Probe;
   if (!segment || !known || segment->mBounced) {
     mMalformed.Add();
     return;
@@ -87,7 +88,7 @@
   if (mUnansweredOpens++ == 0) {
     mUnansweredSince = aNow;
   }
-  Deliver(aFrom, HopKind::Deliver, aPacket, aOutput);
+  Deliver(aFrom, NodeMessageType::Deliver, aPacket, aOutput);
 }
 
 void PacketAgent::LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const
@@ -106,7 +107,7 @@
     .With("routes", mRoutes.mVersion);
 }
 
-void PacketAgent::OnMidFlow(const Endpoint& aFrom, HopKind aKind, const Segment& aSegment,
+void PacketAgent::OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
                             std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow)
 {
   auto found = mFlows.find(aSegment.mFlow);
@@ -117,7 +118,7 @@
   }
   if (found == mFlows.end()) {
     if (!TableIsComplete(aNow)) {
-      if (aKind == HopKind::Probe && mProbes.size() < kMaxProbes) {
+      if (aKind == NodeMessageType::Probe && mProbes.size() < kMaxProbes) {
         mProbes[aSegment.mFlow] = {aFrom, aNow};
       }
       Deliver(aFrom, aKind, aPacket, aOutput);
@@ -129,8 +130,9 @@
   Flow& flow = found->second;
   flow.mUsedAt = aNow;
   TrackRequest(flow, aSegment, aNow);
-  if (aKind == HopKind::Probe) {
-    SendFlowAnswer(aFrom, HopKind::HolderFound, aSegment.mFlow, mSettings.mEndpoint, aOutput);
+  if (aKind == NodeMessageType::Probe) {
+    SendFlowAnswer(aFrom, NodeMessageType::HolderFound, aSegment.mFlow, mSettings.mEndpoint,
+                   aOutput);
   }
   Deliver(aFrom, aKind, aPacket, aOutput);
   if (aSegment.mResets) {
@@ -230,8 +232,8 @@
   ReportNotHeld(delivery, *segment, aPacket, aOutput);
 }
 
-void PacketAgent::Deliver(const Endpoint& aBalancer, HopKind aKind, std::span<std::uint8_t> aPacket,
-                          PacketOutput& aOutput)
+void PacketAgent::Deliver(const Endpoint& aBalancer, NodeMessageType aKind,
+                          std::span<std::uint8_t> aPacket, PacketOutput& aOutput)
 {
   mDelivered.Add();
   const std::uint32_t tag = mNextTag++;
@@ -244,14 +246,14 @@
                          std::span<const std::uint8_t> aPacket, PacketOutput& aOutput)
 {
   mReturned[static_cast<std::size_t>(aReason)]->Add();
-  aOutput.SendToNode(aBalancer, {HopKind::Returned, aReason}, aPacket);
+  aOutput.SendToNode(aBalancer, {NodeMessageType::Returned, aReason}, aPacket);
 }
 
 void PacketAgent::ReportNotHeld(const Delivery& aDelivery, const Segment& aSegment,
                                 std::span<const std::uint8_t> aPacket, PacketOutput& aOutput)
 {
-  if (aDelivery.mKind == HopKind::Probe) {
-    SendFlowAnswer(aDelivery.mBalancer, HopKind::NotFound, aSegment.mFlow, {}, aOutput);
+  if (aDelivery.mKind == NodeMessageType::Probe) {
+    SendFlowAnswer(aDelivery.mBalancer, NodeMessageType::NotFound, aSegment.mFlow, {}, aOutput);
   } else {
     Return(aDelivery.mBalancer, ReturnReason::NotHeld, aPacket, aOutput);
   }
--- a/lib/Packet/PacketBalancer.cpp
+++ b/lib/Packet/PacketBalancer.cpp
@@ -212,7 +212,7 @@
     return;
   }
   mForwarded.Add();
-  aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
+  aOutput.SendToNode(*flow.mHolder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
 }
 
 // Handles the packets of open flows that came before the balancer was ready, because callers may
@@ -244,7 +244,7 @@
   Flow& flow = FindOrAddFlow(aSegment.mFlow, aNow);
   if (aSegment.mRetransmission > 0 && flow.mHolder) {
     mForwarded.Add();
-    aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
+    aOutput.SendToNode(*flow.mHolder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
     return;
   }
   flow = Flow{};
@@ -278,7 +278,7 @@
   mPlaced.Add();
   LogPlacement(aSegment, *holder, aNow);
   ++mAgents[*holder].mPlacedSinceReport;
-  aOutput.SendToNode(*holder, {HopKind::Deliver, ReturnReason::None}, aPacket);
+  aOutput.SendToNode(*holder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
 }
 
 void PacketBalancer::LogPlacement(const Segment& aSegment, const Endpoint& aHolder, TimePoint aNow)
@@ -311,7 +311,7 @@
                               const Flow& aFlow) const
 {
   const auto dataCentre = mDataCentres.find(aAgent.mDataCentre);
-  if (dataCentre != mDataCentres.end() && dataCentre->second.mOut) {
+  if (dataCentre != mDataCentres.end() && dataCentre->second.mOutOfService) {
     return false;
   }
   return std::find(aFlow.mTried.begin(), aFlow.mTried.end(), aEndpoint) == aFlow.mTried.end();
@@ -383,21 +383,21 @@
   return ChooseAmong(all, aFlow, aNow);
 }
 
-void PacketBalancer::OnNodePacket(const Endpoint& aFrom, const HopHeader& aHeader,
+void PacketBalancer::OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                                   std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                   TimePoint aNow)
 {
   switch (aHeader.mKind) {
-    case HopKind::Load:
+    case NodeMessageType::Load:
       OnLoadReport(aFrom, aPacket, aOutput, aNow);
       return;
-    case HopKind::Returned:
+    case NodeMessageType::Returned:
       OnReturned(aFrom, aHeader.mReason, aPacket, aOutput, aNow);
       return;
-    case HopKind::HolderFound:
-    case HopKind::NotFound:
-    case HopKind::NotRegistered:
-    case HopKind::ProbeNeeded:
+    case NodeMessageType::HolderFound:
+    case NodeMessageType::NotFound:
+    case NodeMessageType::NotRegistered:
+    case NodeMessageType::ProbeNeeded:
       OnFlowMessage(aFrom, aHeader.mKind, aPacket, aOutput, aNow);
       return;
     default:
@@ -422,7 +422,7 @@
   Flow& flow = FindOrAddFlow(segment->mFlow, aNow);
   if (flow.mHolder && *flow.mHolder != aFrom) {
     // The flow was found or placed at another agent in the meantime.
-    aOutput.SendToNode(*flow.mHolder, {HopKind::Deliver, ReturnReason::None}, aPacket);
+    aOutput.SendToNode(*flow.mHolder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
     return;
   }
   flow.mHolder.reset();
--- a/lib/Packet/PacketBalancerSearch.cpp
+++ b/lib/Packet/PacketBalancerSearch.cpp
@@ -30,7 +30,7 @@
 
 // Queries all agents that have not answered. In stage AllAgents, the search budget limits the
 // number of queries.
-void PacketBalancer::SendQueries(const FlowKey& aKey, Search& aSearch, HopKind aKind,
+void PacketBalancer::SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aKind,
                                  PacketOutput& aOutput, TimePoint aNow)
 {
   const bool limited = aSearch.mStage == SearchStage::AllAgents;
@@ -94,7 +94,7 @@
       }
     }
   }
-  SendQueries(aKey, aSearch, HopKind::QueryLocal, aOutput, aNow);
+  SendQueries(aKey, aSearch, NodeMessageType::QueryLocal, aOutput, aNow);
 }
 
 // Starts or continues the search for a flow's holder. The directory agents are queried first. The
@@ -118,7 +118,7 @@
   if (search.mUnanswered.empty() || !aFlow.mTried.empty()) {
     QueryNextStage(aSegment.mFlow, search, aOutput, aNow);
   } else {
-    SendQueries(aSegment.mFlow, search, HopKind::Query, aOutput, aNow);
+    SendQueries(aSegment.mFlow, search, NodeMessageType::Query, aOutput, aNow);
   }
   ResetIfNotFound(aSegment.mFlow, search, aOutput, aNow);
 }
@@ -142,7 +142,7 @@
   }
   search.mLastQueriedAt = aNow;
   if (search.mStage == SearchStage::AllAgents) {
-    SendQueries(aSegment.mFlow, search, HopKind::QueryLocal, aOutput, aNow);
+    SendQueries(aSegment.mFlow, search, NodeMessageType::QueryLocal, aOutput, aNow);
   } else {
     QueryNextStage(aSegment.mFlow, search, aOutput, aNow);
   }
@@ -155,7 +155,7 @@
   return mFirstAgentAt && aNow - *mFirstAgentAt >= mSettings.mSettleTime;
 }
 
-void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, HopKind aKind,
+void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, NodeMessageType aKind,
                                    std::span<const std::uint8_t> aBytes, PacketOutput& aOutput,
                                    TimePoint aNow)
 {
@@ -170,12 +170,12 @@
     return;
   }
   Flow& flow = found->second;
-  if (aKind == HopKind::ProbeNeeded) {
+  if (aKind == NodeMessageType::ProbeNeeded) {
     SendProbe(aFrom, *flow.mSearch, aOutput);
-  } else if (aKind == HopKind::HolderFound) {
+  } else if (aKind == NodeMessageType::HolderFound) {
     OnHolderFound(key, flow, message.value().mHolder, aOutput, aNow);
   } else {
-    if (aKind == HopKind::NotRegistered) {
+    if (aKind == NodeMessageType::NotRegistered) {
       flow.mSearch->mAgentsWithoutEntry.push_back(aFrom);
     }
     OnNotFound(key, *flow.mSearch, aFrom, aOutput, aNow);
@@ -191,7 +191,7 @@
     return;
   }
   mProbesLeft -= limited ? 1 : 0;
-  aOutput.SendToNode(aAgent, {HopKind::Probe, ReturnReason::None}, aSearch.mPackets.back());
+  aOutput.SendToNode(aAgent, {NodeMessageType::Probe, ReturnReason::None}, aSearch.mPackets.back());
 }
 
 void PacketBalancer::OnHolderFound(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
@@ -214,7 +214,7 @@
     .With("view", mViewRevision);
   for (const auto& packet : search->mPackets) {
     mForwarded.Add();
-    aOutput.SendToNode(aHolder, {HopKind::Deliver, ReturnReason::None}, packet);
+    aOutput.SendToNode(aHolder, {NodeMessageType::Deliver, ReturnReason::None}, packet);
   }
 }
 
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSystem.h
@@ -39,7 +39,7 @@
       return Refusal{RefusalReason::ConnectionsFull, Milliseconds(200)};
     }
     if (mRandom.Below(10) == 0) {
-      return Refusal{RefusalReason::Paced, Milliseconds(100)};
+      return Refusal{RefusalReason::RateLimited, Milliseconds(100)};
     }
     ++mOpen;
     return std::nullopt;
@@ -144,7 +144,7 @@
   void StepCaller(Caller& aCaller);
   void SendFromCaller(Caller& aCaller);
   void ToCaller(const Endpoint& aCaller, const Endpoint& aService, const Bytes& aPayload);
-  void StopProcess(Agent& aAgent, const std::string& aCustodian);
+  void StopProcess(Agent& aAgent, const std::string& aBackup);
   Agent* AgentAt(const Endpoint& aEndpoint);
 
   Random mRandom;
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -56,8 +56,8 @@
       aReport.mService = "web";
     }
     Bytes bytes = aReport.Encode();
-    mBalancer.OnNodePacket(NodeEndpoint(aNode), {HopKind::Load, ReturnReason::None}, bytes, mOutput,
-                           mNow);
+    mBalancer.OnNodePacket(NodeEndpoint(aNode), {NodeMessageType::Load, ReturnReason::None}, bytes,
+                           mOutput, mNow);
   }
 
   static LoadReport Accepting()
@@ -80,18 +80,19 @@
 
   void Return(unsigned aNode, ReturnReason aReason, PacketBytes aPacket)
   {
-    mBalancer.OnNodePacket(NodeEndpoint(aNode), {HopKind::Returned, aReason}, aPacket, mOutput,
-                           mNow);
+    mBalancer.OnNodePacket(NodeEndpoint(aNode), {NodeMessageType::Returned, aReason}, aPacket,
+                           mOutput, mNow);
   }
 
   // An agent's answer to a query for a flow.
-  void Answer(unsigned aNode, HopKind aKind, const FlowKey& aFlow, const Endpoint& aHolder = {})
+  void Answer(unsigned aNode, NodeMessageType aKind, const FlowKey& aFlow,
+              const Endpoint& aHolder = {})
   {
     auto bytes = FlowMessage{aHolder, {aFlow}}.Encode();
     mBalancer.OnNodePacket(NodeEndpoint(aNode), {aKind, ReturnReason::None}, bytes, mOutput, mNow);
   }
 
-  std::size_t Sent(HopKind aKind) const
+  std::size_t Sent(NodeMessageType aKind) const
   {
     return static_cast<std::size_t>(
       std::count_if(mOutput.mToNodes.begin(), mOutput.mToNodes.end(),
@@ -132,15 +133,15 @@
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Sent(HopKind::Query));
-    Answer(1, HopKind::HolderFound, TestFlow(1), NodeEndpoint(2));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Sent(NodeMessageType::Query));
+    Answer(1, NodeMessageType::HolderFound, TestFlow(1), NodeEndpoint(2));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(2));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
     mOutput.Clear();
     Send(packet);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToNodes.size());
     CPPUNIT_ASSERT(mOutput.mToNodes[0].mNode == NodeEndpoint(2));
-    CPPUNIT_ASSERT(mOutput.mToNodes[0].mHeader.mKind == HopKind::Deliver);
+    CPPUNIT_ASSERT(mOutput.mToNodes[0].mHeader.mKind == NodeMessageType::Deliver);
   }
 
   // Guards against callers that wait for their deadline on a flow that ended with its upstream.
@@ -149,11 +150,11 @@
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    Answer(2, HopKind::NotFound, TestFlow(1));
+    Answer(2, NodeMessageType::NotFound, TestFlow(1));
     // Both homes have denied it themselves, and there are no other agents.
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(HopKind::QueryLocal));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
     const auto reset = mCodec.DecodeFromUpstream(mOutput.mToCallers[0]);
     CPPUNIT_ASSERT(reset && reset->mFlow == TestFlow(1) && reset->mSequence == 9);
@@ -183,7 +184,7 @@
     }
   }
 
-  void DirectoryAgentsAnswer(HopKind aKind, const FlowKey& aFlow)
+  void DirectoryAgentsAnswer(NodeMessageType aKind, const FlowKey& aFlow)
   {
     for (const Endpoint& agent : mDirectoryAgents.AgentsFor(aFlow)) {
       auto bytes = FlowMessage{{}, {aFlow}}.Encode();
@@ -197,9 +198,9 @@
   {
     SettleMany(60);
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
-    DirectoryAgentsAnswer(HopKind::NotRegistered, TestFlow(1));
+    DirectoryAgentsAnswer(NodeMessageType::NotRegistered, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(HopKind::QueryLocal));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryLocal));
 
     // An agent that has restarted does not know its flows: only it is asked.
     unsigned restarted = 1;
@@ -211,11 +212,11 @@
     Report(restarted, Accepting());
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
-    DirectoryAgentsAnswer(HopKind::NotRegistered, TestFlow(2));
+    DirectoryAgentsAnswer(NodeMessageType::NotRegistered, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryLocal));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(restarted));
-    Answer(restarted, HopKind::NotFound, TestFlow(2));
+    Answer(restarted, NodeMessageType::NotFound, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
@@ -226,18 +227,18 @@
     SettleMany(60);
     ReportRegistered(60, mDirectoryAgents.Digest() + 1);
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
-    DirectoryAgentsAnswer(HopKind::NotRegistered, TestFlow(1));
+    DirectoryAgentsAnswer(NodeMessageType::NotRegistered, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT(Sent(HopKind::QueryLocal) > 0);
+    CPPUNIT_ASSERT(Sent(NodeMessageType::QueryLocal) > 0);
 
     ReportRegistered(60, mDirectoryAgents.Digest());
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
-    DirectoryAgentsAnswer(HopKind::NotFound, TestFlow(2));
+    DirectoryAgentsAnswer(NodeMessageType::NotFound, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
 
     mNow += Milliseconds{1'100};
     Send(CallerPacket(TestFlow(3), FlagAck, 7, 9, 50));
-    DirectoryAgentsAnswer(HopKind::NotRegistered, TestFlow(3));
+    DirectoryAgentsAnswer(NodeMessageType::NotRegistered, TestFlow(3));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
@@ -252,17 +253,17 @@
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
     for (unsigned node = 1; node <= 2; ++node) {
-      Answer(node, HopKind::NotFound, TestFlow(1));
+      Answer(node, NodeMessageType::NotFound, TestFlow(1));
     }
     for (int i = 0; i < 4; ++i) {
       mOutput.Clear();
       mNow += Milliseconds{200};
       Send(packet);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryLocal));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryLocal));
       CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(3));
       CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     }
-    Answer(3, HopKind::NotFound, TestFlow(1));
+    Answer(3, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
@@ -276,7 +277,7 @@
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
     mNow += Milliseconds{300};
     mBalancer.OnState(TestRoutes(1, {"web"}), TestView(1, {TestAgent(1, "web")}), mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::Query));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::Query));
     const auto asked = FlowMessage::Decode(mOutput.mToNodes.at(0).mPacket);
     CPPUNIT_ASSERT(asked && asked.value().mFlows.front() == TestFlow(2));
   }
@@ -304,8 +305,8 @@
       mNow += Milliseconds{200};
     }
     constexpr std::size_t kStaged = DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates;
-    const std::size_t wide =
-      Sent(HopKind::QueryLocal) - std::min(Sent(HopKind::QueryLocal), 200 * kStaged);
+    const std::size_t wide = Sent(NodeMessageType::QueryLocal) -
+                             std::min(Sent(NodeMessageType::QueryLocal), 200 * kStaged);
     CPPUNIT_ASSERT(wide * 50 * 8 <= kSeconds * 2'500'000 / 4);
   }
 
@@ -316,7 +317,7 @@
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     for (int i = 0; i < 5; ++i) {
       Send(packet);
-      Answer(1, HopKind::NotFound, TestFlow(1));
+      Answer(1, NodeMessageType::NotFound, TestFlow(1));
       mNow += Milliseconds{300};
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
@@ -333,10 +334,10 @@
     mNow += kSettled;
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::NotFound, TestFlow(1));
-    Answer(1, HopKind::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryLocal));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(2));
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagSyn));
@@ -346,8 +347,8 @@
     Report(1, Accepting());
     mBalancer.OnTick(mOutput, mNow);
     Send(packet);
-    Answer(1, HopKind::NotFound, TestFlow(1));
-    Answer(1, HopKind::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
+    Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
@@ -357,8 +358,8 @@
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::ProbeNeeded, TestFlow(1));
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == HopKind::Probe);
+    Answer(1, NodeMessageType::ProbeNeeded, TestFlow(1));
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::Probe);
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
   }
 
@@ -368,11 +369,11 @@
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, HopKind::HolderFound, TestFlow(1), NodeEndpoint(2));
+    Answer(1, NodeMessageType::HolderFound, TestFlow(1), NodeEndpoint(2));
     Return(2, ReturnReason::NotHeld, packet);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::QueryLocal));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(1));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(HopKind::Deliver));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::Deliver));
   }
 
   // Guards against a flood of probes when all processes restart at once and no agent knows its
@@ -400,17 +401,18 @@
       restarted.OnCallerPacket(packet, mOutput, mNow);
       for (std::size_t at = 0; at < mOutput.mToNodes.size(); ++at) {
         const auto sent = mOutput.mToNodes[at];
-        const bool probe = sent.mHeader.mKind == HopKind::Probe;
+        const bool probe = sent.mHeader.mKind == NodeMessageType::Probe;
         const bool holds = probe && sent.mNode == holder;
         foundAmongChoices += holds ? 1 : 0;
-        if (!holds && sent.mHeader.mKind != HopKind::Deliver) {
+        if (!holds && sent.mHeader.mKind != NodeMessageType::Deliver) {
           auto bytes = FlowMessage{{}, {TestFlow(i)}}.Encode();
           restarted.OnNodePacket(
-            sent.mNode, {probe ? HopKind::NotFound : HopKind::ProbeNeeded, ReturnReason::None},
+            sent.mNode,
+            {probe ? NodeMessageType::NotFound : NodeMessageType::ProbeNeeded, ReturnReason::None},
             bytes, mOutput, mNow);
         }
       }
-      CPPUNIT_ASSERT(Sent(HopKind::Probe) <=
+      CPPUNIT_ASSERT(Sent(NodeMessageType::Probe) <=
                      DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongChoices);
@@ -514,7 +516,7 @@
   {
     Settle();
     Configuration configuration = TestRoutes(2, {"web"});
-    configuration.mDataCentres["north"].mOut = true;
+    configuration.mDataCentres["north"].mOutOfService = true;
     mBalancer.OnState(configuration, View{}, mOutput, mNow);
     Send(CallerPacket(TestFlow(1), FlagSyn));
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
