--- a/include/dandelionslip/Packet/NodeMessageHeader.h
+++ b/include/dandelionslip/Packet/NodeMessageHeader.h
@@ -1,4 +1,4 @@
-// Header of datagrams between balancers and agents of the packet plane.
+// Header of messages between packet balancers and packet agents.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -9,21 +9,24 @@
 
 namespace dandelionslip {
 
+/// Type of a message and what its receiver learns or has to do.
 enum class NodeMessageType : std::uint8_t
 {
   Deliver = 1, ///< To an agent: deliver the packet to the upstream, or return it.
-  Probe,       ///< To an agent that was unsure: deliver the packet, to see if its flow is held.
-  Returned,    ///< To a balancer: the agent does not take the packet; mReason says why.
+  Probe,       ///< To an agent: deliver the packet and report whether the upstream holds its flow.
+  Returned,    ///< To a balancer: the agent did not accept the packet; mReason says why.
   Load,        ///< To a balancer: a LoadReport follows.
-  // A FlowMessage follows the kinds below.
-  Query,         ///< To an agent: does the upstream hold the flow, or is it registered here?
-  QueryLocal,    ///< To an agent: does the upstream hold the flow?
-  HolderFound,   ///< To a balancer: the agent that holds the flow.
-  NotFound,      ///< To a balancer: the flow is not held here, or not known either.
-  ProbeNeeded,   ///< To a balancer: only the upstream knows; it needs a packet of the flow.
-  Register,      ///< To a home agent: flows that the sender holds.
-  RegisterAck,   ///< To an agent: its flows are registered here.
-  NotRegistered, ///< To a balancer: like NotFound, from a home whose directory is complete.
+  // The payload of the types below is a FlowMessage.
+  Query,       ///< To an agent: which agent holds the flow, by its table or its directory?
+  QueryLocal,  ///< To an agent: does its own upstream hold the flow?
+  HolderFound, ///< To a balancer: the agent that holds the flow.
+  NotFound,    ///< To a balancer: the flow is neither held nor, for a Query, registered here.
+  ProbeNeeded, ///< To a balancer: only the upstream knows; send a packet of the flow as a Probe.
+  Register,    ///< To a directory agent: flows that the sender holds.
+  RegisterAck, ///< To an agent: its flows are registered here.
+  /// To a balancer: like NotFound, from an agent that knows itself to be in the view, so that flows
+  /// are registered with it.
+  NotRegistered,
 };
 
 /// Why an agent returned a packet.
@@ -31,13 +34,12 @@
 {
   None,
   NotHeld,      ///< The upstream does not hold the flow.
-  Refused,      ///< The upstream gave the opening packet back.
-  Unresponsive, ///< The upstream did not answer an earlier copy of the opening packet.
-  Draining,     ///< The upstream leaves or its data centre is out.
-  Cold,         ///< The upstream is cold and has been opened as many flows as it can bear.
-  WrongService, ///< The route does not lead to the upstream's service.
-  NoUpstream,   ///< The agent has not heard from its upstream.
-
+  Refused,      ///< The upstream bounced the opening packet, or the agent's flow table is full.
+  Unresponsive, ///< The upstream does not answer opening packets.
+  Draining,     ///< The upstream or its agent is stopping, or its data centre is out of service.
+  Cold,         ///< The upstream is cold and has reached its limit of new flows per second.
+  WrongService, ///< No target of the route is the upstream's service.
+  NoUpstream,   ///< The agent has had no recent heartbeat, or the upstream has exited.
 };
 
 inline constexpr std::size_t kReturnReasons = 8;
@@ -53,7 +55,8 @@
   static constexpr std::size_t kBytes = 4;
 
   std::array<std::uint8_t, kBytes> Encode() const;
-  /// InvalidInput: wrong magic, version, kind or reason, or too short.
+  /// Fails with InvalidInput if aBytes is too short or the magic number, version, kind or reason is
+  /// not a valid one.
   static Result<NodeMessageHeader> Decode(std::span<const std::uint8_t> aBytes);
 };
 
--- a/include/dandelionslip/Packet/OpeningShares.h
+++ b/include/dandelionslip/Packet/OpeningShares.h
@@ -1,4 +1,4 @@
-// Divides the openings that a cold upstream takes among balancers.
+// Divides the openings that a cold upstream accepts among the balancers.
 #pragma once
 
 #include <cstddef>
@@ -7,23 +7,24 @@
 
 namespace dandelionslip {
 
-/// A cold upstream takes few openings a second. Each is offered to one balancer at a time, because
-/// balancers that compete for it send opening packets that the agent must return. What a balancer
-/// leaves unused is offered to the next ones in the following round. Answers the load of many
-/// balancers whose callers all return to cold upstreams. Not thread-safe.
+/// A cold upstream accepts few openings per second. Each is offered to only one balancer at a time:
+/// balancers that competed for it would send opening packets that the agent must return. Openings
+/// that a balancer does not use are offered to the next ones in the following round. This serves
+/// the load when the callers of many balancers all return to cold upstreams. Not thread-safe.
 class OpeningShares
 {
 public:
-  /// Begins a round: aAllowed openings for aBalancers balancers, in turn over the rounds. Returns
-  /// the share of each.
+  /// Starts a round: divides aAllowed openings among aBalancers balancers and returns the share of
+  /// each. Openings that do not divide evenly go to different balancers in turn.
   std::vector<std::uint32_t> Split(std::uint32_t aAllowed, std::size_t aBalancers);
 
-  /// The share of a balancer that becomes known during a round: one opening if one is left.
+  /// The share of a balancer that becomes known during a round: one opening if any is unassigned,
+  /// which is the case only if the round started without balancers.
   std::uint32_t ShareForNewBalancer();
 
 private:
-  std::size_t mNextBalancer = 0; ///< Whose turn it is in the next round.
-  std::uint32_t mUnassigned = 0; ///< Openings of the round that no balancer was offered.
+  std::size_t mNextBalancer = 0; ///< Gets the first opening of the next round.
+  std::uint32_t mUnassigned = 0; ///< Openings of the round that no balancer has.
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -59,7 +59,7 @@
   void OnConfiguration(const Configuration& aConfiguration);
   /// aOwnIncarnation: the incarnation that this process announces.
   void OnView(const View& aView, std::uint64_t aOwnIncarnation);
-  HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport, TimePoint aNow);
+  HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aHeartbeat, TimePoint aNow);
   /// The upstream has announced that it exits.
   void OnUpstreamLeft(const std::string& aId);
   /// Handles a message from a balancer or another agent; aPacket is what follows the header.
--- a/include/dandelionslip/Packet/PacketOutput.h
+++ b/include/dandelionslip/Packet/PacketOutput.h
@@ -1,4 +1,4 @@
-// Actions of the packet cores.
+// Where packet balancers and agents send packets.
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
@@ -11,18 +11,18 @@
 
 namespace dandelionslip {
 
-/// Carries out what a packet core decides. Spans are valid only during the call.
+/// Sends the packets of PacketBalancer and PacketAgent. Spans are valid only during the call.
 class PacketOutput
 {
 public:
   virtual ~PacketOutput() = default;
 
-  /// Sends a packet to another node behind a hop header.
+  /// Sends a message, consisting of the header and aPacket, to another node.
   virtual void SendToNode(const Endpoint& aNode, const NodeMessageHeader& aHeader,
                           std::span<const std::uint8_t> aPacket) = 0;
   /// Sends a packet to the caller of the flow.
   virtual void SendToCaller(const FlowKey& aFlow, std::span<const std::uint8_t> aPacket) = 0;
-  /// Sends a packet to the upstream beside this node.
+  /// Sends a packet to the upstream of this node; only agents have one.
   virtual void SendToUpstream(std::span<const std::uint8_t> aPacket) = 0;
 };
 
--- a/include/dandelionslip/Packet/Placement.h
+++ b/include/dandelionslip/Packet/Placement.h
@@ -11,36 +11,38 @@
 
 namespace dandelionslip {
 
-/// One upstream that may take a new flow.
+/// An upstream that may accept a new flow.
 struct PlacementCandidate
 {
-  std::size_t mAgent = 0; ///< Position in the caller's own list.
+  std::size_t mAgent = 0; ///< Index in the balancer's list of agents; returned by ChoosePlacement.
   const LoadReport* mReport = nullptr;
-  std::uint32_t mPlacedSinceReport = 0; ///< Flows that this balancer has sent since the report.
+  std::uint32_t mPlacedSinceReport = 0; ///< Flows that this balancer has placed since mReport.
 };
 
-/// Flows per unit of capacity after one more flow, the value that placement keeps even. Capacity is
-/// slots times the speed of a slot; aMeanSpeed stands in for a speed that is not known yet.
+/// Flows per unit of capacity if the candidate got one more flow; placement balances this value.
+/// Capacity is the number of slots times the speed of a slot, or times aMeanSpeed if that speed is
+/// not known yet. Lower is better.
 double PlacementScore(const PlacementCandidate& aCandidate, double aMeanSpeed);
 
-/// Mean speed of a slot over the candidates that know it, in requests a second; a default if none.
+/// Mean speed of a slot, in requests per second, over the candidates whose speed is known;
+/// kDefaultSlotSpeed if there are none.
 double MeanSlotSpeed(std::span<const PlacementCandidate> aCandidates);
 
-/// Picks the candidate with the lowest score, any of those that are within kPlacementTolerance of
-/// it, so that balancers with the same reports do not all choose the same upstream. Empty without
-/// candidates. Answers the load of many balancers that open long flows at the same moment.
+/// Returns mAgent of a random candidate whose score is within kPlacementTolerance of the lowest.
+/// The choice is random so that balancers which have the same reports and open many long flows at
+/// the same moment do not all choose the same upstream. Empty without candidates.
 std::optional<std::size_t> ChoosePlacement(std::span<const PlacementCandidate> aCandidates,
                                            Random& aRandom);
 
-/// Upstreams of a service among which a flow is placed, chosen by the flow's hash. A few choices
-/// even out the load nearly as well as all, and after a restart of everything a flow is looked for
-/// at these first.
+/// Number of upstreams of a service that are preferred for a flow, chosen by the flow's hash. Few
+/// candidates balance the load nearly as well as all, and after a restart of all nodes the search
+/// for a flow can query these first.
 inline constexpr std::size_t kPlacementCandidates = 6;
 
-/// Scores within this factor of the best count as equal: one flow of ten.
+/// Scores up to this factor above the best count as equal, a difference of one flow in ten.
 inline constexpr double kPlacementTolerance = 1.1;
 
-/// Stands in for the speed of a slot until an upstream has completed requests: 50 ms a request.
+/// Speed of a slot, in requests per second, until any upstream's speed is known: 50 ms a request.
 inline constexpr double kDefaultSlotSpeed = 20.0;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Packet/SearchBudget.h
+++ b/include/dandelionslip/Packet/SearchBudget.h
@@ -1,4 +1,4 @@
-// Bounds how many agents a balancer may ask for flows that it does not know.
+// Limits the queries that a balancer sends in searches for unknown flows.
 #pragma once
 
 #include "dandelionslip/Agent/TokenBucket.h"
@@ -8,17 +8,16 @@
 
 namespace dandelionslip {
 
-/// What the VM of a balancer can carry.
+/// Processor and network capacity of a balancer's VM.
 struct NodeCapacity
 {
-  double mProcessorShare = 1.0; ///< Of a core.
+  double mProcessorShare = 1.0; ///< Fraction of a core.
   double mLinkMbps = 1'000.0;
 };
 
-/// Queries that one balancer may send a second when a search must ask many agents, from the
-/// capacity of its VM. Answers the load after a loss of power, when callers send on flows that
-/// nobody holds: without a bound the queries fill the link, answers are lost, and searches begin
-/// anew.
+/// Rate limit for the queries of searches that must query many agents, derived from the capacity of
+/// the balancer's VM. After a loss of power, callers send on flows that no upstream holds: without
+/// a limit, queries fill the link, answers are lost, and searches start over.
 class SearchBudget
 {
 public:
--- a/include/dandelionslip/Packet/Segment.h
+++ b/include/dandelionslip/Packet/Segment.h
@@ -1,4 +1,4 @@
-// A packet of a flow as the decision cores see it.
+// Decoded packets and the interface of their codec.
 #pragma once
 
 #include "dandelionslip/Packet/FlowKey.h"
@@ -14,37 +14,38 @@
 struct Segment
 {
   FlowKey mFlow;
-  bool mOpens = false;   ///< First packet of a flow, or a copy of it.
-  bool mAccepts = false; ///< The upstream's answer to the first packet.
-  bool mEnds = false;    ///< The sender sends no further data.
+  bool mOpens = false;   ///< Opening packet, or a retransmission of it.
+  bool mAccepts = false; ///< The upstream's answer to the opening packet.
+  bool mEnds = false;    ///< The sender will send no further data.
   bool mResets = false;
-  bool mBounced = false; ///< The upstream gave the packet back: it does not hold the flow.
-  std::uint32_t mRetransmission = 0; ///< Of a packet that opens a flow; 0 is the first one.
+  bool mBounced = false; ///< The upstream sent the packet back because it does not hold the flow.
+  std::uint32_t mRetransmission =
+    0; ///< Number of an opening packet's retransmission; 0 for the original.
   std::uint32_t mSequence = 0;
   std::uint32_t mAcknowledged = 0;
   std::uint16_t mDataBytes = 0;
-  /// Chosen by the agent that delivered the packet; comes back on a bounced packet.
+  /// Set by the agent that delivers the packet; a bounced packet still has it.
   std::uint32_t mTag = 0;
 };
 
-/// Reads and writes the packet format of callers and upstreams. Implementations hold no state.
+/// Codec of the packet format that callers and upstreams use. Implementations hold no state.
 class SegmentCodec
 {
 public:
   virtual ~SegmentCodec() = default;
 
-  /// Decodes a packet that a caller sent, or one that came back bounced; empty when malformed.
+  /// Decodes a packet that a caller sent, bounced or not; empty if malformed.
   virtual std::optional<Segment> DecodeFromCaller(std::span<const std::uint8_t> aBytes) const = 0;
-  /// Decodes a packet that an upstream sent to a caller; empty when malformed.
+  /// Decodes a packet that an upstream sent to a caller; empty if malformed.
   virtual std::optional<Segment> DecodeFromUpstream(std::span<const std::uint8_t> aBytes) const = 0;
-  /// Whether the upstream gave this packet back.
+  /// Whether the upstream bounced the packet.
   virtual bool IsBounced(std::span<const std::uint8_t> aBytes) const = 0;
   /// Sets the tag of a packet on its way to an upstream.
   virtual void SetTag(std::span<std::uint8_t> aBytes, std::uint32_t aTag) const = 0;
-  /// Takes back the marks that a bounced packet carries, so that it can be delivered elsewhere.
+  /// Removes the bounce mark and the tag from a packet, so that it can be delivered elsewhere.
   virtual void ClearBounce(std::span<std::uint8_t> aBytes) const = 0;
-  /// A reset to the caller of a flow. aSequence must be close to the caller's last acknowledgement
-  /// when the flow is open.
+  /// Encodes a reset from the service to the caller of a flow. If the flow is open, aSequence must
+  /// be close to the caller's last acknowledgement.
   virtual std::vector<std::uint8_t> EncodeReset(const FlowKey& aFlow,
                                                 std::uint32_t aSequence) const = 0;
 };
--- a/include/dandelionslip/Packet/SpeedEstimator.h
+++ b/include/dandelionslip/Packet/SpeedEstimator.h
@@ -1,4 +1,4 @@
-// Measures how many requests a second one busy slot of an upstream completes.
+// Estimates how many requests per second one busy slot of an upstream completes.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
@@ -7,22 +7,24 @@
 
 namespace dandelionslip {
 
-/// Relates completions to the time that slots were busy, so that an idle upstream is not taken for
-/// a slow one. Older observations fade. Not thread-safe.
+/// Divides completed requests by the time that slots were busy, so that an idle upstream does not
+/// look slow. The weight of observations decays exponentially. Not thread-safe.
 class SpeedEstimator
 {
 public:
-  /// Requests in progress changed to aActive; aSlots of them run at once, the others wait.
+  /// The number of requests in progress changed to aActive. aSlots of them run at once, the others
+  /// wait.
   void OnActiveChanged(std::uint32_t aActive, std::uint32_t aSlots, TimePoint aNow);
   void OnCompleted() { mCompleted += 1; }
 
-  /// Requests a second of a busy slot; 0 until enough were completed.
+  /// Requests per second of a busy slot; 0 until enough requests were completed.
   double RequestsPerSlotSecond() const;
 
 private:
-  /// Completions before the estimate is used; ten samples of a spread of 0.5 are within 16%.
+  /// Completed requests before the estimate is used. With a relative deviation of 0.5, the mean of
+  /// ten samples has a standard error of 16%.
   static constexpr double kMinCompleted = 10;
-  /// Busy time after which an observation counts half.
+  /// Busy time after which the weight of an observation has halved.
   static constexpr double kHalfLifeSeconds = 4;
 
   double mCompleted = 0;
--- a/include/dandelionslip/Packet/UpstreamHeartbeat.h
+++ b/include/dandelionslip/Packet/UpstreamHeartbeat.h
@@ -1,4 +1,4 @@
-// What an upstream says of itself.
+// The state that an upstream reports to its agent.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
@@ -8,15 +8,15 @@
 
 namespace dandelionslip {
 
-/// One heartbeat of the upstream beside an agent.
+/// One heartbeat of an agent's upstream.
 struct UpstreamHeartbeat
 {
-  std::string mId; ///< May be the same after a restart; mStartedMs then differs.
+  std::string mId; ///< May stay the same after a restart; mStartedMs then differs.
   std::string mService;
   bool mDraining = false;
   Milliseconds mColdLeft{0};   ///< How much longer the upstream stays cold.
   std::uint32_t mSlots = 1;    ///< Requests that it runs at once.
-  std::int64_t mStartedMs = 0; ///< Wall-clock milliseconds of the start, by the upstream's clock.
+  std::int64_t mStartedMs = 0; ///< Start time in milliseconds, by the upstream's wall clock.
   std::uint64_t mSequence = 0; ///< Increases with each heartbeat since the start.
 };
 
--- a/lib/Packet/FlowMessage.cpp
+++ b/lib/Packet/FlowMessage.cpp
@@ -1,4 +1,4 @@
-// Codec of messages about flows.
+// Codec of the payload that names flows.
 #include "dandelionslip/Packet/FlowMessage.h"
 
 #include <boost/endian/conversion.hpp>
--- a/lib/Packet/NodeMessageHeader.cpp
+++ b/lib/Packet/NodeMessageHeader.cpp
@@ -1,4 +1,4 @@
-// Codec of the hop header.
+// Codec of the header of messages between nodes.
 #include "dandelionslip/Packet/NodeMessageHeader.h"
 
 #include <string>
--- a/lib/Packet/OpeningShares.cpp
+++ b/lib/Packet/OpeningShares.cpp
@@ -1,4 +1,4 @@
-// Round-robin shares of a cold upstream's openings.
+// Round-robin assignment of openings to balancers.
 #include "dandelionslip/Packet/OpeningShares.h"
 
 namespace dandelionslip {
--- a/lib/Packet/PacketAgent.cpp
+++ b/lib/Packet/PacketAgent.cpp
@@ -89,42 +89,44 @@
     .With("revision", aConfiguration.mRevision);
 }
 
-HeartbeatOutcome PacketAgent::OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport, TimePoint aNow)
+HeartbeatOutcome PacketAgent::OnUpstreamHeartbeat(const UpstreamHeartbeat& aHeartbeat,
+                                                  TimePoint aNow)
 {
-  if (aReport.mService != mSettings.mService) {
+  if (aHeartbeat.mService != mSettings.mService) {
     return HeartbeatOutcome::WrongService;
   }
   if (mUpstream) {
     const UpstreamHeartbeat& known = mUpstream->mLastHeartbeat;
-    const bool sameStart = known.mId == aReport.mId && known.mStartedMs == aReport.mStartedMs;
-    if (sameStart ? aReport.mSequence <= known.mSequence : aReport.mStartedMs < known.mStartedMs) {
+    const bool sameStart = known.mId == aHeartbeat.mId && known.mStartedMs == aHeartbeat.mStartedMs;
+    if (sameStart ? aHeartbeat.mSequence <= known.mSequence
+                  : aHeartbeat.mStartedMs < known.mStartedMs) {
       return HeartbeatOutcome::Stale;
     }
     if (sameStart && mUpstream->mLeft) {
       return HeartbeatOutcome::Stale;
     }
     mSawUpstreamStart = mSawUpstreamStart || !sameStart;
-    if (!sameStart || known.mDraining != aReport.mDraining) {
+    if (!sameStart || known.mDraining != aHeartbeat.mDraining) {
       LogEvent(LogLevel::Info, "upstream_changed")
-        .With("upstream", aReport.mId)
-        .With("started_ms", aReport.mStartedMs)
-        .With("draining", aReport.mDraining ? "true" : "false")
-        .With("cold_left_ms", aReport.mColdLeft.count());
+        .With("upstream", aHeartbeat.mId)
+        .With("started_ms", aHeartbeat.mStartedMs)
+        .With("draining", aHeartbeat.mDraining ? "true" : "false")
+        .With("cold_left_ms", aHeartbeat.mColdLeft.count());
     }
   } else {
     LogEvent(LogLevel::Info, "upstream_found")
-      .With("upstream", aReport.mId)
-      .With("sequence", aReport.mSequence)
-      .With("started_ms", aReport.mStartedMs)
-      .With("cold_left_ms", aReport.mColdLeft.count());
+      .With("upstream", aHeartbeat.mId)
+      .With("sequence", aHeartbeat.mSequence)
+      .With("started_ms", aHeartbeat.mStartedMs)
+      .With("cold_left_ms", aHeartbeat.mColdLeft.count());
     // If this is not the upstream's first heartbeat, an earlier process of this agent may have
     // opened flows, also in the limiter's current window.
-    mSawUpstreamStart = aReport.mSequence <= 1;
+    mSawUpstreamStart = aHeartbeat.mSequence <= 1;
     if (!mSawUpstreamStart) {
       mColdOpens.Block(mStartedAt);
     }
   }
-  mUpstream = Upstream{aReport, aNow, aNow + aReport.mColdLeft, false};
+  mUpstream = Upstream{aHeartbeat, aNow, aNow + aHeartbeat.mColdLeft, false};
   mColdUntilHeartbeat = false;
   mUnansweredOpens = 0;
   return HeartbeatOutcome::Accepted;
--- a/lib/Packet/Placement.cpp
+++ b/lib/Packet/Placement.cpp
@@ -1,4 +1,4 @@
-// Placement of new flows.
+// Choice of the upstream for a new flow.
 #include "dandelionslip/Packet/Placement.h"
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 namespace {
 
-// A cold upstream runs requests at about half its speed and is opened few flows.
+// Factor on the capacity of a cold upstream, which runs requests at about half its speed and
+// accepts few flows.
 constexpr double kColdSpeedFactor = 0.5;
 
 constexpr double kMilli = 1000.0;
@@ -40,7 +41,7 @@
   const double slots = std::max<std::uint32_t>(report.mSlots, 1);
   const double capacity =
     slots * SlotSpeed(report, aMeanSpeed) * (report.mCold ? kColdSpeedFactor : 1.0);
-  // Requests beyond the slots wait; each of them weighs like a flow that sends all the time.
+  // Requests that exceed the slots wait. Each counts like a flow that sends all the time.
   const double waiting = report.mRequests > report.mSlots ? report.mRequests - slots : 0.0;
   return (report.mFlows + aCandidate.mPlacedSinceReport + 1.0 + waiting) / capacity;
 }
--- a/lib/Packet/RouteKey.h
+++ b/lib/Packet/RouteKey.h
@@ -1,4 +1,4 @@
-// Address and port of a route as one number.
+// Address and port of a service, packed into one number.
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
--- a/lib/Packet/SearchBudget.cpp
+++ b/lib/Packet/SearchBudget.cpp
@@ -1,4 +1,4 @@
-// Search budget from processor and link.
+// Search budget, derived from processor and link.
 #include "dandelionslip/Packet/SearchBudget.h"
 
 #include <algorithm>
@@ -7,15 +7,15 @@
 
 namespace {
 
-// Shares of the processor and of the link that searches may take; callers' packets need the rest.
+// Fractions of the processor and the link that searches may use; callers' packets need the rest.
 constexpr double kProcessorFraction = 0.5;
 constexpr double kLinkFraction = 0.25;
 
-// Processor time of a query and its answer: docs/CAPACITY.md gives 28.9 us a datagram at a
+// Processor time of a query and its answer: docs/CAPACITY.md gives 28.9 us per datagram for a
 // balancer.
 constexpr double kSecondsPerQuery = 60e-6;
 
-// A query: 28 bytes of IP and UDP, the hop header and one flow.
+// A query has 28 bytes of IP and UDP headers, the message header and a FlowMessage with one flow.
 constexpr double kBitsPerQuery = 50 * 8.0;
 
 constexpr double kMega = 1e6;
--- a/lib/Packet/SpeedEstimator.cpp
+++ b/lib/Packet/SpeedEstimator.cpp
@@ -1,4 +1,4 @@
-// Speed of a slot from completions and busy time.
+// Speed of a slot, from completed requests and busy time.
 #include "dandelionslip/Packet/SpeedEstimator.h"
 
 #include <algorithm>
