--- a/unittests/Packet/OpeningQueueTest.cpp
+++ b/unittests/Packet/OpeningQueueTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the queue of waiting openings and of the shares of a cold upstream's openings.
+// Tests of OpeningQueue and OpeningShares.
 #include "PacketFixtures.h"
 
 #include "dandelionslip/Packet/OpeningQueue.h"
@@ -36,7 +36,8 @@
 
   static bool Any(const WaitingOpening& /*aOpening*/) { return true; }
 
-  // Guards against unimportant flows that overtake others, and against the order of arrival.
+  // Guards against flows that leave before those of a higher priority, and against leaving in order
+  // of arrival.
   void HighPriorityAndNewOpeningsLeaveFirst()
   {
     Add(1, 2, Milliseconds{0});
@@ -48,10 +49,10 @@
     CPPUNIT_ASSERT(taken.at(2).mFlow == TestFlow(1));
   }
 
-  // Guards against openings of cold upstreams that are spent on callers whose deadline has passed:
-  // 100 callers a second come for two seconds to upstreams that take 10 flows a second, and each
-  // request has 500 ms and takes 60 ms once its flow is open. Every flow that is opened must serve
-  // its first request.
+  // Guards against openings at cold upstreams that are spent on callers whose deadline passes: for
+  // two seconds, 100 callers per second come to upstreams that accept 10 flows per second. Each
+  // request has a timeout of 500 ms and takes 60 ms once its flow is open. Every opened flow must
+  // complete its first request in time.
   void OpeningsTakenForColdUpstreamsAreServedInTime()
   {
     constexpr Milliseconds kStep{10};
@@ -75,7 +76,7 @@
     CPPUNIT_ASSERT_EQUAL(opened, inTime);
   }
 
-  // Guards against copies of an opening packet that open the flow several times.
+  // Guards against retransmissions of an opening packet that open the flow several times.
   void EachFlowIsQueuedOnce()
   {
     CPPUNIT_ASSERT(Add(1, 0, Milliseconds{0}));
@@ -86,7 +87,7 @@
     CPPUNIT_ASSERT(Add(1, 0, Milliseconds{300}));
   }
 
-  // Guards against work for every waiting opening whenever one upstream has room.
+  // Guards against a visit to every waiting opening whenever an upstream accepts a few.
   void TakeStopsAtTheCount()
   {
     for (std::uint16_t i = 0; i < 100; ++i) {
@@ -102,7 +103,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{98}, mQueue.Size());
   }
 
-  // Guards against openings that wait longer than their callers.
+  // Guards against openings that stay in the queue for longer than their maximum wait.
   void ExpiredOpeningsAreTaken()
   {
     Add(1, 0, Milliseconds{0});
@@ -114,8 +115,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mQueue.Size());
   }
 
-  // Guards against balancers that are offered the same opening, and against one that is never
-  // offered any: a cold upstream takes 5 openings, and 24 balancers have callers for it.
+  // Guards against an opening that is offered to several balancers, and against a balancer that is
+  // never offered any: a cold upstream accepts 5 openings per round for 24 balancers.
   void SharesAddUpAndRotate()
   {
     constexpr std::uint32_t kAllowed = 5;
@@ -134,7 +135,8 @@
     }
   }
 
-  // Guards against a first balancer that waits for the next round while openings are free.
+  // Guards against a first balancer that has to wait for the next round although openings are
+  // unassigned.
   void NewBalancersGetUnassignedOpenings()
   {
     OpeningShares shares;
--- a/unittests/Packet/PacketAgentTest.cpp
+++ b/unittests/Packet/PacketAgentTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the packet agent's decisions.
+// Tests of PacketAgent.
 #include "PacketFixtures.h"
 
 #include "dandelionslip/Packet/FlowMessage.h"
@@ -84,7 +84,7 @@
 
   void FromUpstream(PacketBytes aPacket) { mAgent.OnUpstreamPacket(aPacket, mOutput, mNow); }
 
-  // The upstream gives back the newest packet that it was sent.
+  // The upstream bounces the last packet that was delivered to it.
   void Bounce()
   {
     PacketBytes packet = mOutput.mToUpstream.back();
@@ -113,7 +113,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(ToString(aReason)), std::string(ToString(header.mReason)));
   }
 
-  // The kind of answer to a query, and the holder it names.
+  // Checks the type of the answer to a query; returns the holder that it names.
   Endpoint AssertAnswer(NodeMessageType aExpected, NodeMessageType aQuery, const FlowKey& aFlow)
   {
     FromBalancer(FlowMessage{{}, {aFlow}}.Encode(), aQuery);
@@ -124,8 +124,9 @@
     return message.value().mHolder;
   }
 
-  // Guards against a flow that no balancer finds after the fabric has moved it: its agent registers
-  // it with two homes, again when the homes change, and a home answers for it.
+  // Guards against a flow that no balancer finds after the network fabric has moved it: its agent
+  // must register it with two directory agents, again when these change, and a directory agent must
+  // answer queries for it.
   void FlowsAreRegisteredWithTheirDirectoryAgents()
   {
     Prepare();
@@ -139,7 +140,7 @@
     mOutput.Clear();
     Open(1);
     CPPUNIT_ASSERT_EQUAL(DirectoryAgents::kDirectoryAgentsPerFlow, Registrations());
-    // Repeated until the homes have confirmed it.
+    // Registrations are repeated until they are confirmed.
     mAgent.RegisterFlows(mOutput, mNow);
     CPPUNIT_ASSERT_EQUAL(2 * DirectoryAgents::kDirectoryAgentsPerFlow, Registrations());
     ConfirmRegistrations();
@@ -165,7 +166,7 @@
       }));
   }
 
-  // The homes confirm all registrations that were sent to them.
+  // The directory agents confirm all registrations that were sent to them.
   void ConfirmRegistrations()
   {
     auto sent = std::exchange(mOutput.mToNodes, {});
@@ -177,8 +178,8 @@
     }
   }
 
-  // Guards against homes that speak for an agent although its registrations were lost: a balancer
-  // would reset the flows.
+  // Guards against an agent that counts its flows as registered although registrations were lost:
+  // balancers would reset these flows.
   void RegistrationsAreConfirmed()
   {
     Prepare();
@@ -200,7 +201,7 @@
     ConfirmRegistrations();
     mAgent.RegisterFlows(mOutput, mNow);
     CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
-    // A home restarts: it must confirm the flow again.
+    // The directory agents restart: they must confirm the flow again.
     for (Member& member : members) {
       member.mIncarnation = 2;
     }
@@ -215,8 +216,9 @@
     CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
   }
 
-  // Guards against a restarted home that denies flows which were registered with the process before
-  // it, and against homes that speak for an agent which does not know its own flows.
+  // Guards against a restarted directory agent that answers NotRegistered for flows which were
+  // registered with its previous process, and against an agent that counts its flows as registered
+  // although it does not know all of them.
   void DirectoryAgentsAnswerNotRegisteredOnlyWhenInTheView()
   {
     Prepare();
@@ -234,7 +236,7 @@
   }
 
   // Guards against flows of another service after an address was reused, and against flows for an
-  // upstream that was never heard of.
+  // upstream that has never sent a heartbeat.
   void OpeningsNeedAnUpstreamAndARoute()
   {
     mAgent.OnConfiguration(TestRoutes(1, {"other"}));
@@ -249,7 +251,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToUpstream.size());
   }
 
-  // Guards against new work for a leaving upstream and against cut flows on it.
+  // Guards against new flows for a draining upstream and against the loss of its open flows.
   void DrainingUpstreamsKeepFlowsAndRefuseOpenings()
   {
     Prepare();
@@ -263,7 +265,8 @@
     CPPUNIT_ASSERT(!mAgent.Report(mNow).mAccepts);
   }
 
-  // Guards against flows for a data centre that is out, by balancers that do not know it yet.
+  // Guards against new flows in a data centre that is out of service, from balancers that do not
+  // know that yet.
   void DataCentreOutRefusesOpenings()
   {
     Prepare();
@@ -274,7 +277,7 @@
     AssertReturned(ReturnReason::Draining);
   }
 
-  // Guards against a cold upstream that is opened more flows than it bears in any second.
+  // Guards against more flows in any second than the limit of a cold upstream.
   void ColdUpstreamsStayWithinTheirOpeningLimit()
   {
     Prepare(1, Milliseconds{5'000});
@@ -300,7 +303,8 @@
     CPPUNIT_ASSERT(delivered.size() >= 3 * kBound);
   }
 
-  // Guards against a crowd on an upstream that turned cold while its data centre was out.
+  // Guards against too many flows for an upstream that turned cold while its data centre was out of
+  // service.
   void ReturnedDataCentreIsColdUntilTheNextHeartbeat()
   {
     Prepare();
@@ -315,7 +319,7 @@
     CPPUNIT_ASSERT(!mAgent.Report(mNow).mCold);
   }
 
-  // Guards against twice the cold limit in one second when the agent is killed and restarts.
+  // Guards against twice the cold limit in one second when the agent is killed and restarted.
   void RestartedAgentRefusesColdOpeningsForOneWindow()
   {
     Prepare(7, Milliseconds{5'000});
@@ -326,7 +330,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToUpstream.size());
   }
 
-  // Guards against copies of an opening packet that all go to a dead upstream.
+  // Guards against retransmissions of an opening packet that all go to a dead upstream.
   void RetransmittedUnansweredOpeningsAreReturned()
   {
     Prepare();
@@ -337,7 +341,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToUpstream.size());
   }
 
-  // Guards against broken flows after a restart of the agent beside a live upstream.
+  // Guards against broken flows when the agent restarts and its upstream does not.
   void RestartedAgentDeliversFlowsItDoesNotKnow()
   {
     Prepare(7);
@@ -345,7 +349,7 @@
     FromBalancer(CallerPacket(TestFlow(2), FlagAck, 5, 5, 10), NodeMessageType::Probe);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, mOutput.mToUpstream.size());
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck));
-    // The balancer learns at once that the probe has found the flow.
+    // The balancer is told at once that the flow probe has found the flow.
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::HolderFound);
     mOutput.mToNodes.clear();
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck, 2, 100));
@@ -354,7 +358,7 @@
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::HolderFound);
   }
 
-  // Guards against a search that never ends.
+  // Guards against searches that never end because no agent answers NotFound.
   void UnknownFlowsAreNotFoundWhenTheTableIsComplete()
   {
     Prepare(1);
@@ -364,8 +368,8 @@
     CPPUNIT_ASSERT(mOutput.mToUpstream.empty());
   }
 
-  // Guards against the loss of an opening packet that a full upstream gave back, and against marks
-  // of the bounce that the next upstream would see.
+  // Guards against the loss of an opening packet that a full upstream bounced, and against bounce
+  // marks that the next upstream would see.
   void BouncedOpeningsAreReturned()
   {
     Prepare();
@@ -377,7 +381,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, mAgent.Report(mNow).mFlows);
   }
 
-  // Guards against callers that wait on a flow which its upstream lost in a restart.
+  // Guards against callers that wait for an answer on a flow which its upstream lost in a restart.
   void FlowsThatTheUpstreamLostAreReset()
   {
     Prepare();
@@ -387,8 +391,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against the reset of a new flow at another upstream: its caller uses the port of an
-  // earlier flow, and a balancer that remembers that one sends its packets here.
+  // Guards against the reset of a flow that is open at another upstream: its caller reuses the port
+  // of an earlier flow, and a balancer that remembers that flow sends the packets here.
   void ReusedPortsAreNotTakenForTheOldFlow()
   {
     Prepare();
@@ -400,8 +404,8 @@
     AssertReturned(ReturnReason::NotHeld);
   }
 
-  // Guards against a denial by an agent that has just restarted beside a live upstream, and against
-  // flows that are not found until the upstream's next heartbeat.
+  // Guards against a NotFound from an agent that has just restarted although its upstream runs, and
+  // against flows that are not found until the upstream's next heartbeat.
   void AgentsNeedAProbeBeforeTheFirstHeartbeat()
   {
     AssertAnswer(NodeMessageType::ProbeNeeded, NodeMessageType::Query, TestFlow(1));
@@ -411,19 +415,19 @@
     AssertAnswer(NodeMessageType::ProbeNeeded, NodeMessageType::Query, TestFlow(1));
   }
 
-  // Guards against searches that never end: the machine of a removed upstream lost power and
-  // started again, and its agent waits for heartbeats that never come.
+  // Guards against searches that never end: the VM of a removed upstream lost power and started
+  // again, and its agent waits for heartbeats that never come.
   void AgentsWithoutAnUpstreamAnswerNotFound()
   {
     mNow += std::chrono::seconds(4);
     AssertAnswer(NodeMessageType::NotFound, NodeMessageType::Query, TestFlow(1));
     AssertAnswer(NodeMessageType::NotFound, NodeMessageType::QueryLocal, TestFlow(1));
-    // A sign of life: the upstream may hold flows of before the agent's start.
+    // The upstream runs after all and may hold flows from before the agent's start.
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck));
     AssertAnswer(NodeMessageType::ProbeNeeded, NodeMessageType::QueryLocal, TestFlow(1));
   }
 
-  // Guards against the reset of a flow by an upstream that only saw a probe of it.
+  // Guards against the reset of a flow by an upstream that only received a flow probe.
   void ResetsOfUnknownFlowsAreDropped()
   {
     Prepare(7);
@@ -435,7 +439,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against a flow that counts as held because a restarted agent delivered its packet.
+  // Guards against a flow that counts as held because a restarted agent has delivered its packet.
   void BouncedProbesAreAnsweredNotFound()
   {
     Prepare(7);
@@ -446,20 +450,20 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
-  // Guards against a heartbeat of an earlier start that arrives after its successor's.
+  // Guards against heartbeats that arrive late, also from before a restart of the upstream.
   void StaleHeartbeatsAreIgnored()
   {
     Prepare(5);
     CPPUNIT_ASSERT(Heartbeat(4, true) == HeartbeatOutcome::Stale);
     CPPUNIT_ASSERT(Heartbeat(9, true, Milliseconds{0}, 500) == HeartbeatOutcome::Stale);
     CPPUNIT_ASSERT(mAgent.Report(mNow).mAccepts);
-    // The same id after a restart: its counts start anew.
+    // After a restart with the same id, the sequence starts over.
     CPPUNIT_ASSERT(Heartbeat(1, false, Milliseconds{0}, 2'000) == HeartbeatOutcome::Accepted);
     CPPUNIT_ASSERT(mAgent.OnUpstreamHeartbeat({"i-2", "other", false, {}, 4, 9'000, 1}, mNow) ==
                    HeartbeatOutcome::WrongService);
   }
 
-  // Guards against a load report that drifts: closed flows and answered requests must not count.
+  // Guards against load reports that count closed flows or answered requests.
   void ReportsCountOpenFlowsAndRequests()
   {
     Prepare();
@@ -500,7 +504,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.3, request.Mean(), 1e-9);
   }
 
-  // Guards against new flows for an upstream that crashed and says nothing any more.
+  // Guards against new flows for an upstream that has crashed and sends no heartbeats.
   void UpstreamsWithoutHeartbeatsTakeNoFlows()
   {
     Prepare();
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the packet balancer's decisions.
+// Tests of PacketBalancer.
 #include "PacketFixtures.h"
 
 #include "dandelionslip/Packet/PacketBalancer.h"
@@ -99,7 +99,7 @@
                     [&](const auto& aSent) { return aSent.mHeader.mKind == aKind; }));
   }
 
-  // Two agents of "web", nodes 1 and 2, that accept flows; past the time of settling.
+  // Two agents of "web", nodes 1 and 2, that accept flows, after the settle time.
   void Settle()
   {
     mBalancer.OnState(TestRoutes(1, {"web"}),
@@ -127,7 +127,7 @@
     }
   }
 
-  // Guards against a broken flow when the fabric hands its packets to another balancer.
+  // Guards against a broken flow when the network fabric sends its packets to another balancer.
   void UnknownFlowsAreSearched()
   {
     Settle();
@@ -144,7 +144,7 @@
     CPPUNIT_ASSERT(mOutput.mToNodes[0].mHeader.mKind == NodeMessageType::Deliver);
   }
 
-  // Guards against callers that wait for their deadline on a flow that ended with its upstream.
+  // Guards against callers that wait until their deadline on a flow that ended with its upstream.
   void FlowsThatNobodyHoldsAreReset()
   {
     Settle();
@@ -153,14 +153,14 @@
     Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     Answer(2, NodeMessageType::NotFound, TestFlow(1));
-    // Both homes have denied it themselves, and there are no other agents.
+    // Both directory agents have answered NotFound, and there are no other agents to query.
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
     const auto reset = mCodec.DecodeFromUpstream(mOutput.mToCallers[0]);
     CPPUNIT_ASSERT(reset && reset->mFlow == TestFlow(1) && reset->mSequence == 9);
   }
 
-  // Many agents of "web" whose flows are registered with the homes of the same view.
+  // aAgents agents of "web" whose flows are registered with the directory agents of the same view.
   void SettleMany(unsigned aAgents)
   {
     std::vector<Member> members;
@@ -192,8 +192,8 @@
     }
   }
 
-  // Guards against searches that ask 60 agents for each flow that a loss of power has ended, and
-  // against the reset of a flow that an agent holds for which the homes do not speak.
+  // Guards against searches that query 60 agents for each flow that a loss of power has ended, and
+  // against the reset of a flow whose agent the directory agents do not cover.
   void AgentsWithConfirmedRegistrationsAreNotQueried()
   {
     SettleMany(60);
@@ -202,7 +202,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryLocal));
 
-    // An agent that has restarted does not know its flows: only it is asked.
+    // An agent that has restarted does not know its flows: it is the only one that is queried.
     unsigned restarted = 1;
     for (const auto directoryAgents = mDirectoryAgents.AgentsFor(TestFlow(2));
          std::find(directoryAgents.begin(), directoryAgents.end(), NodeEndpoint(restarted)) !=
@@ -220,8 +220,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against the reset of a flow that is registered with the homes of another view, with a
-  // home that has restarted, or whose agent has gone silent.
+  // Guards against the reset of a flow that is registered with the directory agents of another view
+  // or with one that has restarted, or whose agent sends no load reports.
   void OutdatedDirectoryAgentsDoNotEndASearch()
   {
     SettleMany(60);
@@ -242,8 +242,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
-  // Guards against a search that begins anew with every retransmission: one agent is silent, and
-  // only that one is asked again.
+  // Guards against a search that starts over with every retransmission: one agent does not answer,
+  // and only that one is queried again.
   void OnlyAgentsThatDidNotAnswerAreQueriedAgain()
   {
     mBalancer.OnState(TestRoutes(1, {"web"}),
@@ -268,7 +268,7 @@
   }
 
   // Guards against the loss of packets that come while a restarted balancer has no routes, and
-  // against packets that are forwarded long after their callers gave up.
+  // against packets that are forwarded after their callers have given up.
   void PacketsAreKeptUntilRoutesAreKnown()
   {
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
@@ -282,8 +282,8 @@
     CPPUNIT_ASSERT(asked && asked.value().mFlows.front() == TestFlow(2));
   }
 
-  // Guards against queries that fill a small link: 60 agents are silent after a loss of power, and
-  // callers send on 200 flows that nobody holds. A query takes 50 bytes on the wire.
+  // Guards against queries that fill a small link: after a loss of power, 60 agents do not answer,
+  // and callers send on 200 flows that no upstream holds. A query takes 50 bytes on the wire.
   void QueriesStayWithinTheLinkBudget()
   {
     PacketBalancerSettings settings;
@@ -310,7 +310,7 @@
     CPPUNIT_ASSERT(wide * 50 * 8 <= kSeconds * 2'500'000 / 4);
   }
 
-  // Guards against the reset of a flow whose agent is restarting while its upstream lives.
+  // Guards against the reset of a flow whose agent is restarting while its upstream runs.
   void SilentAgentsPreventAReset()
   {
     Settle();
@@ -324,7 +324,8 @@
   }
 
   // Guards against the reset of an open flow by a balancer that joined while the flow's agent had
-  // no lease: control was split, and the agent and its upstream went on.
+  // no valid lease: a network partition cut the agent off from control, but the agent and its
+  // upstream still run.
   void LostAgentsPreventAReset()
   {
     mBalancer.OnState(TestRoutes(1, {"web"}),
@@ -342,7 +343,7 @@
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagSyn));
     CPPUNIT_ASSERT(mOutput.mToNodes.at(0).mNode == NodeEndpoint(1));
-    // By now every flow of the lost agent is older than flows may become.
+    // By now every flow of the lost agent has exceeded the maximum age.
     mNow += std::chrono::seconds(61);
     Report(1, Accepting());
     mBalancer.OnTick(mOutput, mNow);
@@ -352,7 +353,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against a restarted agent that is asked in vain: only its upstream knows.
+  // Guards against a flow that is not found because its agent has restarted and only the upstream
+  // knows that it holds the flow.
   void AgentsThatNeedAProbeGetThePacket()
   {
     Settle();
@@ -363,7 +365,8 @@
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
   }
 
-  // Guards against packets that go back and forth because a registration is out of date.
+  // Guards against packets that are forwarded to the same agent again and again because a
+  // registration is out of date.
   void OutdatedRegistrationsAreNotFollowedTwice()
   {
     Settle();
@@ -376,8 +379,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::Deliver));
   }
 
-  // Guards against a flood of probes when all processes restart at once and no agent knows its
-  // flows: 60 agents answer that they are unsure, for 200 flows a second at one balancer.
+  // Guards against a flood of flow probes when all nodes restart at once and no agent knows its
+  // flows: 60 agents answer ProbeNeeded, for 200 flows per second at one balancer.
   void ProbesStayFewWhenAllNodesRestart()
   {
     std::vector<Member> members;
@@ -418,7 +421,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongChoices);
   }
 
-  // Guards against a refusal while another upstream has room, and against an endless loop.
+  // Guards against the reset of a flow that another upstream could accept, and against an endless
+  // loop between upstreams.
   void RefusedOpeningsTryAnotherUpstream()
   {
     Settle();
@@ -433,7 +437,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, mOutput.mToNodes.size());
   }
 
-  // Guards against a caller that waits although no route will ever take its flow.
+  // Guards against a caller that waits although no route matches its flow.
   void UnroutableOpeningsAreResetAtOnce()
   {
     Settle();
@@ -443,14 +447,15 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against resets that use up a caller's tries while a balancer starts.
+  // Guards against resets that use up a caller's attempts while a balancer starts.
   void OpeningsWaitForRoutes()
   {
     Send(CallerPacket(TestFlow(1), FlagSyn));
     CPPUNIT_ASSERT(mOutput.mToCallers.empty() && mOutput.mToNodes.empty());
     mNow += Milliseconds{300};
     Settle();
-    // Settling takes longer than the packet waits, so a fresh one shows the delivery.
+    // The settle time exceeds the maximum wait of the packet, so delivery is checked with a new
+    // balancer.
     PacketBalancer balancer({}, mCodec, mRegistry, Random(1));
     PacketBytes packet = CallerPacket(TestFlow(2), FlagSyn);
     balancer.OnCallerPacket(packet, mOutput, mNow);
@@ -460,8 +465,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
-  // Guards against refusals of a crowd that cold upstreams could take within its deadline: the load
-  // after a loss of power, when all callers open their flows again.
+  // Guards against resets of flows that cold upstreams could accept within the callers' deadline,
+  // when all callers open their flows again after a loss of power.
   void OpeningsWaitForColdUpstreams()
   {
     Settle();
@@ -477,8 +482,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, mOutput.mToNodes.size());
   }
 
-  // Guards against callers that wait in vain: upstreams stay cold for longer than the route allows,
-  // and take fewer flows a second than wait already.
+  // Guards against callers that wait although they cannot be served: upstreams stay cold for longer
+  // than openings of the route may wait, and accept fewer flows in that time than already wait.
   void OpeningsThatCannotBeServedInTimeAreReset()
   {
     Settle();
@@ -487,12 +492,12 @@
     for (std::uint16_t i = 0; i < 50; ++i) {
       Send(CallerPacket(TestFlow(i), FlagSyn));
     }
-    // Ten openings a second for four fifths of the route's second.
+    // Eight of 50 wait: ten openings per second for four fifths of the route's timeout of 1 s.
     CPPUNIT_ASSERT_EQUAL(std::size_t{42}, mOutput.Resets());
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
   }
 
-  // Guards against a crowd of unimportant flows that takes the places of important ones.
+  // Guards against flows of low priority that take the openings of flows of high priority.
   void HighPriorityRoutesLeaveTheQueueFirst()
   {
     Configuration configuration = TestRoutes(1, {"web"});
@@ -511,7 +516,7 @@
     CPPUNIT_ASSERT(mCodec.DecodeFromCaller(mOutput.mToNodes[0].mPacket)->mFlow == urgent);
   }
 
-  // Guards against new flows in a data centre that operators have taken out.
+  // Guards against new flows in a data centre that operators have taken out of service.
   void DataCentresThatAreOutGetNoOpenings()
   {
     Settle();
@@ -523,8 +528,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against equal shares for upstreams of unequal speed: a crowd of long flows is opened,
-  // with reports only every 40 openings, and no upstream may get more than 15% above its share.
+  // Guards against equal shares for upstreams of unequal speed: many long flows are opened, with
+  // load reports only every 40 openings. No upstream may get more than 15% above its share.
   void FlowsFollowTheSpeedOfUpstreams()
   {
     const std::array<std::uint32_t, 3> speeds{30'000, 50'000, 80'000};
--- a/unittests/Packet/PacketCodecsTest.cpp
+++ b/unittests/Packet/PacketCodecsTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the messages between nodes of the packet plane.
+// Tests of the messages between packet nodes, DirectoryAgents and SpeedEstimator.
 #include "PacketFixtures.h"
 
 #include "dandelionslip/Packet/DirectoryAgents.h"
@@ -33,7 +33,7 @@
     return report;
   }
 
-  // Guards against fields that are lost or change places.
+  // Guards against fields that are lost or swapped.
   void MessagesSurviveARoundTrip()
   {
     const NodeMessageHeader header{NodeMessageType::Returned, ReturnReason::Cold};
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT(report && report.value() == Report());
   }
 
-  // Guards against reads beyond the end and values that were never sent.
+  // Guards against reads beyond the end of a message and against values that cannot be encoded.
   void DamagedMessagesAreRejected()
   {
     const auto flows = FlowMessage{NodeEndpoint(3), {TestFlow(1), TestFlow(2)}}.Encode();
@@ -79,8 +79,8 @@
     }
   }
 
-  // Guards against reports that fill an entry VM's link: 63 agents send five a second to a balancer
-  // with 1.9 Mbit/s, and may use a tenth of that.
+  // Guards against reports that fill a balancer's link: 63 agents send five per second each to a
+  // balancer with 1.9 Mbit/s, and may use a tenth of that.
   void ReportsAreSmall()
   {
     constexpr double kLinkBytesPerSecond = 1.9e6 / 8;
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT(bytes * kReportsPerSecond <= kLinkBytesPerSecond / 10);
   }
 
-  // Guards against homes that all move, which would make every flow unknown at once.
+  // Guards against a change of all directory agents, after which no flow could be found.
   void FewDirectoryAgentsChangeWhenAnAgentJoins()
   {
     std::vector<Member> members;
@@ -121,7 +121,7 @@
     CPPUNIT_ASSERT(moved < kFlows / 5);
   }
 
-  // Guards against an upstream that gets few flows because it had few before.
+  // Guards against an upstream that looks slow, and so gets few flows, because it had few before.
   void IdleTimeDoesNotLowerTheEstimate()
   {
     SpeedEstimator estimator;
--- a/unittests/Packet/PacketFixtures.cpp
+++ b/unittests/Packet/PacketFixtures.cpp
@@ -1,4 +1,4 @@
-// Packets and configurations for tests of the packet cores.
+// Packets and configurations for tests of PacketAgent and PacketBalancer.
 #include "PacketFixtures.h"
 
 #include <boost/endian/conversion.hpp>
--- a/unittests/Packet/PacketFixtures.h
+++ b/unittests/Packet/PacketFixtures.h
@@ -1,4 +1,4 @@
-// Packets, configurations and a recording output for tests of the packet cores.
+// Packets, configurations and a recording output for tests of PacketAgent and PacketBalancer.
 #pragma once
 
 #include "PacketCodec.h"
@@ -25,10 +25,10 @@
   FlagAck = 128,
 };
 
-/// A packet of the caller of the flow.
+/// A packet from the caller of the flow.
 PacketBytes CallerPacket(const FlowKey& aFlow, std::uint8_t aFlags, std::uint32_t aSequence = 1,
                          std::uint32_t aAcknowledged = 0, std::uint16_t aDataBytes = 0);
-/// A packet of the upstream of the flow.
+/// A packet from the upstream of the flow.
 PacketBytes UpstreamPacket(const FlowKey& aFlow, std::uint8_t aFlags, std::uint32_t aSequence = 1,
                            std::uint16_t aDataBytes = 0);
 
@@ -48,7 +48,7 @@
 /// A view with these members.
 View TestView(std::uint64_t aRevision, const std::vector<Member>& aMembers);
 
-/// Keeps what a core sent.
+/// Records the packets that were sent.
 struct RecordingOutput : PacketOutput
 {
   struct ToNode
--- a/unittests/Platform/PlatformCodecTest.cpp
+++ b/unittests/Platform/PlatformCodecTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the platform's formats.
+// Tests of the platform's packet, configuration, heartbeat and settings formats.
 #include "NodeApi.h"
 #include "NodeFile.h"
 #include "PacketCodec.h"
@@ -44,7 +44,8 @@
   CPPUNIT_TEST(IncompleteNodeFilesAreRejected);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against a header that callers or upstreams cannot read.
+  // Guards against headers that callers or upstreams cannot read: compares them with the examples
+  // that the platform publishes.
   void PacketsMatchThePublishedExamples()
   {
     const std::vector<std::uint8_t> syn{
@@ -63,7 +64,8 @@
     CPPUNIT_ASSERT(back && back->mResets && back->mFlow == segment->mFlow);
   }
 
-  // Guards against reads beyond the end of a short packet, and against lengths that lie.
+  // Guards against reads beyond the end of a short packet, and against a length field that does not
+  // match the packet.
   void DamagedPacketsAreRejected()
   {
     const PacketCodec codec;
@@ -78,7 +80,8 @@
     CPPUNIT_ASSERT(!codec.DecodeFromCaller(huge));
   }
 
-  // Guards against a changed packet: the checksum does not cover the tag and the mark.
+  // Guards against changes to a packet other than its tag and bounce flag, which the checksum does
+  // not cover.
   void TagsAndBounceMarksChangeNothingElse()
   {
     const PacketCodec codec;
@@ -92,7 +95,7 @@
     CPPUNIT_ASSERT(packet == original);
   }
 
-  // Guards against fields that are lost or misread on the way into the product's types.
+  // Guards against fields that are lost or misread when the document is decoded.
   void RouteDocumentsBecomeRouteTables()
   {
     const auto table = DecodeRouteDocument(kDocument);
@@ -108,7 +111,7 @@
     CPPUNIT_ASSERT(table.value().mFlowIdleTimeout == Milliseconds{15'000});
   }
 
-  // Guards against an invalid configuration that is acknowledged.
+  // Guards against an invalid configuration that is accepted.
   void InvalidRouteDocumentsAreRejected()
   {
     const auto assertRejected = [](const std::string& aText) {
@@ -132,7 +135,7 @@
     assertRejected(Replaced(kDocument, "\"host\":\"198.18.0.1\"", "\"host\":\"web.example\""));
   }
 
-  // Guards against an upstream taken from a heartbeat that somebody else wrote.
+  // Guards against upstream state that is read from a heartbeat which no upstream wrote.
   void MalformedHeartbeatsAreRejected()
   {
     const auto good = DecodeHeartbeat("i-1", kHeartbeat);
@@ -172,7 +175,7 @@
     return file;
   }
 
-  // Guards against settings that the product's own checks refuse.
+  // Guards against settings that fail the product's own checks.
   void NodeFilesBecomeSettings()
   {
     const auto control = ControlSettingsFrom(File());
@@ -185,7 +188,7 @@
     CPPUNIT_ASSERT(AgentSettingsFrom(File()).has_value());
   }
 
-  // Guards against a role that starts without what it needs.
+  // Guards against a role that starts without a setting that it needs.
   void IncompleteNodeFilesAreRejected()
   {
     NodeFile file = File();
