--- a/lib/Packet/FlowMessage.cpp
+++ b/lib/Packet/FlowMessage.cpp
@@ -48,7 +48,8 @@
   const std::size_t rest = aBytes.size() < kHolderBytes ? 0 : aBytes.size() - kHolderBytes;
   if (rest == 0 || rest % kFlowBytes != 0 || rest / kFlowBytes > kMaxFlows) {
     return Fail(ErrorCode::InvalidInput, "flow_message.decode", "",
-                "found " + std::to_string(aBytes.size()) + " bytes, expected 6 and 1 to 80 flows");
+                "found " + std::to_string(aBytes.size()) +
+                  " bytes, expected 6 bytes and 1 to 80 flows of 12 bytes");
   }
   FlowMessage message;
   message.mHolder = Endpoint::FromV4(load_big_u32(aBytes.data()), load_big_u16(aBytes.data() + 4));
--- a/lib/Packet/LoadReport.cpp
+++ b/lib/Packet/LoadReport.cpp
@@ -59,7 +59,8 @@
   }
   if (!valid) {
     return Fail(ErrorCode::InvalidInput, "load_report.decode", "",
-                "expected two texts and " + std::to_string(kFields - kTexts) + " numbers");
+                "expected an array of two strings and " + std::to_string(kFields - kTexts) +
+                  " unsigned numbers");
   }
   LoadReport report;
   report.mService = json[0].get<std::string>();
--- a/lib/Packet/NodeMessageHeader.cpp
+++ b/lib/Packet/NodeMessageHeader.cpp
@@ -34,13 +34,13 @@
     return invalid("found " + std::to_string(aBytes.size()) + " bytes, expected at least 4");
   }
   if (aBytes[0] != kMagic || aBytes[1] != kVersion) {
-    return invalid("found another magic number or version");
+    return invalid("found an unknown magic number or version");
   }
   constexpr auto first = static_cast<std::uint8_t>(NodeMessageType::Deliver);
   constexpr auto last = static_cast<std::uint8_t>(NodeMessageType::NotRegistered);
   if (aBytes[2] < first || aBytes[2] > last || aBytes[3] >= kReturnReasons) {
-    return invalid("found kind " + std::to_string(aBytes[2]) + " with reason " +
-                   std::to_string(aBytes[3]));
+    return invalid("found an unknown kind or reason: kind " + std::to_string(aBytes[2]) +
+                   ", reason " + std::to_string(aBytes[3]));
   }
   return NodeMessageHeader{static_cast<NodeMessageType>(aBytes[2]),
                            static_cast<ReturnReason>(aBytes[3])};
