--- a/include/dandelionslip/Packet/NodeMessageHeader.h
+++ b/include/dandelionslip/Packet/NodeMessageHeader.h
@@ -9,7 +9,7 @@
 
 namespace dandelionslip {
 
-/// Type of a message and what its receiver learns or has to do.
+/// Message types, with the receiver and the meaning of each.
 enum class NodeMessageType : std::uint8_t
 {
   Deliver = 1, ///< To an agent: deliver the packet to the upstream, or return it.
--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -40,11 +40,11 @@
 enum class HeartbeatOutcome
 {
   Accepted,
-  Stale,        ///< From before the upstream's restart or exit, or older than the last heartbeat.
+  Stale,        ///< From before a restart, overtaken by a newer one, or after OnUpstreamLeft.
   WrongService, ///< Names another service than the settings of this agent.
 };
 
-/// Delivers packets to the upstream on the same VM and decides which new flows it is sent.
+/// Delivers packets to its upstream and decides which new flows the upstream is sent.
 ///
 /// The upstream is the authority on which flows it holds. The agent's flow table is a cache,
 /// rebuilt from the traffic after the agent restarts. Until the table is complete, a packet of an
@@ -76,6 +76,7 @@
   void StopAccepting() { mStopping = true; }
 
   LoadReport Report(TimePoint aNow) const;
+  /// The state that this agent announces to control.
   MemberState State(TimePoint aNow) const;
 
 private:
@@ -168,7 +169,7 @@
   void TrackRequest(Flow& aFlow, const Segment& aSegment, TimePoint aNow);
   void SetRequestPending(Flow& aFlow, bool aPending, TimePoint aNow);
   void Close(Flow& aFlow, TimePoint aNow);
-  void Forget(const FlowKey& aFlow, TimePoint aNow);
+  void RemoveFlow(const FlowKey& aFlow, TimePoint aNow);
 
   PacketAgentSettings mSettings;
   const SegmentCodec& mCodec;
--- a/lib/Packet/PacketAgent.cpp
+++ b/lib/Packet/PacketAgent.cpp
@@ -197,8 +197,8 @@
   return mSawUpstreamStart || aNow - mStartedAt > mSettings.mMaxFlowAge;
 }
 
-// Whether nothing has been heard of an upstream since the start of this process. The VM of a
-// removed upstream may start again with the agent alone.
+// Whether nothing has been heard of an upstream although this process has run for long enough. The
+// VM of a removed upstream may start again with the agent alone.
 bool PacketAgent::UpstreamIsAbsent(TimePoint aNow) const
 {
   return !mUpstream && !mUpstreamSentPackets &&
--- a/lib/Packet/PacketAgentFlows.cpp
+++ b/lib/Packet/PacketAgentFlows.cpp
@@ -69,7 +69,7 @@
 {
   const auto found = mFlows.find(aSegment.mFlow);
   if (found != mFlows.end() && aSegment.mRetransmission > 0 && !found->second.mAccepted) {
-    Forget(aSegment.mFlow, aNow);
+    RemoveFlow(aSegment.mFlow, aNow);
     Return(aFrom, ReturnReason::Unresponsive, aPacket, aOutput);
     return;
   }
@@ -79,7 +79,7 @@
     return;
   }
   if (aSegment.mRetransmission == 0) {
-    Forget(aSegment.mFlow, aNow);
+    RemoveFlow(aSegment.mFlow, aNow);
   }
   LogOpening(aSegment.mFlow, ReturnReason::None, aNow);
   Flow& flow = FindOrAddFlow(aSegment.mFlow, aNow);
@@ -113,7 +113,7 @@
   auto found = mFlows.find(aSegment.mFlow);
   if (found != mFlows.end() && found->second.mDeliveredEnd &&
       !IsNear(aSegment.mSequence, *found->second.mDeliveredEnd)) {
-    Forget(aSegment.mFlow, aNow);
+    RemoveFlow(aSegment.mFlow, aNow);
     found = mFlows.end();
   }
   if (found == mFlows.end()) {
@@ -136,7 +136,7 @@
   }
   Deliver(aFrom, aKind, aPacket, aOutput);
   if (aSegment.mResets) {
-    Forget(aSegment.mFlow, aNow);
+    RemoveFlow(aSegment.mFlow, aNow);
     return;
   }
   flow.mCallerEnded = flow.mCallerEnded || aSegment.mEnds;
@@ -168,7 +168,7 @@
   mReplies.Add();
   aOutput.SendToCaller(segment->mFlow, aPacket);
   if (segment->mResets) {
-    Forget(segment->mFlow, aNow);
+    RemoveFlow(segment->mFlow, aNow);
     return;
   }
   Flow& flow = FindOrAddFlow(segment->mFlow, aNow);
@@ -208,7 +208,7 @@
   mCodec.ClearBounce(aPacket);
   mProbes.erase(segment->mFlow);
   if (segment->mOpens) {
-    Forget(segment->mFlow, aNow);
+    RemoveFlow(segment->mFlow, aNow);
     Return(delivery.mBalancer, ReturnReason::Refused, aPacket, aOutput);
     return;
   }
@@ -216,7 +216,7 @@
   if (found != mFlows.end() && found->second.mEstablished && found->second.mDeliveredEnd) {
     // The flow was open at this upstream, which no longer holds it, so no upstream does.
     const bool ended = found->second.mUpstreamEnded || found->second.mClosed;
-    Forget(segment->mFlow, aNow);
+    RemoveFlow(segment->mFlow, aNow);
     if (!ended) {
       mResets.Add();
       LogEvent(LogLevel::Info, "flow_reset")
@@ -228,7 +228,7 @@
     }
     return;
   }
-  Forget(segment->mFlow, aNow);
+  RemoveFlow(segment->mFlow, aNow);
   ReportNotHeld(delivery, *segment, aPacket, aOutput);
 }
 
@@ -305,7 +305,7 @@
   }
 }
 
-void PacketAgent::Forget(const FlowKey& aFlow, TimePoint aNow)
+void PacketAgent::RemoveFlow(const FlowKey& aFlow, TimePoint aNow)
 {
   if (const auto found = mFlows.find(aFlow); found != mFlows.end()) {
     Close(found->second, aNow);
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -304,10 +304,12 @@
       }
       mNow += Milliseconds{200};
     }
-    constexpr std::size_t kStaged = DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates;
-    const std::size_t wide = Sent(NodeMessageType::QueryLocal) -
-                             std::min(Sent(NodeMessageType::QueryLocal), 200 * kStaged);
-    CPPUNIT_ASSERT(wide * 50 * 8 <= kSeconds * 2'500'000 / 4);
+    constexpr std::size_t kFirstStages =
+      DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates;
+    const std::size_t allAgentQueries =
+      Sent(NodeMessageType::QueryLocal) -
+      std::min(Sent(NodeMessageType::QueryLocal), 200 * kFirstStages);
+    CPPUNIT_ASSERT(allAgentQueries * 50 * 8 <= kSeconds * 2'500'000 / 4);
   }
 
   // Guards against the reset of a flow whose agent is restarting while its upstream runs.
@@ -391,7 +393,7 @@
     mNow += kSettled;
     mBalancer.OnTick(mOutput, mNow);
     constexpr std::uint16_t kFlows = 200;
-    std::size_t foundAmongChoices = 0;
+    std::size_t foundAmongCandidates = 0;
     for (std::uint16_t i = 0; i < kFlows; ++i) {
       // The flow was placed before the restart, by a balancer like this one.
       mOutput.Clear();
@@ -406,7 +408,7 @@
         const auto sent = mOutput.mToNodes[at];
         const bool probe = sent.mHeader.mKind == NodeMessageType::Probe;
         const bool holds = probe && sent.mNode == holder;
-        foundAmongChoices += holds ? 1 : 0;
+        foundAmongCandidates += holds ? 1 : 0;
         if (!holds && sent.mHeader.mKind != NodeMessageType::Deliver) {
           auto bytes = FlowMessage{{}, {TestFlow(i)}}.Encode();
           restarted.OnNodePacket(
@@ -418,7 +420,7 @@
       CPPUNIT_ASSERT(Sent(NodeMessageType::Probe) <=
                      DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongChoices);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongCandidates);
   }
 
   // Guards against the reset of a flow that another upstream could accept, and against an endless
