--- a/unittests/Packet/OpeningQueueTest.cpp
+++ b/unittests/Packet/OpeningQueueTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the queue of waiting openings and of the shares of a cold upstream's openings.
+// Tests of OpeningQueue and OpeningShares.
 #include "PacketFixtures.h"
 
 #include "dandelionslip/Packet/OpeningQueue.h"
@@ -18,13 +18,13 @@
 class OpeningQueueTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(OpeningQueueTest);
-  CPPUNIT_TEST(ImportantAndNewOpeningsLeaveFirst);
-  CPPUNIT_TEST(CrowdAtColdUpstreamsIsServedInTime);
-  CPPUNIT_TEST(FlowsWaitOnce);
-  CPPUNIT_TEST(OnlyTheCountThatFitsLeaves);
-  CPPUNIT_TEST(ExpiredOpeningsLeave);
-  CPPUNIT_TEST(SharesAddUpAndTakeTurns);
-  CPPUNIT_TEST(NewcomersGetWhatIsLeft);
+  CPPUNIT_TEST(HighPriorityAndNewOpeningsLeaveFirst);
+  CPPUNIT_TEST(OpeningsTakenForColdUpstreamsAreServedInTime);
+  CPPUNIT_TEST(EachFlowIsQueuedOnce);
+  CPPUNIT_TEST(TakeStopsAtTheCount);
+  CPPUNIT_TEST(ExpiredOpeningsAreTaken);
+  CPPUNIT_TEST(SharesAddUpAndRotate);
+  CPPUNIT_TEST(NewBalancersGetUnassignedOpenings);
   CPPUNIT_TEST_SUITE_END();
 
   OpeningQueue mQueue;
@@ -36,8 +36,9 @@
 
   static bool Any(const WaitingOpening& /*aOpening*/) { return true; }
 
-  // Guards against unimportant flows that overtake others, and against the order of arrival.
-  void ImportantAndNewOpeningsLeaveFirst()
+  // Guards against flows that leave before those of a higher priority, and against leaving in order
+  // of arrival.
+  void HighPriorityAndNewOpeningsLeaveFirst()
   {
     Add(1, 2, Milliseconds{0});
     Add(2, 1, Milliseconds{20});
@@ -48,11 +49,11 @@
     CPPUNIT_ASSERT(taken.at(2).mFlow == TestFlow(1));
   }
 
-  // Guards against openings of cold upstreams that are spent on callers whose deadline has passed:
-  // 100 callers a second come for two seconds to upstreams that take 10 flows a second, and each
-  // request has 500 ms and takes 60 ms once its flow is open. Every flow that is opened must serve
-  // its first request.
-  void CrowdAtColdUpstreamsIsServedInTime()
+  // Guards against openings at cold upstreams that are spent on callers whose deadline passes: for
+  // two seconds, 100 callers per second come to upstreams that accept 10 flows per second. Each
+  // request has a timeout of 500 ms and takes 60 ms once its flow is open. Every opened flow must
+  // complete its first request in time.
+  void OpeningsTakenForColdUpstreamsAreServedInTime()
   {
     constexpr Milliseconds kStep{10};
     constexpr Milliseconds kTimeout{500};
@@ -68,15 +69,15 @@
       }
       for (const WaitingOpening& opening : mQueue.Take(1, Any)) {
         ++opened;
-        inTime += now + kWork - opening.mSince <= kTimeout ? 1 : 0;
+        inTime += now + kWork - opening.mArrivedAt <= kTimeout ? 1 : 0;
       }
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, opened);
     CPPUNIT_ASSERT_EQUAL(opened, inTime);
   }
 
-  // Guards against copies of an opening packet that open the flow several times.
-  void FlowsWaitOnce()
+  // Guards against retransmissions of an opening packet that open the flow several times.
+  void EachFlowIsQueuedOnce()
   {
     CPPUNIT_ASSERT(Add(1, 0, Milliseconds{0}));
     CPPUNIT_ASSERT(!Add(1, 0, Milliseconds{200}));
@@ -86,8 +87,8 @@
     CPPUNIT_ASSERT(Add(1, 0, Milliseconds{300}));
   }
 
-  // Guards against work for every waiting opening whenever one upstream has room.
-  void OnlyTheCountThatFitsLeaves()
+  // Guards against a visit to every waiting opening whenever an upstream accepts a few.
+  void TakeStopsAtTheCount()
   {
     for (std::uint16_t i = 0; i < 100; ++i) {
       Add(i, 0, Milliseconds{i});
@@ -102,8 +103,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{98}, mQueue.Size());
   }
 
-  // Guards against openings that wait longer than their callers.
-  void ExpiredOpeningsLeave()
+  // Guards against openings that stay in the queue for longer than their maximum wait.
+  void ExpiredOpeningsAreTaken()
   {
     Add(1, 0, Milliseconds{0});
     Add(2, 0, Milliseconds{500});
@@ -114,9 +115,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mQueue.Size());
   }
 
-  // Guards against balancers that are offered the same opening, and against one that is never
-  // offered any: a cold upstream takes 5 openings, and 24 balancers have callers for it.
-  void SharesAddUpAndTakeTurns()
+  // Guards against an opening that is offered to several balancers, and against a balancer that is
+  // never offered any: a cold upstream accepts 5 openings per round for 24 balancers.
+  void SharesAddUpAndRotate()
   {
     constexpr std::uint32_t kAllowed = 5;
     constexpr std::size_t kBalancers = 24;
@@ -134,8 +135,9 @@
     }
   }
 
-  // Guards against a first balancer that waits for the next round while openings are free.
-  void NewcomersGetWhatIsLeft()
+  // Guards against a first balancer that has to wait for the next round although openings are
+  // unassigned.
+  void NewBalancersGetUnassignedOpenings()
   {
     OpeningShares shares;
     CPPUNIT_ASSERT(shares.Split(2, 0).empty());
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the packet balancer's decisions.
+// Tests of PacketBalancer.
 #include "PacketFixtures.h"
 
 #include "dandelionslip/Packet/PacketBalancer.h"
@@ -20,24 +20,24 @@
   CPPUNIT_TEST(FlowsStayWithTheirHolder);
   CPPUNIT_TEST(UnknownFlowsAreSearched);
   CPPUNIT_TEST(FlowsThatNobodyHoldsAreReset);
-  CPPUNIT_TEST(HomesSpeakForAgentsWhoseFlowsTheyKnow);
-  CPPUNIT_TEST(HomesOfAnotherViewDoNotEndASearch);
-  CPPUNIT_TEST(DeniedFlowsAreNotAskedForAgain);
-  CPPUNIT_TEST(PacketsBeforeTheRoutesAreKept);
-  CPPUNIT_TEST(SearchesStayWithinTheLinkAfterALossOfPower);
+  CPPUNIT_TEST(AgentsWithConfirmedRegistrationsAreNotQueried);
+  CPPUNIT_TEST(OutdatedDirectoryAgentsDoNotEndASearch);
+  CPPUNIT_TEST(OnlyAgentsThatDidNotAnswerAreQueriedAgain);
+  CPPUNIT_TEST(PacketsAreKeptUntilRoutesAreKnown);
+  CPPUNIT_TEST(QueriesStayWithinTheLinkBudget);
   CPPUNIT_TEST(SilentAgentsPreventAReset);
   CPPUNIT_TEST(LostAgentsPreventAReset);
-  CPPUNIT_TEST(UnsureAgentsGetThePacket);
-  CPPUNIT_TEST(StaleRegistrationsAreNotFollowedTwice);
-  CPPUNIT_TEST(SearchesStaySmallAfterARestartOfEverything);
+  CPPUNIT_TEST(AgentsThatNeedAProbeGetThePacket);
+  CPPUNIT_TEST(OutdatedRegistrationsAreNotFollowedTwice);
+  CPPUNIT_TEST(ProbesStayFewWhenAllNodesRestart);
   CPPUNIT_TEST(RefusedOpeningsTryAnotherUpstream);
   CPPUNIT_TEST(UnroutableOpeningsAreResetAtOnce);
   CPPUNIT_TEST(OpeningsWaitForRoutes);
   CPPUNIT_TEST(OpeningsWaitForColdUpstreams);
   CPPUNIT_TEST(OpeningsThatCannotBeServedInTimeAreReset);
-  CPPUNIT_TEST(ImportantRoutesLeaveTheQueueFirst);
+  CPPUNIT_TEST(HighPriorityRoutesLeaveTheQueueFirst);
   CPPUNIT_TEST(DataCentresThatAreOutGetNoOpenings);
-  CPPUNIT_TEST(EvenLoadAcrossUnevenUpstreams);
+  CPPUNIT_TEST(FlowsFollowTheSpeedOfUpstreams);
   CPPUNIT_TEST_SUITE_END();
 
   platform::PacketCodec mCodec;
@@ -45,7 +45,7 @@
   RecordingOutput mOutput;
   TimePoint mNow = kStart;
   PacketBalancer mBalancer{{}, mCodec, mRegistry, Random(1)};
-  FlowHomes mHomes;
+  DirectoryAgents mDirectoryAgents;
 
   void Send(PacketBytes aPacket) { mBalancer.OnCallerPacket(aPacket, mOutput, mNow); }
 
@@ -99,7 +99,7 @@
                     [&](const auto& aSent) { return aSent.mHeader.mKind == aKind; }));
   }
 
-  // Two agents of "web", nodes 1 and 2, that accept flows; past the time of settling.
+  // Two agents of "web", nodes 1 and 2, that accept flows, after the settle time.
   void Settle()
   {
     mBalancer.OnState(TestRoutes(1, {"web"}),
@@ -127,14 +127,14 @@
     }
   }
 
-  // Guards against a broken flow when the fabric hands its packets to another balancer.
+  // Guards against a broken flow when the network fabric sends its packets to another balancer.
   void UnknownFlowsAreSearched()
   {
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Sent(NodeMessageType::Query));
-    Answer(1, NodeMessageType::Held, TestFlow(1), NodeEndpoint(2));
+    Answer(1, NodeMessageType::HolderFound, TestFlow(1), NodeEndpoint(2));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(2));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
     mOutput.Clear();
@@ -144,7 +144,7 @@
     CPPUNIT_ASSERT(mOutput.mToNodes[0].mHeader.mKind == NodeMessageType::Deliver);
   }
 
-  // Guards against callers that wait for their deadline on a flow that ended with its upstream.
+  // Guards against callers that wait until their deadline on a flow that ended with its upstream.
   void FlowsThatNobodyHoldsAreReset()
   {
     Settle();
@@ -153,14 +153,14 @@
     Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     Answer(2, NodeMessageType::NotFound, TestFlow(1));
-    // Both homes have denied it themselves, and there are no other agents.
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryHeld));
+    // Both directory agents have answered NotFound, and there are no other agents to query.
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
     const auto reset = mCodec.DecodeFromUpstream(mOutput.mToCallers[0]);
     CPPUNIT_ASSERT(reset && reset->mFlow == TestFlow(1) && reset->mSequence == 9);
   }
 
-  // Many agents of "web" whose flows are registered with the homes of the same view.
+  // aAgents agents of "web" whose flows are registered with the directory agents of the same view.
   void SettleMany(unsigned aAgents)
   {
     std::vector<Member> members;
@@ -168,82 +168,83 @@
       members.push_back(TestAgent(node, "web"));
     }
     const View view = TestView(1, members);
-    mHomes.Update(view);
+    mDirectoryAgents.Update(view);
     mBalancer.OnState(TestRoutes(1, {"web"}), view, mOutput, mNow);
     mNow += kSettled;
-    ReportRegistered(aAgents, mHomes.Digest());
+    ReportRegistered(aAgents, mDirectoryAgents.Digest());
     mOutput.Clear();
   }
 
-  void ReportRegistered(unsigned aAgents, std::uint64_t aHomes)
+  void ReportRegistered(unsigned aAgents, std::uint64_t aDigest)
   {
     for (unsigned node = 1; node <= aAgents; ++node) {
       LoadReport report = Accepting();
-      report.mRegisteredWith = aHomes;
+      report.mRegisteredWithDigest = aDigest;
       Report(node, report);
     }
   }
 
-  void HomesAnswer(NodeMessageType aKind, const FlowKey& aFlow)
+  void DirectoryAgentsAnswer(NodeMessageType aKind, const FlowKey& aFlow)
   {
-    for (const Endpoint& home : mHomes.Of(aFlow)) {
+    for (const Endpoint& agent : mDirectoryAgents.AgentsFor(aFlow)) {
       auto bytes = FlowMessage{{}, {aFlow}}.Encode();
-      mBalancer.OnNodePacket(home, {aKind, ReturnReason::None}, bytes, mOutput, mNow);
+      mBalancer.OnNodePacket(agent, {aKind, ReturnReason::None}, bytes, mOutput, mNow);
     }
   }
 
-  // Guards against searches that ask 60 agents for each flow that a loss of power has ended, and
-  // against the reset of a flow that an agent holds for which the homes do not speak.
-  void HomesSpeakForAgentsWhoseFlowsTheyKnow()
+  // Guards against searches that query 60 agents for each flow that a loss of power has ended, and
+  // against the reset of a flow whose agent the directory agents do not cover.
+  void AgentsWithConfirmedRegistrationsAreNotQueried()
   {
     SettleMany(60);
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
-    HomesAnswer(NodeMessageType::Unregistered, TestFlow(1));
+    DirectoryAgentsAnswer(NodeMessageType::NotRegistered, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryLocal));
 
-    // An agent that has restarted does not know its flows: only it is asked.
+    // An agent that has restarted does not know its flows: it is the only one that is queried.
     unsigned restarted = 1;
-    for (const auto homes = mHomes.Of(TestFlow(2));
-         std::find(homes.begin(), homes.end(), NodeEndpoint(restarted)) != homes.end();) {
+    for (const auto directoryAgents = mDirectoryAgents.AgentsFor(TestFlow(2));
+         std::find(directoryAgents.begin(), directoryAgents.end(), NodeEndpoint(restarted)) !=
+         directoryAgents.end();) {
       ++restarted;
     }
     Report(restarted, Accepting());
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
-    HomesAnswer(NodeMessageType::Unregistered, TestFlow(2));
+    DirectoryAgentsAnswer(NodeMessageType::NotRegistered, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(restarted));
     Answer(restarted, NodeMessageType::NotFound, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against the reset of a flow that is registered with the homes of another view, with a
-  // home that has restarted, or whose agent has gone silent.
-  void HomesOfAnotherViewDoNotEndASearch()
+  // Guards against the reset of a flow that is registered with the directory agents of another view
+  // or with one that has restarted, or whose agent sends no load reports.
+  void OutdatedDirectoryAgentsDoNotEndASearch()
   {
     SettleMany(60);
-    ReportRegistered(60, mHomes.Digest() + 1);
+    ReportRegistered(60, mDirectoryAgents.Digest() + 1);
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
-    HomesAnswer(NodeMessageType::Unregistered, TestFlow(1));
+    DirectoryAgentsAnswer(NodeMessageType::NotRegistered, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT(Sent(NodeMessageType::QueryHeld) > 0);
+    CPPUNIT_ASSERT(Sent(NodeMessageType::QueryLocal) > 0);
 
-    ReportRegistered(60, mHomes.Digest());
+    ReportRegistered(60, mDirectoryAgents.Digest());
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
-    HomesAnswer(NodeMessageType::NotFound, TestFlow(2));
+    DirectoryAgentsAnswer(NodeMessageType::NotFound, TestFlow(2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
 
     mNow += Milliseconds{1'100};
     Send(CallerPacket(TestFlow(3), FlagAck, 7, 9, 50));
-    HomesAnswer(NodeMessageType::Unregistered, TestFlow(3));
+    DirectoryAgentsAnswer(NodeMessageType::NotRegistered, TestFlow(3));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
-  // Guards against a search that begins anew with every retransmission: one agent is silent, and
-  // only that one is asked again.
-  void DeniedFlowsAreNotAskedForAgain()
+  // Guards against a search that starts over with every retransmission: one agent does not answer,
+  // and only that one is queried again.
+  void OnlyAgentsThatDidNotAnswerAreQueriedAgain()
   {
     mBalancer.OnState(TestRoutes(1, {"web"}),
                       TestView(1, {TestAgent(1, "web"), TestAgent(2, "web"), TestAgent(3, "web")}),
@@ -258,7 +259,7 @@
       mOutput.Clear();
       mNow += Milliseconds{200};
       Send(packet);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryHeld));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryLocal));
       CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(3));
       CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
     }
@@ -267,8 +268,8 @@
   }
 
   // Guards against the loss of packets that come while a restarted balancer has no routes, and
-  // against packets that are forwarded long after their callers gave up.
-  void PacketsBeforeTheRoutesAreKept()
+  // against packets that are forwarded after their callers have given up.
+  void PacketsAreKeptUntilRoutesAreKnown()
   {
     Send(CallerPacket(TestFlow(1), FlagAck, 7, 9, 50));
     mNow += Milliseconds{1'200};
@@ -281,9 +282,9 @@
     CPPUNIT_ASSERT(asked && asked.value().mFlows.front() == TestFlow(2));
   }
 
-  // Guards against queries that fill a small link: 60 agents are silent after a loss of power, and
-  // callers send on 200 flows that nobody holds. A query takes 50 bytes on the wire.
-  void SearchesStayWithinTheLinkAfterALossOfPower()
+  // Guards against queries that fill a small link: after a loss of power, 60 agents do not answer,
+  // and callers send on 200 flows that no upstream holds. A query takes 50 bytes on the wire.
+  void QueriesStayWithinTheLinkBudget()
   {
     PacketBalancerSettings settings;
     settings.mCapacity = {0.09, 2.5};
@@ -303,13 +304,15 @@
       }
       mNow += Milliseconds{200};
     }
-    constexpr std::size_t kStaged = FlowHomes::kHomes + kPlacementChoices;
-    const std::size_t wide =
-      Sent(NodeMessageType::QueryHeld) - std::min(Sent(NodeMessageType::QueryHeld), 200 * kStaged);
-    CPPUNIT_ASSERT(wide * 50 * 8 <= kSeconds * 2'500'000 / 4);
+    constexpr std::size_t kFirstStages =
+      DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates;
+    const std::size_t allAgentQueries =
+      Sent(NodeMessageType::QueryLocal) -
+      std::min(Sent(NodeMessageType::QueryLocal), 200 * kFirstStages);
+    CPPUNIT_ASSERT(allAgentQueries * 50 * 8 <= kSeconds * 2'500'000 / 4);
   }
 
-  // Guards against the reset of a flow whose agent is restarting while its upstream lives.
+  // Guards against the reset of a flow whose agent is restarting while its upstream runs.
   void SilentAgentsPreventAReset()
   {
     Settle();
@@ -323,7 +326,8 @@
   }
 
   // Guards against the reset of an open flow by a balancer that joined while the flow's agent had
-  // no lease: control was split, and the agent and its upstream went on.
+  // no valid lease: a network partition cut the agent off from control, but the agent and its
+  // upstream still run.
   void LostAgentsPreventAReset()
   {
     mBalancer.OnState(TestRoutes(1, {"web"}),
@@ -336,12 +340,12 @@
     Answer(1, NodeMessageType::NotFound, TestFlow(1));
     Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(2));
     mOutput.Clear();
     Send(CallerPacket(TestFlow(2), FlagSyn));
     CPPUNIT_ASSERT(mOutput.mToNodes.at(0).mNode == NodeEndpoint(1));
-    // By now every flow of the lost agent is older than flows may become.
+    // By now every flow of the lost agent has exceeded the maximum age.
     mNow += std::chrono::seconds(61);
     Report(1, Accepting());
     mBalancer.OnTick(mOutput, mNow);
@@ -351,33 +355,35 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against a restarted agent that is asked in vain: only its upstream knows.
-  void UnsureAgentsGetThePacket()
+  // Guards against a flow that is not found because its agent has restarted and only the upstream
+  // knows that it holds the flow.
+  void AgentsThatNeedAProbeGetThePacket()
   {
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, NodeMessageType::Unsure, TestFlow(1));
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::DeliverIfHeld);
+    Answer(1, NodeMessageType::ProbeNeeded, TestFlow(1));
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::Probe);
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
   }
 
-  // Guards against packets that go back and forth because a registration is out of date.
-  void StaleRegistrationsAreNotFollowedTwice()
+  // Guards against packets that are forwarded to the same agent again and again because a
+  // registration is out of date.
+  void OutdatedRegistrationsAreNotFollowedTwice()
   {
     Settle();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
-    Answer(1, NodeMessageType::Held, TestFlow(1), NodeEndpoint(2));
+    Answer(1, NodeMessageType::HolderFound, TestFlow(1), NodeEndpoint(2));
     Return(2, ReturnReason::NotHeld, packet);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryHeld));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::QueryLocal));
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mNode == NodeEndpoint(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::Deliver));
   }
 
-  // Guards against a flood of probes when all processes restart at once and no agent knows its
-  // flows: 60 agents answer that they are unsure, for 200 flows a second at one balancer.
-  void SearchesStaySmallAfterARestartOfEverything()
+  // Guards against a flood of flow probes when all nodes restart at once and no agent knows its
+  // flows: 60 agents answer ProbeNeeded, for 200 flows per second at one balancer.
+  void ProbesStayFewWhenAllNodesRestart()
   {
     std::vector<Member> members;
     for (unsigned node = 1; node <= 60; ++node) {
@@ -387,7 +393,7 @@
     mNow += kSettled;
     mBalancer.OnTick(mOutput, mNow);
     constexpr std::uint16_t kFlows = 200;
-    std::size_t foundAmongChoices = 0;
+    std::size_t foundAmongCandidates = 0;
     for (std::uint16_t i = 0; i < kFlows; ++i) {
       // The flow was placed before the restart, by a balancer like this one.
       mOutput.Clear();
@@ -400,23 +406,25 @@
       restarted.OnCallerPacket(packet, mOutput, mNow);
       for (std::size_t at = 0; at < mOutput.mToNodes.size(); ++at) {
         const auto sent = mOutput.mToNodes[at];
-        const bool probe = sent.mHeader.mKind == NodeMessageType::DeliverIfHeld;
+        const bool probe = sent.mHeader.mKind == NodeMessageType::Probe;
         const bool holds = probe && sent.mNode == holder;
-        foundAmongChoices += holds ? 1 : 0;
+        foundAmongCandidates += holds ? 1 : 0;
         if (!holds && sent.mHeader.mKind != NodeMessageType::Deliver) {
           auto bytes = FlowMessage{{}, {TestFlow(i)}}.Encode();
           restarted.OnNodePacket(
             sent.mNode,
-            {probe ? NodeMessageType::NotFound : NodeMessageType::Unsure, ReturnReason::None},
+            {probe ? NodeMessageType::NotFound : NodeMessageType::ProbeNeeded, ReturnReason::None},
             bytes, mOutput, mNow);
         }
       }
-      CPPUNIT_ASSERT(Sent(NodeMessageType::DeliverIfHeld) <= FlowHomes::kHomes + kPlacementChoices);
+      CPPUNIT_ASSERT(Sent(NodeMessageType::Probe) <=
+                     DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongChoices);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongCandidates);
   }
 
-  // Guards against a refusal while another upstream has room, and against an endless loop.
+  // Guards against the reset of a flow that another upstream could accept, and against an endless
+  // loop between upstreams.
   void RefusedOpeningsTryAnotherUpstream()
   {
     Settle();
@@ -431,7 +439,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, mOutput.mToNodes.size());
   }
 
-  // Guards against a caller that waits although no route will ever take its flow.
+  // Guards against a caller that waits although no route matches its flow.
   void UnroutableOpeningsAreResetAtOnce()
   {
     Settle();
@@ -441,14 +449,15 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against resets that use up a caller's tries while a balancer starts.
+  // Guards against resets that use up a caller's attempts while a balancer starts.
   void OpeningsWaitForRoutes()
   {
     Send(CallerPacket(TestFlow(1), FlagSyn));
     CPPUNIT_ASSERT(mOutput.mToCallers.empty() && mOutput.mToNodes.empty());
     mNow += Milliseconds{300};
     Settle();
-    // Settling takes longer than the packet waits, so a fresh one shows the delivery.
+    // The settle time exceeds the maximum wait of the packet, so delivery is checked with a new
+    // balancer.
     PacketBalancer balancer({}, mCodec, mRegistry, Random(1));
     PacketBytes packet = CallerPacket(TestFlow(2), FlagSyn);
     balancer.OnCallerPacket(packet, mOutput, mNow);
@@ -458,8 +467,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
-  // Guards against refusals of a crowd that cold upstreams could take within its deadline: the load
-  // after a loss of power, when all callers open their flows again.
+  // Guards against resets of flows that cold upstreams could accept within the callers' deadline,
+  // when all callers open their flows again after a loss of power.
   void OpeningsWaitForColdUpstreams()
   {
     Settle();
@@ -475,8 +484,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, mOutput.mToNodes.size());
   }
 
-  // Guards against callers that wait in vain: upstreams stay cold for longer than the route allows,
-  // and take fewer flows a second than wait already.
+  // Guards against callers that wait although they cannot be served: upstreams stay cold for longer
+  // than openings of the route may wait, and accept fewer flows in that time than already wait.
   void OpeningsThatCannotBeServedInTimeAreReset()
   {
     Settle();
@@ -485,13 +494,13 @@
     for (std::uint16_t i = 0; i < 50; ++i) {
       Send(CallerPacket(TestFlow(i), FlagSyn));
     }
-    // Ten openings a second for four fifths of the route's second.
+    // Eight of 50 wait: ten openings per second for four fifths of the route's timeout of 1 s.
     CPPUNIT_ASSERT_EQUAL(std::size_t{42}, mOutput.Resets());
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
   }
 
-  // Guards against a crowd of unimportant flows that takes the places of important ones.
-  void ImportantRoutesLeaveTheQueueFirst()
+  // Guards against flows of low priority that take the openings of flows of high priority.
+  void HighPriorityRoutesLeaveTheQueueFirst()
   {
     Configuration configuration = TestRoutes(1, {"web"});
     configuration.mRoutes.mRoutes[0].mPriority = 3;
@@ -509,7 +518,7 @@
     CPPUNIT_ASSERT(mCodec.DecodeFromCaller(mOutput.mToNodes[0].mPacket)->mFlow == urgent);
   }
 
-  // Guards against new flows in a data centre that operators have taken out.
+  // Guards against new flows in a data centre that operators have taken out of service.
   void DataCentresThatAreOutGetNoOpenings()
   {
     Settle();
@@ -521,9 +530,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
   }
 
-  // Guards against equal shares for upstreams of unequal speed: a crowd of long flows is opened,
-  // with reports only every 40 openings, and no upstream may get more than 15% above its share.
-  void EvenLoadAcrossUnevenUpstreams()
+  // Guards against equal shares for upstreams of unequal speed: many long flows are opened, with
+  // load reports only every 40 openings. No upstream may get more than 15% above its share.
+  void FlowsFollowTheSpeedOfUpstreams()
   {
     const std::array<std::uint32_t, 3> speeds{30'000, 50'000, 80'000};
     std::vector<Member> members;
@@ -538,7 +547,7 @@
       for (unsigned node = 0; i % 40 == 0 && node < speeds.size(); ++node) {
         LoadReport report = Accepting();
         report.mFlows = flows[node];
-        report.mMilliRequestsPerSlot = speeds[node];
+        report.mMilliRequestsPerSlotSecond = speeds[node];
         Report(node + 1, report);
       }
       Send(CallerPacket(TestFlow(i), FlagSyn));
--- a/unittests/Packet/PacketCodecsTest.cpp
+++ b/unittests/Packet/PacketCodecsTest.cpp
@@ -1,7 +1,7 @@
-// Tests of the messages between nodes of the packet plane.
+// Tests of the messages between packet nodes, DirectoryAgents and SpeedEstimator.
 #include "PacketFixtures.h"
 
-#include "dandelionslip/Packet/FlowHomes.h"
+#include "dandelionslip/Packet/DirectoryAgents.h"
 #include "dandelionslip/Packet/FlowMessage.h"
 #include "dandelionslip/Packet/SpeedEstimator.h"
 #include "dandelionslip/Support/Random.h"
@@ -18,23 +18,23 @@
 class PacketCodecsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PacketCodecsTest);
-  CPPUNIT_TEST(MessagesComeBackWhole);
-  CPPUNIT_TEST(DamagedMessagesAreRefused);
+  CPPUNIT_TEST(MessagesSurviveARoundTrip);
+  CPPUNIT_TEST(DamagedMessagesAreRejected);
   CPPUNIT_TEST(ReportsAreSmall);
-  CPPUNIT_TEST(FewHomesMoveWhenAnAgentJoins);
-  CPPUNIT_TEST(IdleTimeDoesNotSlowAnEstimate);
+  CPPUNIT_TEST(FewDirectoryAgentsChangeWhenAnAgentJoins);
+  CPPUNIT_TEST(IdleTimeDoesNotLowerTheEstimate);
   CPPUNIT_TEST_SUITE_END();
 
   static LoadReport Report()
   {
     LoadReport report{"huvo11a", "fukuoka", true, false, false, true, 120, 7, 4, 66'000, 3, 5};
     report.mColdLeft = Milliseconds{1'500};
-    report.mRegisteredWith = 0xfedcba9876543210;
+    report.mRegisteredWithDigest = 0xfedcba9876543210;
     return report;
   }
 
-  // Guards against fields that are lost or change places.
-  void MessagesComeBackWhole()
+  // Guards against fields that are lost or swapped.
+  void MessagesSurviveARoundTrip()
   {
     const NodeMessageHeader header{NodeMessageType::Returned, ReturnReason::Cold};
     const auto back = NodeMessageHeader::Decode(header.Encode());
@@ -48,8 +48,8 @@
     CPPUNIT_ASSERT(report && report.value() == Report());
   }
 
-  // Guards against reads beyond the end and values that were never sent.
-  void DamagedMessagesAreRefused()
+  // Guards against reads beyond the end of a message and against values that cannot be encoded.
+  void DamagedMessagesAreRejected()
   {
     const auto flows = FlowMessage{NodeEndpoint(3), {TestFlow(1), TestFlow(2)}}.Encode();
     const Bytes report = Report().Encode();
@@ -79,8 +79,8 @@
     }
   }
 
-  // Guards against reports that fill an entry VM's link: 63 agents send five a second to a balancer
-  // with 1.9 Mbit/s, and may use a tenth of that.
+  // Guards against reports that fill a balancer's link: 63 agents send five per second each to a
+  // balancer with 1.9 Mbit/s, and may use a tenth of that.
   void ReportsAreSmall()
   {
     constexpr double kLinkBytesPerSecond = 1.9e6 / 8;
@@ -91,28 +91,28 @@
     CPPUNIT_ASSERT(bytes * kReportsPerSecond <= kLinkBytesPerSecond / 10);
   }
 
-  // Guards against homes that all move, which would make every flow unknown at once.
-  void FewHomesMoveWhenAnAgentJoins()
+  // Guards against a change of all directory agents, after which no flow could be found.
+  void FewDirectoryAgentsChangeWhenAnAgentJoins()
   {
     std::vector<Member> members;
     for (unsigned node = 1; node <= 20; ++node) {
       members.push_back(TestAgent(node, "web"));
     }
-    FlowHomes before;
+    DirectoryAgents before;
     CPPUNIT_ASSERT(before.Update(TestView(1, members)));
     CPPUNIT_ASSERT(!before.Update(TestView(2, members)));
     members.push_back(TestAgent(21, "web"));
-    FlowHomes after;
+    DirectoryAgents after;
     after.Update(TestView(3, members));
     std::size_t lostBoth = 0;
     std::size_t moved = 0;
     constexpr std::uint16_t kFlows = 2'000;
     for (std::uint16_t i = 0; i < kFlows; ++i) {
-      const auto old = before.Of(TestFlow(i));
-      const auto fresh = after.Of(TestFlow(i));
-      CPPUNIT_ASSERT_EQUAL(FlowHomes::kHomes, fresh.size());
-      const auto kept = std::count_if(fresh.begin(), fresh.end(), [&](const Endpoint& aHome) {
-        return std::find(old.begin(), old.end(), aHome) != old.end();
+      const auto old = before.AgentsFor(TestFlow(i));
+      const auto fresh = after.AgentsFor(TestFlow(i));
+      CPPUNIT_ASSERT_EQUAL(DirectoryAgents::kDirectoryAgentsPerFlow, fresh.size());
+      const auto kept = std::count_if(fresh.begin(), fresh.end(), [&](const Endpoint& aAgent) {
+        return std::find(old.begin(), old.end(), aAgent) != old.end();
       });
       lostBoth += kept == 0 ? 1 : 0;
       moved += kept < 2 ? 1 : 0;
@@ -121,20 +121,20 @@
     CPPUNIT_ASSERT(moved < kFlows / 5);
   }
 
-  // Guards against an upstream that gets few flows because it had few before.
-  void IdleTimeDoesNotSlowAnEstimate()
+  // Guards against an upstream that looks slow, and so gets few flows, because it had few before.
+  void IdleTimeDoesNotLowerTheEstimate()
   {
     SpeedEstimator estimator;
     TimePoint now{std::chrono::seconds(10)};
-    estimator.OnActive(0, 4, now);
+    estimator.OnActiveChanged(0, 4, now);
     for (int i = 0; i < 100; ++i) {
-      estimator.OnActive(1, 4, now);
+      estimator.OnActiveChanged(1, 4, now);
       now += Milliseconds{20};
       estimator.OnCompleted();
-      estimator.OnActive(0, 4, now);
+      estimator.OnActiveChanged(0, 4, now);
       now += Milliseconds{500};
     }
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(50.0, estimator.RequestsPerSlot(), 5.0);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(50.0, estimator.RequestsPerSlotSecond(), 5.0);
   }
 };
 
--- a/unittests/Platform/PlatformCodecTest.cpp
+++ b/unittests/Platform/PlatformCodecTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the platform's formats.
+// Tests of the platform's packet, configuration, heartbeat and settings formats.
 #include "NodeApi.h"
 #include "NodeFile.h"
 #include "PacketCodec.h"
@@ -35,16 +35,17 @@
 {
   CPPUNIT_TEST_SUITE(PlatformCodecTest);
   CPPUNIT_TEST(PacketsMatchThePublishedExamples);
-  CPPUNIT_TEST(DamagedPacketsAreRefused);
-  CPPUNIT_TEST(TagsAndBouncesLeaveTheRestAlone);
+  CPPUNIT_TEST(DamagedPacketsAreRejected);
+  CPPUNIT_TEST(TagsAndBounceMarksChangeNothingElse);
   CPPUNIT_TEST(RouteDocumentsBecomeRouteTables);
-  CPPUNIT_TEST(InvalidRouteDocumentsAreRefused);
-  CPPUNIT_TEST(HeartbeatsOfOtherWritersAreRefused);
+  CPPUNIT_TEST(InvalidRouteDocumentsAreRejected);
+  CPPUNIT_TEST(MalformedHeartbeatsAreRejected);
   CPPUNIT_TEST(NodeFilesBecomeSettings);
-  CPPUNIT_TEST(IncompleteNodeFilesAreRefused);
+  CPPUNIT_TEST(IncompleteNodeFilesAreRejected);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against a header that callers or upstreams cannot read.
+  // Guards against headers that callers or upstreams cannot read: compares them with the examples
+  // that the platform publishes.
   void PacketsMatchThePublishedExamples()
   {
     const std::vector<std::uint8_t> syn{
@@ -63,8 +64,9 @@
     CPPUNIT_ASSERT(back && back->mResets && back->mFlow == segment->mFlow);
   }
 
-  // Guards against reads beyond the end of a short packet, and against lengths that lie.
-  void DamagedPacketsAreRefused()
+  // Guards against reads beyond the end of a short packet, and against a length field that does not
+  // match the packet.
+  void DamagedPacketsAreRejected()
   {
     const PacketCodec codec;
     const std::vector<std::uint8_t> whole = codec.EncodeReset({1, 2, 3, 4}, 5);
@@ -78,8 +80,9 @@
     CPPUNIT_ASSERT(!codec.DecodeFromCaller(huge));
   }
 
-  // Guards against a changed packet: the checksum does not cover the tag and the mark.
-  void TagsAndBouncesLeaveTheRestAlone()
+  // Guards against changes to a packet other than its tag and bounce flag, which the checksum does
+  // not cover.
+  void TagsAndBounceMarksChangeNothingElse()
   {
     const PacketCodec codec;
     const auto original = codec.EncodeReset({1, 2, 3, 4}, 5);
@@ -92,7 +95,7 @@
     CPPUNIT_ASSERT(packet == original);
   }
 
-  // Guards against fields that are lost or misread on the way into the product's types.
+  // Guards against fields that are lost or misread when the document is decoded.
   void RouteDocumentsBecomeRouteTables()
   {
     const auto table = DecodeRouteDocument(kDocument);
@@ -108,32 +111,32 @@
     CPPUNIT_ASSERT(table.value().mFlowIdleTimeout == Milliseconds{15'000});
   }
 
-  // Guards against an invalid configuration that is acknowledged.
-  void InvalidRouteDocumentsAreRefused()
+  // Guards against an invalid configuration that is accepted.
+  void InvalidRouteDocumentsAreRejected()
   {
-    const auto refused = [](const std::string& aText) {
+    const auto assertRejected = [](const std::string& aText) {
       const auto table = DecodeRouteDocument(aText);
       CPPUNIT_ASSERT_MESSAGE(aText, !table || !CheckRouteTable(table.value()));
     };
     for (std::size_t size = 0; size < kDocument.size(); size += 7) {
-      refused(std::string(kDocument.substr(0, size)));
+      assertRejected(std::string(kDocument.substr(0, size)));
     }
-    refused(Replaced(kDocument, "\"version\":7", "\"version\":0"));
-    refused(Replaced(kDocument, "\"version\":7", "\"version\":\"7\""));
-    refused(
+    assertRejected(Replaced(kDocument, "\"version\":7", "\"version\":0"));
+    assertRejected(Replaced(kDocument, "\"version\":7", "\"version\":\"7\""));
+    assertRejected(
       Replaced(kDocument, "\"service\":\"x\",\"weight\":90", "\"service\":\"q\",\"weight\":90"));
-    refused(Replaced(kDocument, "/8080/", "/8443/"));
-    refused(Replaced(kDocument, "/8080/", "/web/"));
-    refused(Replaced(kDocument, "\"timeout_ms\":600", "\"timeout_ms\":0"));
-    refused(Replaced(kDocument, "\"timeout_ms\":600", "\"timeout_ms\":-5"));
-    refused(Replaced(Replaced(kDocument, "\"weight\":90", "\"weight\":0"), "\"weight\":10",
-                     "\"weight\":0"));
-    refused(Replaced(kDocument, "\"weight\":90", "\"share\":90"));
-    refused(Replaced(kDocument, "\"host\":\"198.18.0.1\"", "\"host\":\"web.example\""));
+    assertRejected(Replaced(kDocument, "/8080/", "/8443/"));
+    assertRejected(Replaced(kDocument, "/8080/", "/web/"));
+    assertRejected(Replaced(kDocument, "\"timeout_ms\":600", "\"timeout_ms\":0"));
+    assertRejected(Replaced(kDocument, "\"timeout_ms\":600", "\"timeout_ms\":-5"));
+    assertRejected(Replaced(Replaced(kDocument, "\"weight\":90", "\"weight\":0"), "\"weight\":10",
+                            "\"weight\":0"));
+    assertRejected(Replaced(kDocument, "\"weight\":90", "\"share\":90"));
+    assertRejected(Replaced(kDocument, "\"host\":\"198.18.0.1\"", "\"host\":\"web.example\""));
   }
 
-  // Guards against an upstream taken from a heartbeat that somebody else wrote.
-  void HeartbeatsOfOtherWritersAreRefused()
+  // Guards against upstream state that is read from a heartbeat which no upstream wrote.
+  void MalformedHeartbeatsAreRejected()
   {
     const auto good = DecodeHeartbeat("i-1", kHeartbeat);
     CPPUNIT_ASSERT(good && good.value().mId == "i-1" && good.value().mSlots == 2);
@@ -172,7 +175,7 @@
     return file;
   }
 
-  // Guards against settings that the product's own checks refuse.
+  // Guards against settings that fail the product's own checks.
   void NodeFilesBecomeSettings()
   {
     const auto control = ControlSettingsFrom(File());
@@ -185,8 +188,8 @@
     CPPUNIT_ASSERT(AgentSettingsFrom(File()).has_value());
   }
 
-  // Guards against a role that starts without what it needs.
-  void IncompleteNodeFilesAreRefused()
+  // Guards against a role that starts without a setting that it needs.
+  void IncompleteNodeFilesAreRejected()
   {
     NodeFile file = File();
     file.mDataFolder.clear();
