--- a/include/dandelionslip/Agent/AdmissionSnapshot.h
+++ b/include/dandelionslip/Agent/AdmissionSnapshot.h
@@ -1,4 +1,4 @@
-// Admission state that an agent hands to a peer on a planned stop.
+// Admission state that an agent hands to its backup at a planned stop.
 #pragma once
 
 #include "dandelionslip/Support/Fields.h"
@@ -7,8 +7,8 @@
 
 namespace dandelionslip {
 
-/// Ramp, baselines and weight of an upstream. Work in progress is not part of it: the new process
-/// counts its flows again while it restores the flow table.
+/// Ramp, baselines and weight of an upstream. Flows and requests in progress are not part of it;
+/// the new process counts its restored flows with UpstreamAdmission::AddRestoredFlow.
 struct AdmissionSnapshot
 {
   std::uint32_t mSlotLimit = 0;
--- a/include/dandelionslip/Agent/BucketDirectory.h
+++ b/include/dandelionslip/Agent/BucketDirectory.h
@@ -13,59 +13,65 @@
 
 namespace dandelionslip {
 
-/// Progress of a bucket's directory at an agent.
+/// State of a bucket's directory at an agent.
 enum class BucketState
 {
-  NotOwned,   ///< The agent has not owned the bucket.
-  Complete,   ///< All flows of the bucket are known.
-  Pending,    ///< A previous owner has been asked for the directory.
-  Rebuilding, ///< The previous owner is lost; the members have been asked for their flows.
-  HandedOff,  ///< Given to a new owner, to which the agent forwards.
+  NotOwned,    ///< The agent has never owned the bucket.
+  Complete,    ///< All flows of the bucket are known.
+  Pending,     ///< The directory has been requested from a previous owner.
+  Rebuilding,  ///< The previous owner is lost; all members are asked which flows they hold.
+  Transferred, ///< The new owner has the directory; the agent forwards packets to it.
 };
 
 /// Where a flow is held.
 struct FlowHolder
 {
   std::string mName;
-  TimePoint mRecordedAt;  ///< When the holder was chosen.
+  TimePoint mRecordedAt;  ///< When the holder was recorded.
   TimePoint mRefreshedAt; ///< When the holder last confirmed it.
 };
 
-/// A message that a flow ended is ignored for this long after the flow's holder was recorded: it
-/// may have been sent before the flow was opened again. The holder repeats it when it gets a packet
-/// of a flow that it does not hold.
-inline constexpr Milliseconds kHolderSettlingMs{2'000};
+/// A message that a flow ended is ignored for this long after the flow's holder was recorded,
+/// because it may have been sent before the flow was opened again. The holder sends it again when
+/// it receives a packet of a flow that it does not hold.
+inline constexpr Milliseconds kHolderGracePeriod{2'000};
 
-/// A holder reported to an agent that does not own the bucket is used for this long when the agent
-/// comes to own it: its view may have been behind the holder's. Older reports may be outdated.
-inline constexpr Milliseconds kEarlyReportMs{5'000};
+/// An agent whose view is behind a holder's receives that holder's report before it owns the
+/// bucket. When it becomes the owner, it keeps such entries up to this age; older ones may be
+/// outdated.
+inline constexpr Milliseconds kMaxEarlyReportAge{5'000};
 
 /// State of one bucket.
 struct Bucket
 {
   BucketState mState = BucketState::NotOwned;
-  std::string mPeer;                 ///< Pending: whom to ask. HandedOff: the new owner.
-  std::set<std::string> mAsked;      ///< Pending: members asked before; guards against cycles.
+  std::string mPeer; ///< Pending: the member that the request goes to. Transferred: the new owner.
+  /// Pending: members that the directory was requested from; a second request to one would be a
+  /// cycle.
+  std::set<std::string> mRequestedFrom;
   std::set<std::string> mWaitingFor; ///< Rebuilding: members that have not answered.
-  TimePoint mNextAsk;                ///< Pending, Rebuilding: when to ask again.
-  /// Pending, Rebuilding: since when; answers to older questions do not count.
+  TimePoint mNextRequest;            ///< Pending, Rebuilding: when to send the request again.
+  /// Pending, Rebuilding: epoch in which the state began; answers to older requests are ignored.
   TableEpoch mSince;
-  /// Pending: the agent had the complete directory before and never gave it away.
-  bool mHasBase = false;
-  /// HandedOff: the status of the answer that gave the bucket away, repeated on request.
-  TransferStatus mGiven = TransferStatus::Complete;
-  std::string mGivenNext;     ///< HandedOff: mNext of that answer.
-  std::uint64_t mGivenTo = 0; ///< HandedOff: incarnation of the new owner.
-  /// Why flows that nobody holds are unknown; DataCentreOut after their data centre was taken out.
-  RefusalReason mUnknownReason = RefusalReason::UnknownFlow;
+  /// Pending: the agent still has the complete directory from an earlier ownership, because no
+  /// later owner requested it.
+  bool mHasCompleteCopy = false;
+  /// Transferred: status of the answer that transferred the bucket; a repeated request gets it
+  /// again.
+  TransferStatus mTransferStatus = TransferStatus::Complete;
+  std::string mTransferNext;              ///< Transferred: mNext of that answer.
+  std::uint64_t mNewOwnerIncarnation = 0; ///< Transferred: incarnation of the new owner.
+  /// Why packets of flows without a holder are refused: DataCentreOut if the previous owner's data
+  /// centre was taken out of service.
+  RefusalReason mUnknownFlowReason = RefusalReason::UnknownFlow;
   std::unordered_map<FlowId, FlowHolder> mHolders;
-  /// HandedOff: the holders at that time, for packets that still arrive. They become outdated, so
-  /// they are never taken for the directory.
-  std::unordered_map<FlowId, FlowHolder> mHints;
+  /// Transferred: the holders at the time of the transfer, for packets that still arrive here. They
+  /// become outdated, so they are never used as the directory.
+  std::unordered_map<FlowId, FlowHolder> mFormerHolders;
 };
 
-/// The directory of one owner. Memory is bounded by the flows of its buckets, which the members'
-/// admission bounds. Not thread-safe.
+/// The directory of one owner. Its memory is bounded by the number of flows that the members admit.
+/// Not thread-safe.
 class BucketDirectory
 {
 public:
@@ -85,19 +91,20 @@
   /// Sets or confirms the holder of a flow.
   void Record(FlowId aFlow, const std::string& aHolder, TimePoint aNow);
 
-  /// Takes a message from aHolder that it does not hold the flow; see kHolderSettlingMs.
-  void Forget(FlowId aFlow, const std::string& aHolder, TimePoint aNow);
+  /// Handles a message from aHolder that it does not hold the flow; see kHolderGracePeriod.
+  void RemoveHolder(FlowId aFlow, const std::string& aHolder, TimePoint aNow);
 
-  /// The holder's name at the time of the hand-off, or null.
-  const std::string* Hint(FlowId aFlow) const;
+  /// The holder's name when the bucket was transferred away, or null.
+  const std::string* FormerHolder(FlowId aFlow) const;
 
-  /// Drops hints, and holders that may be outdated, of a bucket that the agent comes to own.
+  /// Prepares a bucket that the agent comes to own: removes the former holders, and the holders not
+  /// confirmed within kMaxEarlyReportAge.
   void DropOutdated(std::uint32_t aBucket, TimePoint aNow);
 
   /// Removes the flow's entry.
   void Erase(FlowId aFlow);
 
-  /// Sets the holders of flows that a previous owner or a holder reported.
+  /// Records the holders that a previous owner or a holder reported.
   void Merge(const std::vector<DirectoryEntry>& aFlows, TimePoint aNow);
 
   /// The bucket's entries, ordered by flow.
@@ -108,7 +115,7 @@
 
 private:
   std::vector<Bucket> mBuckets;
-  std::uint32_t mSweep = 0;
+  std::uint32_t mLastExamined = 0;
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Agent/BucketRecords.h
+++ b/include/dandelionslip/Agent/BucketRecords.h
@@ -1,4 +1,4 @@
-// The request records of buckets, as far as bucket hand-off is concerned.
+// Interface to transfer request records with their buckets.
 #pragma once
 
 #include "dandelionslip/Support/Json.h"
@@ -10,25 +10,26 @@
 
 namespace dandelionslip {
 
-/// Moves request records with their buckets. Implemented by the request records.
+/// Implemented by the request core's side, so that the flow core can transfer a bucket's directory
+/// and request records together.
 class BucketRecords
 {
 public:
   virtual ~BucketRecords() = default;
 
-  /// Takes the records of the buckets out for their new owner; from here on this agent decides
-  /// about no new request in them. The same buckets may be exported again to the same owner when an
-  /// answer was lost, and then give the same records.
+  /// Returns the records of the buckets for their new owner; from then on this agent accepts no new
+  /// request in them. When an answer was lost, the same buckets may be exported again to the same
+  /// owner and give the same records.
   virtual Json Export(std::span<const std::uint32_t> aBuckets, const std::string& aNewOwner) = 0;
 
-  /// This agent owns the buckets from now on, with the records that the previous owner exported.
-  /// Buckets whose records are missing start without records.
+  /// This agent now owns the buckets, with the records that the previous owner exported. Buckets
+  /// whose records are missing start without records.
   virtual void Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords) = 0;
 
   /// This agent is the first owner that the buckets have ever had.
   virtual void StartFirst(std::span<const std::uint32_t> aBuckets) = 0;
 
-  /// The records of the buckets are lost; this agent owns them from now on.
+  /// The records of the buckets are lost; this agent now owns the buckets.
   virtual void StartWithoutRecords(std::span<const std::uint32_t> aBuckets) = 0;
 };
 
--- a/include/dandelionslip/Agent/ColdStartRamp.h
+++ b/include/dandelionslip/Agent/ColdStartRamp.h
@@ -15,10 +15,10 @@
 /// Shortest time between two steps up.
 inline constexpr Milliseconds kRampStepInterval{1000};
 
-/// Why a ramp went back to the cold limit.
+/// Why the limit was set to the cold limit.
 enum class ColdReason
 {
-  Started,     ///< First start.
+  Started,     ///< The agent started.
   LatencyStep, ///< kStepCompletions completions at kStepFactor times the baseline.
   Shed,        ///< The upstream shed load.
   Failures,    ///< kStepCompletions failures in a row.
@@ -27,8 +27,9 @@
 
 std::span<const EnumName<ColdReason>> EnumNames(ColdReason);
 
-/// Grows the limit from the cold to the full one by windows of successes at normal latency. Health
-/// and load endpoints are not an input. Not thread-safe.
+/// Raises the limit in steps from the cold to the full limit. Each step needs a window of
+/// successful completions at normal latency. Reports of health and load endpoints are not an input.
+/// Not thread-safe.
 class ColdStartRamp
 {
 public:
@@ -36,14 +37,14 @@
 
   ColdStartRamp(const ServiceSpec& aSpec, TimePoint aNow);
 
-  /// Records how work ended. Returns the reason when this sent the ramp back to the cold limit.
+  /// Records how work ended. Returns the reason if this lowered the limit to the cold limit.
   std::optional<ColdReason> OnCompletion(TimePoint aNow, Duration aLatency,
                                          CompletionResult aResult, WorkKind aKind);
 
-  /// Goes back to the cold limit at once.
-  void FallBack(TimePoint aNow, ColdReason aReason);
+  /// Sets the cold limit at once.
+  void ResetToCold(TimePoint aNow, ColdReason aReason);
 
-  /// Takes over changed limits; the current limit never grows by this.
+  /// Applies changed limits; this never raises the current limit.
   void UpdateSpec(const ServiceSpec& aSpec, TimePoint aNow);
 
   const LoadLimit& Limit() const { return mLimit; }
@@ -53,15 +54,16 @@
   ColdReason LastReason() const { return mReason; }
   const LatencyBaseline& Baseline(WorkKind aKind) const;
 
-  /// Current over full limit, the smaller of slots and connections; 0 to 1.
+  /// Current limit divided by full limit, for slots or connections, whichever gives less; 0 to 1.
   double Share() const;
 
-  /// Takes over the limit and baselines of an earlier process; the limit stays within bounds.
+  /// Restores limit and baselines of an earlier process; the limit is clamped to the range from the
+  /// cold to the full limit.
   void Restore(const LoadLimit& aLimit, Duration aRequestBaseline, Duration aFlowBaseline,
                TimePoint aNow);
 
 private:
-  std::optional<ColdReason> SignOfCold(const LatencyBaseline& aBaseline) const;
+  std::optional<ColdReason> DetectCold(const LatencyBaseline& aBaseline) const;
   void CountSuccess(TimePoint aNow, Duration aLatency, const LatencyBaseline& aBaseline);
   void StepUp(TimePoint aNow);
   std::uint32_t Window() const;
--- a/include/dandelionslip/Agent/EndpointHints.h
+++ b/include/dandelionslip/Agent/EndpointReports.h
@@ -1,4 +1,4 @@
-// What the health and load endpoints of an upstream report.
+// Lowers a load limit by what the upstream's health and load endpoints report.
 #pragma once
 
 #include "dandelionslip/Agent/LoadLimit.h"
@@ -6,21 +6,20 @@
 
 namespace dandelionslip {
 
-/// Turns reports into a factor on the limit that is never above 1: reports may lag, be stuck or be
-/// wrong, so they can lower the load but never attract it. Not thread-safe.
-class EndpointHints
+/// Reports may be late, stuck or wrong, so they can lower the limit but never raise it. Not
+/// thread-safe.
+class EndpointReports
 {
 public:
   /// A report older than this has no effect. Longer than the largest known lag of 10 s.
   static constexpr Milliseconds kReportLifetime{15'000};
 
-  /// Records the reported health.
   void ReportHealth(TimePoint aNow, bool aHealthy);
 
   /// Records the reported load; 1 is full, larger values mean overload.
   void ReportLoad(TimePoint aNow, double aLoad);
 
-  /// Lowers a limit, but not below the smaller of it and aCold.
+  /// Returns aLimit lowered by the reports, but not below the smaller of aLimit and aCold.
   LoadLimit Apply(TimePoint aNow, const LoadLimit& aLimit, const LoadLimit& aCold) const;
 
 private:
--- a/include/dandelionslip/Agent/FlowActions.h
+++ b/include/dandelionslip/Agent/FlowActions.h
@@ -1,4 +1,4 @@
-// What an agent's flow core asks its daemon to do.
+// Actions of an agent's flow core that its daemon carries out.
 #pragma once
 
 #include "dandelionslip/Agent/FlowMessages.h"
@@ -39,8 +39,8 @@
   FlowId mFlow = 0;
 };
 
-/// Send a message to an agent of the same service. It may be lost; the core repeats it where that
-/// matters.
+/// Send a message to an agent of the same service. It may be lost; the flow core sends it again
+/// where that matters.
 struct SendPeerMessage
 {
   std::string mTo;
@@ -51,16 +51,16 @@
 struct FetchView
 {};
 
-/// The custodian has acknowledged the state; announce it and exit.
+/// The backup has acknowledged the state; announce the backup and exit.
 struct HandoverDone
 {
   std::string mCustodian;
 };
 
-/// The state from before the restart has been taken over; the agent may announce itself serving.
+/// The resumption has ended; the agent may announce itself as serving.
 struct ResumptionDone
 {
-  Json mAdmission; ///< Ramp and weights as passed to BeginHandover; null when none was found.
+  Json mAdmission; ///< As passed to BeginHandover; null when no state was found.
 };
 
 using FlowAction = std::variant<SendDatagram, OpenUpstreamPort, SendToUpstream, CloseUpstreamPort,
@@ -68,7 +68,8 @@
 
 using FlowActions = std::vector<FlowAction>;
 
-/// Sends an update that belongs to another agent there, within kMaxUpdateForwards.
-void PassUpdateOn(const std::string& aTo, const DirectoryUpdate& aUpdate, FlowActions& aOut);
+/// Forwards an update to the agent aTo. Drops it when aTo is empty or after kMaxUpdateForwards
+/// forwards.
+void ForwardUpdate(const std::string& aTo, const DirectoryUpdate& aUpdate, FlowActions& aOut);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Agent/FlowAdmission.h
+++ b/include/dandelionslip/Agent/FlowAdmission.h
@@ -1,4 +1,4 @@
-// The decision whether an upstream takes one more flow.
+// Interface that decides whether an upstream takes one more flow.
 #pragma once
 
 #include "dandelionslip/Model/RefusalReason.h"
@@ -17,7 +17,7 @@
   bool operator==(const Refusal&) const = default;
 };
 
-/// Admits flows beside the upstream. Implementations are not thread-safe.
+/// Admits flows for the agent's upstream. Implementations are not thread-safe.
 class FlowAdmission
 {
 public:
--- a/include/dandelionslip/Agent/FlowContext.h
+++ b/include/dandelionslip/Agent/FlowContext.h
@@ -1,4 +1,4 @@
-// State that the parts of an agent's flow core share.
+// State shared by the parts of an agent's flow core.
 #pragma once
 
 #include "dandelionslip/Agent/FlowMessages.h"
@@ -17,13 +17,14 @@
   std::string mService; ///< Name of the service.
   Endpoint mEndpoint;   ///< Where the agent receives forwarded datagrams.
   std::uint64_t mIncarnation = 0;
-  std::size_t mMaxFlows = 100'000; ///< Capacity of the flow table.
-  Milliseconds mAskInterval{200};  ///< Unanswered questions to peers are repeated after this time.
-  Milliseconds mOpeningTimeout{10'000}; ///< Idle time of flows that the upstream never answered.
-  Milliseconds mCustodyTime{30'000};    ///< How long a custodian keeps another agent's state.
+  std::size_t mMaxFlows = 100'000;  ///< Capacity of the flow table.
+  Milliseconds mRetryInterval{200}; ///< Unanswered requests to peers are repeated after this time.
+  /// Idle timeout of flows that the upstream has never answered.
+  Milliseconds mOpeningTimeout{10'000};
+  Milliseconds mKeptStateLifetime{30'000}; ///< How long a backup keeps another agent's state.
 };
 
-/// Flow table and the newest tables of an agent.
+/// The agent's flow table, and the newest view, configuration and service table.
 struct FlowContext
 {
   explicit FlowContext(FlowSettings aSettings)
@@ -44,10 +45,11 @@
   /// The member, or null.
   const TableMember* Find(const std::string& aName) const;
 
-  /// The member if packets and messages can reach it or its custodian, or null.
+  /// The member if packets and messages can reach it or its backup, else null.
   const TableMember* FindReachable(const std::string& aName) const;
 
-  /// The member that acts for aName, or null when it is not reachable.
+  /// The acting member for aName: itself, or its backup while it restarts. Null when it is not
+  /// reachable.
   const TableMember* ActingFor(const std::string& aName) const;
 
   /// Name of the bucket's owner, empty when it has none.
--- a/include/dandelionslip/Agent/FlowCore.h
+++ b/include/dandelionslip/Agent/FlowCore.h
@@ -1,7 +1,7 @@
-// The agent's decision core for flows.
+// Flow handling of an agent, without I/O.
 #pragma once
 
-#include "dandelionslip/Agent/BucketHandoff.h"
+#include "dandelionslip/Agent/BucketTransferManager.h"
 #include "dandelionslip/Agent/FlowActions.h"
 #include "dandelionslip/Agent/FlowAdmission.h"
 #include "dandelionslip/Net/CallerDatagram.h"
@@ -13,34 +13,35 @@
 
 namespace dandelionslip {
 
-/// Forwards between agents after which a datagram is dropped.
+/// Number of forwards between agents after which a datagram is dropped.
 inline constexpr std::uint8_t kMaxHops = 4;
 
-/// Decides on the datagrams and peer messages of one agent. Each event appends its actions to
-/// aOut. Not thread-safe: the daemon serialises the events of one core.
+/// Handles the datagrams and peer messages of one agent. Each event appends the actions for the
+/// daemon to aOut. Not thread-safe: the daemon serialises the events of one core.
 class FlowCore
 {
 public:
   /// aAdmission must outlive the core. aRecords may be null.
   FlowCore(FlowSettings aSettings, FlowAdmission& aAdmission, BucketRecords* aRecords = nullptr);
 
-  /// Applies view and configuration. Each keeps its newest revision: a lower one is ignored.
+  /// Applies view and configuration. Each of them is ignored unless its revision is newer.
   void OnState(const View& aView, const Configuration& aConfiguration, TimePoint aNow,
                FlowActions& aOut);
 
-  /// The agent's lease ended. Other members may own its buckets from now on; they are rebuilt when
-  /// the next state arrives.
-  void OnLeaseEnd() { mDoubtful = true; }
+  /// The agent's lease has expired. Other members may own its buckets from now on, so the buckets
+  /// are rebuilt when the next state arrives.
+  void OnLeaseEnd() { mOwnershipUncertain = true; }
 
-  /// The lease is valid again, and every state up to then has been applied. Without a newer state
-  /// no other member has owned the buckets.
-  void OnLeaseRenewed() { mDoubtful = false; }
+  /// The lease is valid again, and every state up to then has been applied. If none of them was
+  /// newer, no other member has owned the buckets.
+  void OnLeaseRenewed() { mOwnershipUncertain = false; }
 
-  /// A datagram of kind forward from a balancer or another agent.
+  /// A datagram of kind Forward from a balancer or another agent.
   void OnForward(const DatagramHeader& aHeader, std::span<const std::uint8_t> aPayload,
                  const Endpoint& aSender, TimePoint aNow, FlowActions& aOut);
 
-  /// A probe of an unconfirmed balancer. aConfirmed says whether this agent's lease is valid.
+  /// A state probe from a balancer without a valid lease. aConfirmed says whether this agent's
+  /// lease is valid.
   void OnProbe(const DatagramHeader& aHeader, const Endpoint& aSender, bool aConfirmed,
                FlowActions& aOut);
 
@@ -55,27 +56,27 @@
   void OnPeerMessage(const std::string& aFrom, const PeerMessage& aMessage, TimePoint aNow,
                      FlowActions& aOut);
 
-  /// To be called about every 50 ms: idle expiry and repeated questions.
+  /// To be called about every 50 ms: ends idle flows and repeats unanswered requests.
   void OnTick(TimePoint aNow, FlowActions& aOut);
 
-  /// Starts a planned stop: hands the whole state to a custodian. aAdmission (ramp, weights, flow
-  /// count) is kept unread for the resumed process. From here on packets of the agent's own flows
-  /// are dropped, because the exported state must not change. Ends with HandoverDone, which names
-  /// no custodian when no other agent can take the state.
+  /// Starts a planned stop: hands the whole state over to a backup. aAdmission is passed unread to
+  /// the resumed process. From here on packets of the agent's own flows are dropped, because the
+  /// exported state must not change. Ends with HandoverDone, which names no backup when no other
+  /// agent can take the state.
   void BeginHandover(Json aAdmission, TimePoint aNow, FlowActions& aOut);
 
-  /// Starts the resumption from the custodian. Ends with ResumptionDone; until then the core
-  /// admits nothing.
+  /// Starts the resumption: requests the state from before the restart from the backup. Ends with
+  /// ResumptionDone; until then no flow is admitted.
   void BeginResumption(const std::string& aCustodian, TimePoint aNow, FlowActions& aOut);
 
-  /// Newest generation in which all buckets owned are complete, for announcements.
+  /// Newest generation in which all owned buckets are complete, for announcements.
   std::uint32_t AckedGeneration() const { return mAckedGeneration; }
 
   std::uint64_t ViewRevision() const { return mContext.mView.mRevision; }
   std::uint64_t ConfigurationRevision() const { return mContext.mConfiguration.mRevision; }
   const ServiceTable& Table() const { return mContext.mTable; }
   const FlowTable& Flows() const { return mContext.mFlows; }
-  const BucketDirectory& Directory() const { return mHandoff.Directory(); }
+  const BucketDirectory& Directory() const { return mBucketTransfers.Directory(); }
 
   /// Dropped datagrams by reason since the start.
   const std::map<RefusalReason, std::uint64_t>& Drops() const { return mDrops; }
@@ -84,14 +85,14 @@
   const std::map<RefusalReason, std::uint64_t>& Refusals() const { return mRefusals; }
 
 private:
-  /// A datagram in progress and where its actions go.
+  /// A datagram being handled, and the list that its actions are appended to.
   struct Packet
   {
     const DatagramHeader& mHeader;
     std::span<const std::uint8_t> mPayload;
     const Endpoint& mSender;
     TimePoint mNow;
-    FlowActions& mOut;
+    FlowActions& mActions;
   };
 
   /// A planned stop in progress.
@@ -99,41 +100,43 @@
   {
     Json mAdmission;
     std::string mCustodian;
-    std::set<std::string> mUnacknowledged; ///< Members whose state the custodian has not confirmed.
+    std::set<std::string> mUnacknowledged; ///< Members whose state the backup has not acknowledged.
     TimePoint mNextSend;
-    std::uint32_t mAsks = 0;       ///< Sent to the custodian without any acknowledgement.
-    std::set<std::string> mSilent; ///< Custodians that did not answer; they may be stopping too.
+    std::uint32_t mAttempts = 0; ///< Times sent to the backup since its last acknowledgement.
+    /// Agents that did not acknowledge; they may be stopping too.
+    std::set<std::string> mUnresponsive;
   };
 
   /// A resumption in progress.
   struct Resumption
   {
     std::string mCustodian;
-    TimePoint mNextAsk;
+    TimePoint mNextRequest;
   };
 
   void OnTable(const ServiceTable& aOld, TimePoint aNow, FlowActions& aOut);
   bool MissedGeneration(const ServiceTable& aOld) const;
   bool WasOwnDataCentreOut(const Configuration& aOld) const;
-  void FollowBalancers();
-  void GiveUpFlows(TimePoint aNow, FlowActions& aOut);
-  void AnnounceFlows(const ServiceTable& aOld, FlowActions& aOut);
-  void RefreshFlows(TimePoint aNow, FlowActions& aOut);
+  void UpdateBalancers();
+  void ClearFlowState(TimePoint aNow, FlowActions& aOut);
+  void ReportHeldFlows(const ServiceTable& aOld, FlowActions& aOut);
+  void ReportFlowsPeriodically(TimePoint aNow, FlowActions& aOut);
   void UpdateAcknowledgement();
 
-  bool Accept(const Packet& aPacket);
-  void FetchIfBehind(const Packet& aPacket);
-  void HandleStopped(const Packet& aPacket);
+  bool Validate(const Packet& aPacket);
+  void FetchViewIfBehind(const Packet& aPacket);
+  void HandleWhileStopping(const Packet& aPacket);
   void Deliver(FlowEntry& aEntry, const Packet& aPacket);
   void Dispatch(const Packet& aPacket);
-  void HandleOwned(const Packet& aPacket, const TableMember& aOwner);
-  void HandleInDirectory(const Packet& aPacket, const std::string& aOwner,
+  void HandleAsActingMember(const Packet& aPacket, const TableMember& aOwner);
+  void HandleByDirectory(const Packet& aPacket, const std::string& aOwner,
                          BucketDirectory& aDirectory);
   bool SendToHolder(const Packet& aPacket, const std::string& aOwner, BucketDirectory& aDirectory);
   void HandlePending(const Packet& aPacket, const std::string& aOwner, BucketDirectory& aDirectory);
-  void HandleOther(const Packet& aPacket, const TableMember& aOwner, const TableMember& aActing);
+  void HandleAsOtherMember(const Packet& aPacket, const TableMember& aOwner,
+                           const TableMember& aActing);
   void HandleRedirected(const Packet& aPacket);
-  bool SendToHintedHolder(const Packet& aPacket);
+  bool SendToFormerHolder(const Packet& aPacket);
 
   void Admit(const Packet& aPacket, const std::string& aOwner, BucketDirectory& aDirectory);
   void AdmitForOwner(const Packet& aPacket);
@@ -146,24 +149,24 @@
   void Drop(RefusalReason aReason) { ++mDrops[aReason]; }
   static bool EndsSession(const CallerDatagram& aDatagram, const FlowEntry& aEntry);
   void EndFlow(FlowId aFlow, TimePoint aNow, FlowActions& aOut);
-  void TellOwner(FlowId aFlow, bool aHeld, FlowActions& aOut);
+  void NotifyOwner(FlowId aFlow, bool aHeld, FlowActions& aOut);
   const Endpoint& BalancerFor(const FlowEntry& aEntry) const;
 
   void OnResumeAnswer(const ResumeAnswer& aAnswer, TimePoint aNow, FlowActions& aOut);
-  void OnHandoverAck(const HandoverAck& aAck, FlowActions& aOut);
+  void OnHandoverAck(const StateHandoverAck& aAck, FlowActions& aOut);
   void ContinueHandover(TimePoint aNow, FlowActions& aOut);
   void ContinueResumption(TimePoint aNow, FlowActions& aOut);
   void FinishResumption(Json aAdmission, TimePoint aNow, FlowActions& aOut);
   void RestoreFlow(const FlowState& aFlow, TimePoint aNow, FlowActions& aOut);
-  std::string ChooseCustodian() const;
-  Handover ExportState() const;
+  std::string ChooseBackup() const;
+  StateHandover ExportState() const;
 
   FlowContext mContext;
   FlowAdmission& mAdmission;
   BucketRecords* mRecords;
-  FlowCustody mCustody;
-  BucketHandoff mHandoff;
-  bool mDoubtful = false;
+  BackupRole mBackupRole;
+  BucketTransferManager mBucketTransfers;
+  bool mOwnershipUncertain = false;
   std::optional<Stop> mStop;
   std::optional<Resumption> mResumption;
   std::map<Endpoint, bool> mBalancers; ///< Known balancers and whether they take replies.
--- a/include/dandelionslip/Agent/FlowMessages.h
+++ b/include/dandelionslip/Agent/FlowMessages.h
@@ -52,14 +52,14 @@
 enum class TransferStatus
 {
   Complete, ///< The entries are all flows of the bucket.
-  Partial,  ///< The entries are what the member knows; mNext knows the others.
+  Partial,  ///< The entries are what the member knows; the others come from mNext.
   Unknown,  ///< The member never owned the bucket; the entries are the flows that it holds.
   Stale,    ///< The member owns the bucket in a newer table; the requester must update.
 };
 
 std::span<const EnumName<TransferStatus>> EnumNames(TransferStatus);
 
-/// One bucket in a transfer.
+/// One bucket in a TransferAnswer or StateHandover.
 struct BucketTransfer
 {
   std::uint32_t mBucket = 0;
@@ -79,12 +79,13 @@
   aVisitor.Field("flows", aValue.mFlows);
 }
 
-/// The new owner of buckets asks a previous owner for their directory and request records.
+/// The new owner of buckets requests their directory and request records from a previous owner.
 struct TransferRequest
 {
   std::string mRequester;
-  std::uint64_t mIncarnation = 0; ///< Of the requester; a new process has not got older answers.
-  std::string mOwner;             ///< The previous owner; the receiver may be its custodian.
+  /// Of the requester. A new process has not received the answers sent to an earlier one.
+  std::uint64_t mIncarnation = 0;
+  std::string mOwner; ///< The previous owner; the receiver may be its backup.
   ServiceId mServiceId = 0;
   TableEpoch mEpoch;
   std::vector<std::uint32_t> mBuckets;
@@ -126,7 +127,7 @@
 }
 
 /// After the loss of a bucket's owner, its new owner asks every live member which flows of the
-/// buckets it holds. A receiver that still acts as the buckets' owner stops doing so.
+/// buckets it holds. A receiver that still acts as owner of the buckets stops doing so.
 struct HeldFlowsQuery
 {
   std::string mRequester;
@@ -172,11 +173,11 @@
 struct DirectoryUpdate
 {
   std::string mHolder;
-  std::string mOwner; ///< The owner; the receiver may be its custodian.
+  std::string mOwner; ///< The owner; the receiver may be its backup.
   ServiceId mServiceId = 0;
   std::vector<FlowId> mHeld;
   std::vector<FlowId> mEnded;
-  std::uint32_t mForwards = 0; ///< How often an earlier owner passed it on.
+  std::uint32_t mForwards = 0; ///< How often earlier owners have forwarded it.
 
   bool operator==(const DirectoryUpdate&) const = default;
 };
@@ -192,7 +193,7 @@
   aVisitor.Field("forwards", aValue.mForwards, {0, 255});
 }
 
-/// A flow as handed to a custodian.
+/// One flow in a StateHandover.
 struct FlowState
 {
   FlowId mFlow = 0;
@@ -218,27 +219,27 @@
   aVisitor.Field("session_tag", aValue.mSessionTag);
 }
 
-/// The whole state of an agent that stops as planned, for its custodian.
-struct Handover
+/// The whole state of an agent that stops as planned, for its backup.
+struct StateHandover
 {
   std::string mMember;
   ServiceId mServiceId = 0;
   std::uint64_t mIncarnation = 0;
-  /// Of the sender, which is another agent when a custodian stops and hands the state on. Tells a
-  /// second handover of the same state from a repeated message.
+  /// Of the sender, which is another agent when a backup itself stops and passes the state on.
+  /// Distinguishes a second handover of the same state from a repeated message.
   std::uint64_t mSenderIncarnation = 0;
   std::vector<FlowState> mFlows;
-  /// Complete buckets; Partial for buckets handed off to mNext; Unknown for buckets that were still
-  /// to come from mNext, or from all members when mNext is empty.
+  /// Status Complete: complete buckets. Partial: buckets transferred to mNext. Unknown: buckets
+  /// still to come from mNext, or from all members when mNext is empty.
   std::vector<BucketTransfer> mDirectory;
   Json mRecords;   ///< Request records of the complete buckets, opaque here.
-  Json mAdmission; ///< Ramp, weights and flow count, opaque here.
+  Json mAdmission; ///< As passed to FlowCore::BeginHandover, opaque here.
 
-  bool operator==(const Handover&) const = default;
+  bool operator==(const StateHandover&) const = default;
 };
 
 template <typename V>
-void DescribeFields(V& aVisitor, Handover& aValue)
+void DescribeFields(V& aVisitor, StateHandover& aValue)
 {
   aVisitor.Field("member", aValue.mMember);
   aVisitor.Field("service_id", aValue.mServiceId);
@@ -250,25 +251,25 @@
   aVisitor.Optional("admission", aValue.mAdmission);
 }
 
-/// The custodian holds the state; the sender of the handover may exit.
-struct HandoverAck
+/// The backup has the state; the sender of the handover may exit.
+struct StateHandoverAck
 {
   std::string mCustodian;
   std::string mMember; ///< Whose state it is.
   std::uint64_t mIncarnation = 0;
 
-  bool operator==(const HandoverAck&) const = default;
+  bool operator==(const StateHandoverAck&) const = default;
 };
 
 template <typename V>
-void DescribeFields(V& aVisitor, HandoverAck& aValue)
+void DescribeFields(V& aVisitor, StateHandoverAck& aValue)
 {
   aVisitor.Field("custodian", aValue.mCustodian);
   aVisitor.Field("member", aValue.mMember);
   aVisitor.Field("incarnation", aValue.mIncarnation);
 }
 
-/// The restarted agent asks its custodian for the state.
+/// A restarted agent requests its state from its backup.
 struct ResumeRequest
 {
   std::string mMember;
@@ -284,14 +285,14 @@
   aVisitor.Field("incarnation", aValue.mIncarnation);
 }
 
-/// Answer to ResumeRequest; without state when the custodian holds none.
+/// Answer to ResumeRequest; without state when the backup has none.
 struct ResumeAnswer
 {
   std::string mCustodian;
   std::uint64_t mIncarnation = 0; ///< Of the request.
-  std::optional<Handover> mState;
-  /// State that the restarted agent itself kept for others when it stopped.
-  std::vector<Handover> mCustody;
+  std::optional<StateHandover> mState;
+  /// States that the restarted agent itself kept for others when it stopped.
+  std::vector<StateHandover> mKeptStates;
 
   bool operator==(const ResumeAnswer&) const = default;
 };
@@ -302,17 +303,17 @@
   aVisitor.Field("custodian", aValue.mCustodian);
   aVisitor.Field("incarnation", aValue.mIncarnation);
   aVisitor.Optional("state", aValue.mState);
-  aVisitor.Optional("custody", aValue.mCustody);
+  aVisitor.Optional("custody", aValue.mKeptStates);
 }
 
-/// Passes of a directory update from one agent to the next, after which it is dropped: agents whose
-/// tables differ, or that stop at the same time, may name each other.
+/// Number of forwards between agents after which a directory update is dropped: agents whose tables
+/// differ, or that stop at the same time, may forward it to each other.
 inline constexpr std::uint32_t kMaxUpdateForwards = 4;
 
 /// Any message between agents.
 using PeerMessage =
   std::variant<TransferRequest, TransferAnswer, HeldFlowsQuery, HeldFlowsAnswer, DirectoryUpdate,
-               Handover, HandoverAck, ResumeRequest, ResumeAnswer>;
+               StateHandover, StateHandoverAck, ResumeRequest, ResumeAnswer>;
 
 /// Encodes the message with its type as CBOR.
 Bytes EncodePeerMessage(const PeerMessage& aMessage);
--- a/include/dandelionslip/Agent/FlowTable.h
+++ b/include/dandelionslip/Agent/FlowTable.h
@@ -42,11 +42,11 @@
 
   bool Erase(FlowId aFlow);
 
-  /// Examines up to aBudget slots after the last call's and returns the flows that were idle for
-  /// longer than aIdleTimeout, or than aOpeningTimeout when the upstream has never answered. They
-  /// stay in the table.
+  /// Examines the next aMaxSlots slots after those of the last call. Returns the flows that were
+  /// idle for longer than aIdleTimeout, or than aOpeningTimeout when the upstream has never
+  /// answered. They stay in the table.
   std::vector<FlowId> FindIdle(TimePoint aNow, Milliseconds aIdleTimeout,
-                               Milliseconds aOpeningTimeout, std::size_t aBudget);
+                               Milliseconds aOpeningTimeout, std::size_t aMaxSlots);
 
   std::size_t Size() const { return mSize; }
   std::size_t Capacity() const { return mCapacity; }
@@ -76,7 +76,7 @@
 
   std::size_t mCapacity;
   std::size_t mSize = 0;
-  std::size_t mSweep = 0;
+  std::size_t mLastExamined = 0;
   std::vector<Slot> mSlots; ///< Linear probing; the size is a power of two or zero.
 };
 
--- a/include/dandelionslip/Agent/LatencyBaseline.h
+++ b/include/dandelionslip/Agent/LatencyBaseline.h
@@ -1,4 +1,4 @@
-// The latency that is normal for an upstream, and steps away from it.
+// Learns the normal latency of an upstream and detects steps away from it.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
@@ -9,7 +9,8 @@
 
 namespace dandelionslip {
 
-/// Completions over which a latency step is recognised and after which a baseline exists.
+/// Number of latest completions among which a latency step is detected, and number of successes
+/// after which the baseline is known.
 inline constexpr std::size_t kStepCompletions = 8;
 
 /// A latency this many times the baseline is a step.
@@ -24,13 +25,13 @@
 public:
   using Duration = RuntimeClock::duration;
 
-  /// Records one completion. Failed work counts towards a step but is not learnt.
+  /// Records one completion. Failed work counts towards a step but does not change the baseline.
   void Record(TimePoint aNow, Duration aLatency, bool aSucceeded);
 
   bool IsKnown() const { return mKnown; }
   Duration Baseline() const { return mBaseline; }
 
-  /// Whether a baseline exists and at least half of the recent completions took less than
+  /// Whether the baseline is known and at least half of the recent completions took less than
   /// kNormalFactor times the baseline.
   bool IsNormal() const;
 
@@ -41,7 +42,7 @@
   /// Forgets the recent completions but keeps the baseline.
   void ClearRecent();
 
-  /// Sets a baseline learnt by an earlier process; zero means unknown.
+  /// Sets the baseline of an earlier process; zero means unknown.
   void Restore(Duration aBaseline);
 
 private:
@@ -51,14 +52,14 @@
     bool mSucceeded = false;
   };
 
-  void LearnFirst(Duration aLatency);
+  void LearnInitial(Duration aLatency);
   void Learn(TimePoint aNow, Duration aLatency);
   std::size_t CountAtLeast(std::int64_t aFactor) const;
 
   std::array<Sample, kStepCompletions> mRecent{};
   std::size_t mRecentCount = 0;
   std::size_t mNext = 0;
-  std::int64_t mLearnt = 0;
+  std::int64_t mLearntCount = 0;
   bool mKnown = false;
   Duration mBaseline{0};
   TimePoint mLearntAt{};
--- a/include/dandelionslip/Agent/LoadLimit.h
+++ b/include/dandelionslip/Agent/LoadLimit.h
@@ -1,4 +1,4 @@
-// Bound on the load that an upstream is given.
+// Limit on the load that an upstream is given.
 #pragma once
 
 #include "dandelionslip/Model/ServiceSpec.h"
@@ -7,7 +7,7 @@
 
 namespace dandelionslip {
 
-/// Work that an upstream may hold at once.
+/// Work that an upstream may have at once.
 struct LoadLimit
 {
   std::uint32_t mSlots = 0;       ///< Requests running.
@@ -22,7 +22,7 @@
 /// The limit of an upstream in cold start, not above the full limit.
 LoadLimit ColdLoadLimit(const ServiceSpec& aSpec);
 
-/// The smaller limit of both in each dimension.
+/// The element-wise minimum of two limits.
 LoadLimit Smaller(const LoadLimit& aFirst, const LoadLimit& aSecond);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Agent/RetrySchedule.h
+++ b/include/dandelionslip/Agent/RetrySchedule.h
@@ -1,12 +1,13 @@
-// Spreads the return of refused callers over time.
+// Spreads the retries of refused callers over time.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
 
 namespace dandelionslip {
 
-/// Gives each refused caller a later time than the one before, spaced by the expected interval of
-/// admissions, so that callers refused together do not return together. Not thread-safe.
+/// Gives each refused caller a later retry time than the one before. Retry times are spaced by the
+/// expected interval of admissions, so that callers refused together do not retry together. Not
+/// thread-safe.
 class RetrySchedule
 {
 public:
@@ -17,7 +18,7 @@
   Milliseconds Next(TimePoint aNow, RuntimeClock::duration aInterval);
 
 private:
-  TimePoint mPromised{};
+  TimePoint mLastRetryTime{};
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Agent/TokenBucket.h
+++ b/include/dandelionslip/Agent/TokenBucket.h
@@ -1,15 +1,16 @@
-// Bounds the rate of events.
+// Limits the rate of events.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
 
 namespace dandelionslip {
 
-/// Token bucket that holds at most the tokens of kBurst, and at least one. Not thread-safe.
+/// Token bucket whose capacity is the number of tokens produced in kBurst, but at least one. Not
+/// thread-safe.
 class TokenBucket
 {
 public:
-  /// Time for which a full bucket can serve the rate at once.
+  /// A full bucket permits the events of this time at once.
   static constexpr Milliseconds kBurst{100};
 
   /// aPerSecond must be positive.
--- a/include/dandelionslip/Agent/UpstreamAdmission.h
+++ b/include/dandelionslip/Agent/UpstreamAdmission.h
@@ -1,9 +1,9 @@
-// The single place that decides how much load the upstream beside the agent gets.
+// Decides how much load the agent's upstream gets; all new work is admitted here.
 #pragma once
 
 #include "dandelionslip/Agent/AdmissionSnapshot.h"
 #include "dandelionslip/Agent/ColdStartRamp.h"
-#include "dandelionslip/Agent/EndpointHints.h"
+#include "dandelionslip/Agent/EndpointReports.h"
 #include "dandelionslip/Agent/FlowAdmission.h"
 #include "dandelionslip/Agent/RetrySchedule.h"
 #include "dandelionslip/Agent/TokenBucket.h"
@@ -31,7 +31,7 @@
   void CloseFlow(TimePoint aNow) override;
 
   /// Counts a flow that was taken over from an earlier process, even above the limit.
-  void AdoptFlow();
+  void AddRestoredFlow();
 
   /// Reserves a slot for one request. Refusals: Draining, SlotsFull, Cold.
   std::optional<Refusal> TryStartSlot(TimePoint aNow);
@@ -49,7 +49,8 @@
   /// Records that the upstream was seen to restart.
   void ObserveRestart(TimePoint aNow);
 
-  /// Reports of the upstream's endpoints; they can lower the limit and never raise it.
+  /// Reports of the upstream's health and load endpoints; they can lower the limit and never raise
+  /// it.
   void ReportHealth(TimePoint aNow, bool aHealthy);
   void ReportLoad(TimePoint aNow, double aLoad);
 
@@ -60,7 +61,7 @@
   void Undrain();
   void Stop();
 
-  /// Takes over a changed service declaration. Limits never grow by this other than by the ramp.
+  /// Applies a changed service declaration. The limit in force still rises only by the ramp.
   void UpdateSpec(const ServiceSpec& aSpec, TimePoint aNow);
 
   UpstreamState State() const { return mState.State(); }
@@ -78,15 +79,15 @@
 
   AdmissionSnapshot Snapshot() const;
 
-  /// Takes over the state of an earlier process of this agent. Call before any admission.
+  /// Restores the state of an earlier process of this agent. Call before any admission.
   void Restore(const AdmissionSnapshot& aSnapshot, TimePoint aNow);
 
 private:
   bool TakesNewWork() const;
   RefusalReason FullReason(std::uint32_t aInUse, std::uint32_t aFull, RefusalReason aReason) const;
-  void FallBack(TimePoint aNow, ColdReason aReason);
-  void FollowRamp(TimePoint aNow);
-  void FollowState();
+  void ResetToCold(TimePoint aNow, ColdReason aReason);
+  void ApplyRamp(TimePoint aNow);
+  void UpdateState();
   double OpensPerSecond() const;
   Duration FlowInterval(TimePoint aNow, bool aRamping) const;
   Duration SlotInterval(TimePoint aNow) const;
@@ -96,9 +97,9 @@
   std::uint32_t mSlotsInUse = 0;
   std::uint32_t mConnectionsInUse = 0;
   ColdStartRamp mRamp;
-  EndpointHints mHints;
+  EndpointReports mReports;
   UpstreamStateMachine mState;
-  TokenBucket mOpens;
+  TokenBucket mOpenTokens;
   RetrySchedule mFlowRetries;
   RetrySchedule mSlotRetries;
   WeightEstimator mWeight;
--- a/include/dandelionslip/Agent/UpstreamStateMachine.h
+++ b/include/dandelionslip/Agent/UpstreamStateMachine.h
@@ -7,8 +7,8 @@
 
 namespace dandelionslip {
 
-/// Boost.MSM machine behind a plain interface. An event that does not apply in the current state
-/// leaves it unchanged. Not thread-safe.
+/// Hides the Boost.MSM state machine. An event that does not apply in the current state leaves it
+/// unchanged. Not thread-safe.
 class UpstreamStateMachine
 {
 public:
--- a/include/dandelionslip/Agent/WeightEstimator.h
+++ b/include/dandelionslip/Agent/WeightEstimator.h
@@ -9,9 +9,9 @@
 
 namespace dandelionslip {
 
-/// Estimates the capacity of an upstream relative to the mean of its service from completions and
-/// occupancy: successes for each second that a slot was busy. Reports of the load endpoint are not
-/// an input. Not thread-safe.
+/// Estimates the capacity of an upstream relative to the mean of its service. Capacity is measured
+/// as successful completions for each second that a slot was busy. Reports of the load endpoint are
+/// not an input. Not thread-safe.
 class WeightEstimator
 {
 public:
@@ -28,25 +28,26 @@
   void OnCompletion(TimePoint aNow, CompletionResult aResult);
 
   /// Sets the mean completion rate over the upstreams of the service, as distributed by control; it
-  /// may be old. Without it the upstream counts as an average one. Not positive: ignored.
+  /// may be old. Without it the upstream counts as an average one. Values that are not positive are
+  /// ignored.
   void SetServiceMean(double aCompletionRate);
 
   /// Advances the estimate to aNow and returns the weight to announce. aRampShare (0 to 1) bounds
   /// the weight of a cold upstream at once; the weight grows by at most kStepFactor a second.
   std::uint32_t Update(TimePoint aNow, double aRampShare);
 
-  /// Successes a second of one busy slot, damped; 0 while unknown.
+  /// Smoothed successes a second of one busy slot; 0 while unknown.
   double CompletionRate() const { return mRate; }
 
   /// The last result of Update.
   std::uint32_t Weight() const { return mWeight; }
 
-  /// Takes over the estimate of an earlier process.
+  /// Restores the estimate of an earlier process.
   void Restore(double aCompletionRate, std::uint32_t aWeight);
 
 private:
   void AccumulateBusyTime(TimePoint aNow);
-  void FoldSample(TimePoint aNow);
+  void AddSample(TimePoint aNow);
   double Target() const;
   void StepTowards(TimePoint aNow, std::uint32_t aTarget);
 
@@ -54,7 +55,7 @@
   TimePoint mOccupiedAt;
   double mBusySeconds = 0;
   std::uint32_t mSuccesses = 0;
-  std::uint32_t mEnded = 0;
+  std::uint32_t mCompletions = 0;
   TimePoint mSampledAt;
   double mRate = 0;
   double mServiceMean = 0;
--- a/lib/Agent/BucketDirectory.cpp
+++ b/lib/Agent/BucketDirectory.cpp
@@ -29,18 +29,18 @@
   return found == bucket.mHolders.end() ? nullptr : &found->second.mName;
 }
 
-const std::string* BucketDirectory::Hint(FlowId aFlow) const
+const std::string* BucketDirectory::FormerHolder(FlowId aFlow) const
 {
   const Bucket& bucket = Of(aFlow);
-  const auto found = bucket.mHints.find(aFlow);
-  return found == bucket.mHints.end() ? nullptr : &found->second.mName;
+  const auto found = bucket.mFormerHolders.find(aFlow);
+  return found == bucket.mFormerHolders.end() ? nullptr : &found->second.mName;
 }
 
 void BucketDirectory::DropOutdated(std::uint32_t aBucket, TimePoint aNow)
 {
-  mBuckets[aBucket].mHints.clear();
+  mBuckets[aBucket].mFormerHolders.clear();
   std::erase_if(mBuckets[aBucket].mHolders, [&](const auto& aEntry) {
-    return aNow - aEntry.second.mRefreshedAt > kEarlyReportMs;
+    return aNow - aEntry.second.mRefreshedAt > kMaxEarlyReportAge;
   });
 }
 
@@ -53,12 +53,12 @@
   holder.mRefreshedAt = aNow;
 }
 
-void BucketDirectory::Forget(FlowId aFlow, const std::string& aHolder, TimePoint aNow)
+void BucketDirectory::RemoveHolder(FlowId aFlow, const std::string& aHolder, TimePoint aNow)
 {
   auto& holders = Of(aFlow).mHolders;
   if (const auto found = holders.find(aFlow);
       found != holders.end() && found->second.mName == aHolder &&
-      aNow - found->second.mRecordedAt >= kHolderSettlingMs) {
+      aNow - found->second.mRecordedAt >= kHolderGracePeriod) {
     holders.erase(found);
   }
 }
@@ -78,12 +78,12 @@
 void BucketDirectory::Expire(TimePoint aNow, Milliseconds aTimeout, std::uint32_t aBuckets)
 {
   for (std::uint32_t i = 0; i < std::min(aBuckets, Buckets()); ++i) {
-    mSweep = (mSweep + 1) % Buckets();
+    mLastExamined = (mLastExamined + 1) % Buckets();
     const auto isOld = [&](const auto& aEntry) {
       return aNow - aEntry.second.mRefreshedAt > aTimeout;
     };
-    std::erase_if(mBuckets[mSweep].mHolders, isOld);
-    std::erase_if(mBuckets[mSweep].mHints, isOld);
+    std::erase_if(mBuckets[mLastExamined].mHolders, isOld);
+    std::erase_if(mBuckets[mLastExamined].mFormerHolders, isOld);
   }
 }
 
--- a/lib/Agent/BucketExport.cpp
+++ b/lib/Agent/BucketExport.cpp
@@ -1,27 +1,27 @@
-// Transferred form of buckets and directories.
+// Converts buckets and directories to their transferred form and back.
 #include "BucketExport.h"
 
 namespace dandelionslip {
 
 namespace {
 
-// Status and next member with which a bucket in this state is given away.
-void SetGiven(Bucket& aBucket)
+// Sets status and next member of the answer that transfers a bucket in its present state.
+void SetTransferStatus(Bucket& aBucket)
 {
   switch (aBucket.mState) {
     case BucketState::Complete:
-      aBucket.mGiven = TransferStatus::Complete;
-      aBucket.mGivenNext.clear();
+      aBucket.mTransferStatus = TransferStatus::Complete;
+      aBucket.mTransferNext.clear();
       return;
     case BucketState::Pending:
-    case BucketState::HandedOff:
-      aBucket.mGiven = TransferStatus::Partial;
-      aBucket.mGivenNext = aBucket.mPeer;
+    case BucketState::Transferred:
+      aBucket.mTransferStatus = TransferStatus::Partial;
+      aBucket.mTransferNext = aBucket.mPeer;
       return;
     case BucketState::NotOwned:
     case BucketState::Rebuilding:
-      aBucket.mGiven = TransferStatus::Unknown;
-      aBucket.mGivenNext.clear();
+      aBucket.mTransferStatus = TransferStatus::Unknown;
+      aBucket.mTransferNext.clear();
       return;
   }
 }
@@ -32,7 +32,7 @@
   BucketTransfer transfer{aBucket, TransferStatus::Unknown, "", aDirectory.Entries(aBucket)};
   if (bucket.mState == BucketState::Complete) {
     transfer.mStatus = TransferStatus::Complete;
-  } else if (bucket.mState == BucketState::HandedOff) {
+  } else if (bucket.mState == BucketState::Transferred) {
     transfer.mStatus = TransferStatus::Partial;
     transfer.mNext = bucket.mPeer;
   } else if (bucket.mState == BucketState::Pending) {
@@ -47,41 +47,43 @@
   if (aTransfer.mStatus == TransferStatus::Complete) {
     aBucket.mState = BucketState::Complete;
   } else if (aTransfer.mStatus == TransferStatus::Partial) {
-    aBucket.mState = BucketState::HandedOff;
-    // The first answer is not part of the handover; without it a repeated request leads to a
-    // rebuild, which is always correct.
-    aBucket.mGiven = TransferStatus::Unknown;
+    aBucket.mState = BucketState::Transferred;
+    // The handover does not contain the answer that transferred the bucket. Status Unknown makes a
+    // repeated request lead to a rebuild, which is always correct.
+    aBucket.mTransferStatus = TransferStatus::Unknown;
   } else {
     aBucket.mState = aTransfer.mNext.empty() ? BucketState::Rebuilding : BucketState::Pending;
-    aBucket.mAsked = {aTransfer.mNext};
+    aBucket.mRequestedFrom = {aTransfer.mNext};
   }
 }
 
 } // namespace
 
-BucketTransfer GiveBucket(BucketDirectory& aDirectory, std::uint32_t aBucket,
-                          const BucketTaker& aTaker, const std::vector<DirectoryEntry>& aHeld)
+BucketTransfer TransferBucketTo(BucketDirectory& aDirectory, std::uint32_t aBucket,
+                                const NewBucketOwner& aNewOwner,
+                                const std::vector<DirectoryEntry>& aHeld)
 {
   Bucket& bucket = aDirectory.At(aBucket);
-  const bool repeated = bucket.mState == BucketState::HandedOff && bucket.mPeer == aTaker.mName &&
-                        bucket.mGivenTo == aTaker.mIncarnation;
+  const bool repeated = bucket.mState == BucketState::Transferred &&
+                        bucket.mPeer == aNewOwner.mName &&
+                        bucket.mNewOwnerIncarnation == aNewOwner.mIncarnation;
   if (!repeated) {
-    SetGiven(bucket);
+    SetTransferStatus(bucket);
   }
   for (auto& [flow, holder] : bucket.mHolders) {
-    bucket.mHints[flow] = std::move(holder);
+    bucket.mFormerHolders[flow] = std::move(holder);
   }
   bucket.mHolders.clear();
-  BucketTransfer transfer{aBucket, bucket.mGiven, bucket.mGivenNext, {}};
-  for (const auto& [flow, holder] : bucket.mHints) {
+  BucketTransfer transfer{aBucket, bucket.mTransferStatus, bucket.mTransferNext, {}};
+  for (const auto& [flow, holder] : bucket.mFormerHolders) {
     transfer.mFlows.push_back({flow, holder.mName});
   }
   transfer.mFlows.insert(transfer.mFlows.end(), aHeld.begin(), aHeld.end());
-  bucket.mState = BucketState::HandedOff;
-  bucket.mPeer = aTaker.mName;
-  bucket.mGivenTo = aTaker.mIncarnation;
-  bucket.mHasBase = false;
-  bucket.mAsked.clear();
+  bucket.mState = BucketState::Transferred;
+  bucket.mPeer = aNewOwner.mName;
+  bucket.mNewOwnerIncarnation = aNewOwner.mIncarnation;
+  bucket.mHasCompleteCopy = false;
+  bucket.mRequestedFrom.clear();
   bucket.mWaitingFor.clear();
   return transfer;
 }
--- a/lib/Agent/BucketExport.h
+++ b/lib/Agent/BucketExport.h
@@ -8,22 +8,24 @@
 
 namespace dandelionslip {
 
-/// The process that takes a bucket over.
-struct BucketTaker
+/// The process that a bucket is transferred to.
+struct NewBucketOwner
 {
   std::string mName;
   std::uint64_t mIncarnation = 0;
 };
 
-/// Gives a bucket away and returns the answer. aHeld are flows of the bucket that the
-/// directory's owner holds itself. A repeated request gets the first answer's status.
-BucketTransfer GiveBucket(BucketDirectory& aDirectory, std::uint32_t aBucket,
-                          const BucketTaker& aTaker, const std::vector<DirectoryEntry>& aHeld);
+/// Transfers a bucket to a new owner and returns the answer to its request. aHeld are flows of the
+/// bucket that the directory's owner holds itself. A repeated request gets the status of the first
+/// answer.
+BucketTransfer TransferBucketTo(BucketDirectory& aDirectory, std::uint32_t aBucket,
+                                const NewBucketOwner& aNewOwner,
+                                const std::vector<DirectoryEntry>& aHeld);
 
-/// The whole directory as carried by a Handover.
+/// The whole directory for a StateHandover.
 std::vector<BucketTransfer> ExportDirectory(const BucketDirectory& aDirectory);
 
-/// Rebuilds a directory of aBuckets buckets from a Handover.
+/// Restores a directory of aBuckets buckets from a StateHandover.
 BucketDirectory ImportDirectory(const std::vector<BucketTransfer>& aTransfers,
                                 std::uint32_t aBuckets, TimePoint aNow);
 
--- a/lib/Agent/BucketHandoff.cpp
+++ b/lib/Agent/BucketTransferManager.cpp
@@ -1,5 +1,5 @@
-// The hand-off protocol of bucket directories.
-#include "dandelionslip/Agent/BucketHandoff.h"
+// The protocol by which bucket directories move to new owners.
+#include "dandelionslip/Agent/BucketTransferManager.h"
 
 #include "BucketExport.h"
 #include "dandelionslip/Route/FlowHash.h"
@@ -10,29 +10,32 @@
 
 namespace {
 
-// Buckets examined for old entries in each tick.
+// Buckets examined for expired entries in each tick.
 constexpr std::uint32_t kExpiryBuckets = 64;
 
-bool IsRestored(const ServiceTable& aOld, const ServiceTable& aNew)
+// Whether aOld is of the same service and has as many buckets, so that it names the previous
+// owners.
+bool HasSameBuckets(const ServiceTable& aOld, const ServiceTable& aNew)
 {
   return aOld.Id() == aNew.Id() && aOld.Generation() > 0 && aOld.Buckets() == aNew.Buckets();
 }
 
 } // namespace
 
-BucketHandoff::BucketHandoff(FlowContext& aContext, FlowCustody& aCustody, BucketRecords* aRecords)
+BucketTransferManager::BucketTransferManager(FlowContext& aContext, BackupRole& aBackupRole,
+                                             BucketRecords* aRecords)
   : mContext(aContext)
-  , mCustody(aCustody)
+  , mBackupRole(aBackupRole)
   , mRecords(aRecords)
 {
 }
 
-void BucketHandoff::Reset()
+void BucketTransferManager::Reset()
 {
   mDirectory = BucketDirectory(mContext.mTable.Buckets());
 }
 
-void BucketHandoff::Restore(const Handover& aState, TimePoint aNow)
+void BucketTransferManager::Restore(const StateHandover& aState, TimePoint aNow)
 {
   mDirectory = ImportDirectory(aState.mDirectory, mContext.mTable.Buckets(), aNow);
   if (mRecords != nullptr) {
@@ -40,7 +43,7 @@
   }
 }
 
-bool BucketHandoff::IsComplete() const
+bool BucketTransferManager::IsComplete() const
 {
   for (std::uint32_t bucket = 0; bucket < mDirectory.Buckets(); ++bucket) {
     if (mContext.Owns(bucket) && mDirectory.At(bucket).mState != BucketState::Complete) {
@@ -50,10 +53,10 @@
   return true;
 }
 
-std::vector<std::string> BucketHandoff::PreviousOwners(const ServiceTable& aOld) const
+std::vector<std::string> BucketTransferManager::PreviousOwners(const ServiceTable& aOld) const
 {
   const ServiceTable& table = mContext.mTable;
-  if (!IsRestored(aOld, table)) {
+  if (!HasSameBuckets(aOld, table)) {
     const ServiceView* service =
       FindServiceView(mContext.mView, mContext.mConfiguration, mContext.mSettings.mService);
     return service == nullptr || service->mGenerations.size() < 2
@@ -68,46 +71,46 @@
   return names;
 }
 
-void BucketHandoff::OnTable(const ServiceTable& aOld, bool aDoubtful, TimePoint aNow,
-                            FlowActions& aOut)
+void BucketTransferManager::OnTable(const ServiceTable& aOld, bool aOwnershipUncertain,
+                                    TimePoint aNow, FlowActions& aOut)
 {
   if (mDirectory.Buckets() != mContext.mTable.Buckets()) {
     Reset();
   }
   const std::vector<std::string> previous = PreviousOwners(aOld);
-  const bool followed = IsRestored(aOld, mContext.mTable);
+  const bool sameBuckets = HasSameBuckets(aOld, mContext.mTable);
   const auto& members = mContext.mTable.Members();
-  const bool anyOut = std::any_of(members.begin(), members.end(), [](const TableMember& aMember) {
-    return aMember.mDataCentreOut;
-  });
+  const bool anyDataCentreOut =
+    std::any_of(members.begin(), members.end(),
+                [](const TableMember& aMember) { return aMember.mDataCentreOut; });
   for (std::uint32_t bucket = 0; bucket < mDirectory.Buckets(); ++bucket) {
-    if (!anyOut) {
-      mDirectory.At(bucket).mUnknownReason = RefusalReason::UnknownFlow;
+    if (!anyDataCentreOut) {
+      mDirectory.At(bucket).mUnknownFlowReason = RefusalReason::UnknownFlow;
     }
     if (mContext.Owns(bucket)) {
-      UpdateOwned(bucket, previous[bucket], followed, aDoubtful, aNow);
+      UpdateOwned(bucket, previous[bucket], sameBuckets, aOwnershipUncertain, aNow);
     }
   }
-  Ask(aNow, aOut);
+  SendRequests(aNow, aOut);
 }
 
-void BucketHandoff::UpdateOwned(std::uint32_t aBucket, const std::string& aPrevious, bool aFollowed,
-                                bool aDoubtful, TimePoint aNow)
+void BucketTransferManager::UpdateOwned(std::uint32_t aBucket, const std::string& aPrevious,
+                                        bool aSameBuckets, bool aOwnershipUncertain, TimePoint aNow)
 {
   Bucket& bucket = mDirectory.At(aBucket);
   switch (bucket.mState) {
     case BucketState::Complete:
-      if (aDoubtful) {
+      if (aOwnershipUncertain) {
         StartRebuild(aBucket, aNow);
-      } else if (aFollowed && !mContext.IsSelf(aPrevious)) {
-        // The owner in between never asked for the directory, but it may have admitted flows.
-        bucket.mHasBase = true;
-        StartFrom(aBucket, aPrevious, aNow);
+      } else if (aSameBuckets && !mContext.IsSelf(aPrevious)) {
+        // The owner in between never requested the directory, but it may have admitted flows.
+        bucket.mHasCompleteCopy = true;
+        StartTransfer(aBucket, aPrevious, aNow);
       }
       return;
     case BucketState::Pending:
       if (mContext.FindReachable(bucket.mPeer) == nullptr) {
-        StartFrom(aBucket, bucket.mPeer, aNow);
+        StartTransfer(aBucket, bucket.mPeer, aNow);
       }
       return;
     case BucketState::Rebuilding:
@@ -115,42 +118,43 @@
       return;
     case BucketState::NotOwned:
       mDirectory.DropOutdated(aBucket, aNow);
-      StartFrom(aBucket, aPrevious, aNow);
+      StartTransfer(aBucket, aPrevious, aNow);
       return;
-    case BucketState::HandedOff:
+    case BucketState::Transferred:
       mDirectory.DropOutdated(aBucket, aNow);
-      StartFrom(aBucket, bucket.mPeer, aNow);
+      StartTransfer(aBucket, bucket.mPeer, aNow);
       return;
   }
 }
 
-void BucketHandoff::StartFrom(std::uint32_t aBucket, const std::string& aPrevious, TimePoint aNow)
+void BucketTransferManager::StartTransfer(std::uint32_t aBucket, const std::string& aPrevious,
+                                          TimePoint aNow)
 {
   Bucket& bucket = mDirectory.At(aBucket);
   const TableMember* previous = mContext.Find(aPrevious);
-  const bool first = aPrevious.empty() && !mResumed;
-  bucket.mUnknownReason = previous != nullptr && previous->mDataCentreOut
-                            ? RefusalReason::DataCentreOut
-                            : RefusalReason::UnknownFlow;
+  const bool isNew = aPrevious.empty() && !mResumed;
+  bucket.mUnknownFlowReason = previous != nullptr && previous->mDataCentreOut
+                                ? RefusalReason::DataCentreOut
+                                : RefusalReason::UnknownFlow;
   if (previous == nullptr || previous->mOut || mContext.IsSelf(aPrevious)) {
-    StartRebuild(aBucket, aNow, first);
+    StartRebuild(aBucket, aNow, isNew);
     return;
   }
   bucket.mState = BucketState::Pending;
   bucket.mPeer = aPrevious;
-  bucket.mAsked = {aPrevious};
-  bucket.mNextAsk = aNow;
+  bucket.mRequestedFrom = {aPrevious};
+  bucket.mNextRequest = aNow;
   bucket.mSince = mContext.Epoch();
 }
 
-void BucketHandoff::StartRebuild(std::uint32_t aBucket, TimePoint aNow, bool aFirst)
+void BucketTransferManager::StartRebuild(std::uint32_t aBucket, TimePoint aNow, bool aNewBucket)
 {
   Bucket& bucket = mDirectory.At(aBucket);
   bucket.mState = BucketState::Rebuilding;
   bucket.mPeer.clear();
-  bucket.mHasBase = false;
+  bucket.mHasCompleteCopy = false;
   bucket.mWaitingFor.clear();
-  bucket.mNextAsk = aNow;
+  bucket.mNextRequest = aNow;
   bucket.mSince = mContext.Epoch();
   for (const TableMember& member : mContext.mTable.Members()) {
     const TableMember* acting = mContext.ActingFor(member.mName);
@@ -158,13 +162,13 @@
       bucket.mWaitingFor.insert(member.mName);
     }
   }
-  MergeFlows(mCustody.HeldFlows(std::span(&aBucket, 1)), aNow);
-  (aFirst ? mFirstRecords : mLostRecords).push_back(aBucket);
-  FinishIfAnswered(bucket);
+  MergeFlows(mBackupRole.HeldFlows(std::span(&aBucket, 1)), aNow);
+  (aNewBucket ? mNewBuckets : mRebuiltBuckets).push_back(aBucket);
+  FinishRebuildIfAnswered(bucket);
 }
 
-// Members that have gone since need not answer; for members that restart, their custodian does.
-void BucketHandoff::UpdateRebuild(Bucket& aBucket, TimePoint aNow)
+// Members that have left need not answer; the backup of a restarting member answers for it.
+void BucketTransferManager::UpdateRebuild(Bucket& aBucket, TimePoint aNow)
 {
   std::set<std::string> waitingFor;
   for (const std::string& name : aBucket.mWaitingFor) {
@@ -175,48 +179,49 @@
   }
   if (waitingFor != aBucket.mWaitingFor) {
     aBucket.mWaitingFor = std::move(waitingFor);
-    aBucket.mNextAsk = aNow;
+    aBucket.mNextRequest = aNow;
   }
-  FinishIfAnswered(aBucket);
+  FinishRebuildIfAnswered(aBucket);
 }
 
-void BucketHandoff::FinishIfAnswered(Bucket& aBucket)
+void BucketTransferManager::FinishRebuildIfAnswered(Bucket& aBucket)
 {
   if (aBucket.mState == BucketState::Rebuilding && aBucket.mWaitingFor.empty()) {
     aBucket.mState = BucketState::Complete;
   }
 }
 
-void BucketHandoff::Ask(TimePoint aNow, FlowActions& aOut)
+void BucketTransferManager::SendRequests(TimePoint aNow, FlowActions& aOut)
 {
-  AskPreviousOwners(aNow, aOut);
-  AskMembers(aNow, aOut);
-  StartRecords();
+  SendTransferRequests(aNow, aOut);
+  SendHeldFlowsQueries(aNow, aOut);
+  InitialiseRecords();
 }
 
-void BucketHandoff::StartRecords()
+void BucketTransferManager::InitialiseRecords()
 {
-  if (mRecords != nullptr && !mLostRecords.empty()) {
-    mRecords->StartWithoutRecords(mLostRecords);
+  if (mRecords != nullptr && !mRebuiltBuckets.empty()) {
+    mRecords->StartWithoutRecords(mRebuiltBuckets);
   }
-  if (mRecords != nullptr && !mFirstRecords.empty()) {
-    mRecords->StartFirst(mFirstRecords);
+  if (mRecords != nullptr && !mNewBuckets.empty()) {
+    mRecords->StartFirst(mNewBuckets);
   }
-  mLostRecords.clear();
-  mFirstRecords.clear();
+  mRebuiltBuckets.clear();
+  mNewBuckets.clear();
 }
 
-void BucketHandoff::AskPreviousOwners(TimePoint aNow, FlowActions& aOut)
+void BucketTransferManager::SendTransferRequests(TimePoint aNow, FlowActions& aOut)
 {
-  std::map<std::string, std::vector<std::uint32_t>> questions;
+  std::map<std::string, std::vector<std::uint32_t>> requests;
   for (std::uint32_t index = 0; index < mDirectory.Buckets(); ++index) {
     Bucket& bucket = mDirectory.At(index);
-    if (bucket.mState == BucketState::Pending && bucket.mNextAsk <= aNow && mContext.Owns(index)) {
-      bucket.mNextAsk = aNow + mContext.mSettings.mAskInterval;
-      questions[bucket.mPeer].push_back(index);
+    if (bucket.mState == BucketState::Pending && bucket.mNextRequest <= aNow &&
+        mContext.Owns(index)) {
+      bucket.mNextRequest = aNow + mContext.mSettings.mRetryInterval;
+      requests[bucket.mPeer].push_back(index);
     }
   }
-  for (auto& [owner, buckets] : questions) {
+  for (auto& [owner, buckets] : requests) {
     const TableMember* acting = mContext.ActingFor(owner);
     if (acting == nullptr) {
       continue;
@@ -229,45 +234,45 @@
                             std::move(buckets)};
     if (!mContext.IsSelf(acting->mName)) {
       aOut.emplace_back(SendPeerMessage{acting->mName, std::move(request)});
-    } else if (const auto answer = mCustody.Answer(request)) {
-      OnAnswer(*answer, aNow, aOut);
+    } else if (const auto answer = mBackupRole.AnswerTransferRequest(request)) {
+      OnTransferAnswer(*answer, aNow, aOut);
     }
   }
 }
 
-void BucketHandoff::AskMembers(TimePoint aNow, FlowActions& aOut)
+void BucketTransferManager::SendHeldFlowsQueries(TimePoint aNow, FlowActions& aOut)
 {
-  std::map<std::string, std::vector<std::uint32_t>> questions;
+  std::map<std::string, std::vector<std::uint32_t>> queries;
   for (std::uint32_t index = 0; index < mDirectory.Buckets(); ++index) {
     Bucket& bucket = mDirectory.At(index);
-    if (bucket.mState != BucketState::Rebuilding || bucket.mNextAsk > aNow ||
+    if (bucket.mState != BucketState::Rebuilding || bucket.mNextRequest > aNow ||
         !mContext.Owns(index)) {
       continue;
     }
-    bucket.mNextAsk = aNow + mContext.mSettings.mAskInterval;
+    bucket.mNextRequest = aNow + mContext.mSettings.mRetryInterval;
     for (const std::string& member : bucket.mWaitingFor) {
-      questions[member].push_back(index);
+      queries[member].push_back(index);
     }
   }
-  for (auto& [member, buckets] : questions) {
+  for (auto& [member, buckets] : queries) {
     aOut.emplace_back(
       SendPeerMessage{member, HeldFlowsQuery{mContext.mSettings.mName, mContext.mTable.Id(),
                                              mContext.Epoch(), std::move(buckets)}});
   }
 }
 
-bool BucketHandoff::MayGive(std::uint32_t aBucket, const TableEpoch& aEpoch) const
+bool BucketTransferManager::MayTransfer(std::uint32_t aBucket, const TableEpoch& aEpoch) const
 {
   return !mContext.Owns(aBucket) || mContext.Epoch() < aEpoch;
 }
 
-void BucketHandoff::OnRequest(const TransferRequest& aRequest, FlowActions& aOut)
+void BucketTransferManager::OnTransferRequest(const TransferRequest& aRequest, FlowActions& aOut)
 {
   if (aRequest.mServiceId != mContext.mTable.Id()) {
     return;
   }
   if (!mContext.IsSelf(aRequest.mOwner)) {
-    if (auto answer = mCustody.Answer(aRequest)) {
+    if (auto answer = mBackupRole.AnswerTransferRequest(aRequest)) {
       aOut.emplace_back(SendPeerMessage{aRequest.mRequester, std::move(*answer)});
     }
     return;
@@ -279,11 +284,11 @@
     if (bucket >= mDirectory.Buckets()) {
       continue;
     }
-    if (!MayGive(bucket, aRequest.mEpoch)) {
+    if (!MayTransfer(bucket, aRequest.mEpoch)) {
       answer.mBuckets.push_back({bucket, TransferStatus::Stale, "", {}});
       continue;
     }
-    answer.mBuckets.push_back(GiveBucket(
+    answer.mBuckets.push_back(TransferBucketTo(
       mDirectory, bucket, {aRequest.mRequester, aRequest.mIncarnation}, held.at(bucket)));
     if (answer.mBuckets.back().mStatus == TransferStatus::Complete) {
       complete.push_back(bucket);
@@ -295,7 +300,8 @@
   aOut.emplace_back(SendPeerMessage{aRequest.mRequester, std::move(answer)});
 }
 
-void BucketHandoff::OnAnswer(const TransferAnswer& aAnswer, TimePoint aNow, FlowActions& aOut)
+void BucketTransferManager::OnTransferAnswer(const TransferAnswer& aAnswer, TimePoint aNow,
+                                             FlowActions& aOut)
 {
   if (aAnswer.mServiceId != mContext.mTable.Id()) {
     return;
@@ -308,7 +314,7 @@
     const Bucket& bucket = mDirectory.At(transfer.mBucket);
     if (bucket.mState == BucketState::Pending && bucket.mPeer == aAnswer.mOwner &&
         aAnswer.mEpoch >= bucket.mSince) {
-      TakeBucket(transfer, aNow, aOut);
+      ApplyTransfer(transfer, aNow, aOut);
       if (transfer.mStatus == TransferStatus::Complete) {
         complete.push_back(transfer.mBucket);
       }
@@ -317,50 +323,52 @@
   if (mRecords != nullptr && !complete.empty()) {
     mRecords->Import(complete, aAnswer.mRecords);
   }
-  StartRecords();
+  InitialiseRecords();
 }
 
-void BucketHandoff::TakeBucket(const BucketTransfer& aTransfer, TimePoint aNow, FlowActions& aOut)
+void BucketTransferManager::ApplyTransfer(const BucketTransfer& aTransfer, TimePoint aNow,
+                                          FlowActions& aOut)
 {
   Bucket& bucket = mDirectory.At(aTransfer.mBucket);
   MergeFlows(aTransfer.mFlows, aNow);
   switch (aTransfer.mStatus) {
     case TransferStatus::Complete:
       bucket.mState = BucketState::Complete;
-      bucket.mHasBase = false;
+      bucket.mHasCompleteCopy = false;
       return;
     case TransferStatus::Partial:
-      FollowChain(aTransfer.mBucket, aTransfer.mNext, aNow);
+      RequestFromNext(aTransfer.mBucket, aTransfer.mNext, aNow);
       return;
     case TransferStatus::Unknown:
       StartRebuild(aTransfer.mBucket, aNow);
       return;
     case TransferStatus::Stale:
-      bucket.mNextAsk = aNow + mContext.mSettings.mAskInterval;
+      bucket.mNextRequest = aNow + mContext.mSettings.mRetryInterval;
       aOut.emplace_back(FetchView{});
       return;
   }
 }
 
-void BucketHandoff::FollowChain(std::uint32_t aBucket, const std::string& aNext, TimePoint aNow)
+void BucketTransferManager::RequestFromNext(std::uint32_t aBucket, const std::string& aNext,
+                                            TimePoint aNow)
 {
   Bucket& bucket = mDirectory.At(aBucket);
-  if (mContext.IsSelf(aNext) && bucket.mHasBase) {
+  if (mContext.IsSelf(aNext) && bucket.mHasCompleteCopy) {
     bucket.mState = BucketState::Complete;
-    bucket.mHasBase = false;
+    bucket.mHasCompleteCopy = false;
     return;
   }
-  if (mContext.IsSelf(aNext) || bucket.mAsked.contains(aNext) ||
+  if (mContext.IsSelf(aNext) || bucket.mRequestedFrom.contains(aNext) ||
       mContext.FindReachable(aNext) == nullptr) {
     StartRebuild(aBucket, aNow);
     return;
   }
   bucket.mPeer = aNext;
-  bucket.mAsked.insert(aNext);
-  bucket.mNextAsk = aNow;
+  bucket.mRequestedFrom.insert(aNext);
+  bucket.mNextRequest = aNow;
 }
 
-void BucketHandoff::MergeFlows(const std::vector<DirectoryEntry>& aFlows, TimePoint aNow)
+void BucketTransferManager::MergeFlows(const std::vector<DirectoryEntry>& aFlows, TimePoint aNow)
 {
   for (const DirectoryEntry& entry : aFlows) {
     if (!mContext.IsSelf(entry.mHolder) && mDirectory.Buckets() > 0) {
@@ -369,7 +377,7 @@
   }
 }
 
-void BucketHandoff::OnQuery(const HeldFlowsQuery& aQuery, FlowActions& aOut)
+void BucketTransferManager::OnHeldFlowsQuery(const HeldFlowsQuery& aQuery, FlowActions& aOut)
 {
   if (aQuery.mServiceId != mContext.mTable.Id()) {
     return;
@@ -377,22 +385,22 @@
   HeldFlowsAnswer answer{mContext.mSettings.mName, aQuery.mServiceId, aQuery.mEpoch, {}, {}};
   const auto held = mContext.HeldFlows(aQuery.mBuckets);
   for (const std::uint32_t bucket : aQuery.mBuckets) {
-    if (bucket >= mDirectory.Buckets() || !MayGive(bucket, aQuery.mEpoch)) {
+    if (bucket >= mDirectory.Buckets() || !MayTransfer(bucket, aQuery.mEpoch)) {
       continue;
     }
-    // From here on the requester owns the bucket, whatever this agent's table says.
+    // From here on the requester owns the bucket, even if this agent's older table says otherwise.
     if (mDirectory.At(bucket).mState != BucketState::NotOwned || mContext.Owns(bucket)) {
-      GiveBucket(mDirectory, bucket, {aQuery.mRequester, 0}, {});
+      TransferBucketTo(mDirectory, bucket, {aQuery.mRequester, 0}, {});
     }
     answer.mBuckets.push_back(bucket);
     answer.mFlows.insert(answer.mFlows.end(), held.at(bucket).begin(), held.at(bucket).end());
   }
-  const auto custody = mCustody.HeldFlows(answer.mBuckets);
-  answer.mFlows.insert(answer.mFlows.end(), custody.begin(), custody.end());
+  const auto keptFlows = mBackupRole.HeldFlows(answer.mBuckets);
+  answer.mFlows.insert(answer.mFlows.end(), keptFlows.begin(), keptFlows.end());
   aOut.emplace_back(SendPeerMessage{aQuery.mRequester, std::move(answer)});
 }
 
-void BucketHandoff::OnQueryAnswer(const HeldFlowsAnswer& aAnswer, TimePoint aNow)
+void BucketTransferManager::OnHeldFlowsAnswer(const HeldFlowsAnswer& aAnswer, TimePoint aNow)
 {
   if (aAnswer.mServiceId != mContext.mTable.Id()) {
     return;
@@ -405,30 +413,31 @@
     Bucket& bucket = mDirectory.At(index);
     if (bucket.mState == BucketState::Rebuilding && aAnswer.mEpoch >= bucket.mSince) {
       bucket.mWaitingFor.erase(aAnswer.mMember);
-      FinishIfAnswered(bucket);
+      FinishRebuildIfAnswered(bucket);
     }
   }
 }
 
-void BucketHandoff::OnUpdate(const DirectoryUpdate& aUpdate, TimePoint aNow, FlowActions& aOut)
+void BucketTransferManager::OnDirectoryUpdate(const DirectoryUpdate& aUpdate, TimePoint aNow,
+                                              FlowActions& aOut)
 {
   if (aUpdate.mServiceId != mContext.mTable.Id() || mDirectory.Buckets() == 0 ||
-      (!mContext.IsSelf(aUpdate.mOwner) && mCustody.OnUpdate(aUpdate, aNow, aOut))) {
+      (!mContext.IsSelf(aUpdate.mOwner) && mBackupRole.OnDirectoryUpdate(aUpdate, aNow, aOut))) {
     return;
   }
-  std::map<std::string, DirectoryUpdate> passedOn;
+  std::map<std::string, DirectoryUpdate> forwarded;
   const auto apply = [&](FlowId aFlow, bool aHeld) {
     const std::uint32_t index = BucketOf(aFlow, mDirectory.Buckets());
     const Bucket& bucket = mDirectory.At(index);
     if (aHeld) {
       mDirectory.Record(aFlow, aUpdate.mHolder, aNow);
     } else {
-      mDirectory.Forget(aFlow, aUpdate.mHolder, aNow);
+      mDirectory.RemoveHolder(aFlow, aUpdate.mHolder, aNow);
     }
     const std::string& owner =
-      bucket.mState == BucketState::HandedOff ? bucket.mPeer : mContext.OwnerOf(index);
+      bucket.mState == BucketState::Transferred ? bucket.mPeer : mContext.OwnerOf(index);
     if (!mContext.IsSelf(owner) && owner != aUpdate.mHolder) {
-      auto& flows = aHeld ? passedOn[owner].mHeld : passedOn[owner].mEnded;
+      auto& flows = aHeld ? forwarded[owner].mHeld : forwarded[owner].mEnded;
       flows.push_back(aFlow);
     }
   };
@@ -436,7 +445,7 @@
                 [&](FlowId aFlow) { apply(aFlow, true); });
   std::for_each(aUpdate.mEnded.begin(), aUpdate.mEnded.end(),
                 [&](FlowId aFlow) { apply(aFlow, false); });
-  for (auto& [owner, update] : passedOn) {
+  for (auto& [owner, update] : forwarded) {
     const TableMember* acting = mContext.ActingFor(owner);
     if (acting == nullptr || mContext.IsSelf(acting->mName) ||
         aUpdate.mForwards >= kMaxUpdateForwards) {
@@ -450,9 +459,9 @@
   }
 }
 
-void BucketHandoff::Tick(TimePoint aNow, FlowActions& aOut)
+void BucketTransferManager::Tick(TimePoint aNow, FlowActions& aOut)
 {
-  Ask(aNow, aOut);
+  SendRequests(aNow, aOut);
   if (const ServiceEntry* entry =
         mContext.mConfiguration.FindService(mContext.mSettings.mService)) {
     // Holders confirm their flows four times within the idle timeout.
--- a/lib/Agent/ColdStartRamp.cpp
+++ b/lib/Agent/ColdStartRamp.cpp
@@ -1,4 +1,4 @@
-// Grows the load limit of a cold upstream and drops it at once on signs of a return to cold.
+// Raises the load limit of a cold upstream and resets it when the upstream seems to be cold again.
 #include "dandelionslip/Agent/ColdStartRamp.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A step grows a limit by this part of itself, that is by a factor of 1.25, or by one.
+// A step raises a limit by a quarter, that is by a factor of 1.25, but by at least one.
 constexpr std::uint32_t kStepDivisor = 4;
 
 std::uint32_t OneStepUp(std::uint32_t aLimit)
@@ -48,17 +48,17 @@
   if (aResult == CompletionResult::Cancelled) {
     return std::nullopt;
   }
-  const bool wasAbove = mLimit != mCold;
+  const bool wasAboveCold = mLimit != mCold;
   if (aResult == CompletionResult::Shed) {
-    FallBack(aNow, ColdReason::Shed);
-    return wasAbove ? std::optional(ColdReason::Shed) : std::nullopt;
+    ResetToCold(aNow, ColdReason::Shed);
+    return wasAboveCold ? std::optional(ColdReason::Shed) : std::nullopt;
   }
   const bool succeeded = aResult == CompletionResult::Success;
   LatencyBaseline& baseline = BaselineOf(aKind);
   baseline.Record(aNow, aLatency, succeeded);
   mFailuresInRow = succeeded ? 0 : mFailuresInRow + 1;
-  if (const auto reason = SignOfCold(baseline); reason && wasAbove) {
-    FallBack(aNow, *reason);
+  if (const auto reason = DetectCold(baseline); reason && wasAboveCold) {
+    ResetToCold(aNow, *reason);
     return reason;
   }
   if (!succeeded) {
@@ -69,7 +69,7 @@
   return std::nullopt;
 }
 
-void ColdStartRamp::FallBack(TimePoint aNow, ColdReason aReason)
+void ColdStartRamp::ResetToCold(TimePoint aNow, ColdReason aReason)
 {
   mLimit = mCold;
   mReason = aReason;
@@ -112,7 +112,7 @@
   mSuccesses = 0;
 }
 
-std::optional<ColdReason> ColdStartRamp::SignOfCold(const LatencyBaseline& aBaseline) const
+std::optional<ColdReason> ColdStartRamp::DetectCold(const LatencyBaseline& aBaseline) const
 {
   if (mFailuresInRow >= kStepCompletions) {
     return ColdReason::Failures;
--- a/lib/Agent/EndpointHints.cpp
+++ b/lib/Agent/EndpointReports.cpp
@@ -1,5 +1,5 @@
 // Lowers a limit by what the upstream's endpoints report.
-#include "dandelionslip/Agent/EndpointHints.h"
+#include "dandelionslip/Agent/EndpointReports.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,11 +8,11 @@
 
 namespace {
 
-// A report that lapses gives back at most a factor of 1.25, the largest step of the ramp.
+// When a report expires, the limit rises by a factor of at most 1.25, the largest step of the ramp.
 constexpr double kSmallestFactor = 0.8;
 
-// Lagging reports must not make the limit swing, so it follows them slowly.
-constexpr double kFollowSeconds = 10;
+// Time constant with which the limit follows reports: late reports must not make it oscillate.
+constexpr double kSmoothingSeconds = 10;
 
 std::uint32_t Scaled(std::uint32_t aLimit, std::uint32_t aCold, double aFactor)
 {
@@ -22,13 +22,13 @@
 
 } // namespace
 
-void EndpointHints::ReportHealth(TimePoint aNow, bool aHealthy)
+void EndpointReports::ReportHealth(TimePoint aNow, bool aHealthy)
 {
   mHealthy = aHealthy;
   mHealthAt = aNow;
 }
 
-void EndpointHints::ReportLoad(TimePoint aNow, double aLoad)
+void EndpointReports::ReportLoad(TimePoint aNow, double aLoad)
 {
   if (std::isnan(aLoad)) {
     return;
@@ -38,8 +38,8 @@
   mLoadAt = aNow;
 }
 
-LoadLimit EndpointHints::Apply(TimePoint aNow, const LoadLimit& aLimit,
-                               const LoadLimit& aCold) const
+LoadLimit EndpointReports::Apply(TimePoint aNow, const LoadLimit& aLimit,
+                                 const LoadLimit& aCold) const
 {
   if (!mHealthy && aNow - mHealthAt <= kReportLifetime) {
     return Smaller(aLimit, aCold);
@@ -49,13 +49,13 @@
           Scaled(aLimit.mConnections, aCold.mConnections, factor)};
 }
 
-double EndpointHints::LoadFactor(TimePoint aNow) const
+double EndpointReports::LoadFactor(TimePoint aNow) const
 {
   if (aNow - mLoadAt > kReportLifetime) {
     return 1.0;
   }
   const double elapsed = std::chrono::duration<double>(aNow - mLoadAt).count();
-  return mTarget + (mFactor - mTarget) * std::exp(-std::max(0.0, elapsed) / kFollowSeconds);
+  return mTarget + (mFactor - mTarget) * std::exp(-std::max(0.0, elapsed) / kSmoothingSeconds);
 }
 
 } // namespace dandelionslip
--- a/lib/Agent/FlowActions.cpp
+++ b/lib/Agent/FlowActions.cpp
@@ -1,9 +1,9 @@
-// Helpers for actions of the flow core.
+// Helper that creates actions of the flow core.
 #include "dandelionslip/Agent/FlowActions.h"
 
 namespace dandelionslip {
 
-void PassUpdateOn(const std::string& aTo, const DirectoryUpdate& aUpdate, FlowActions& aOut)
+void ForwardUpdate(const std::string& aTo, const DirectoryUpdate& aUpdate, FlowActions& aOut)
 {
   if (aTo.empty() || aUpdate.mForwards >= kMaxUpdateForwards) {
     return;
--- a/lib/Agent/FlowCore.cpp
+++ b/lib/Agent/FlowCore.cpp
@@ -13,13 +13,13 @@
 
 // Slots of the flow table examined for idle flows in each tick: a table of 100,000 flows is
 // examined within about 10 s at 20 ticks a second.
-constexpr std::size_t kIdleBudget = 1024;
+constexpr std::size_t kIdleCheckSlots = 1024;
 
 // Holders confirm their flows this often within the idle timeout.
 constexpr int kRefreshesPerTimeout = 4;
 
 // Name of the member that acts for the bucket's owner, empty when there is none.
-std::string ActingName(const ServiceTable& aTable, std::uint32_t aBucket)
+std::string ActingMemberName(const ServiceTable& aTable, std::uint32_t aBucket)
 {
   if (aBucket >= aTable.Buckets()) {
     return {};
@@ -34,8 +34,8 @@
   : mContext(std::move(aSettings))
   , mAdmission(aAdmission)
   , mRecords(aRecords)
-  , mCustody(mContext, aRecords)
-  , mHandoff(mContext, mCustody, aRecords)
+  , mBackupRole(mContext, aRecords)
+  , mBucketTransfers(mContext, mBackupRole, aRecords)
 {
 }
 
@@ -54,9 +54,9 @@
   mContext.mTable =
     ServiceTable(mContext.mView, mContext.mConfiguration, mContext.mSettings.mService);
   mNextFetch = aNow;
-  FollowBalancers();
+  UpdateBalancers();
   if ((old.Id() != 0 && old.Id() != mContext.mTable.Id()) || WasOwnDataCentreOut(before)) {
-    GiveUpFlows(aNow, aOut);
+    ClearFlowState(aNow, aOut);
   }
   if (!mResumption && !mStop) {
     OnTable(old, aNow, aOut);
@@ -64,8 +64,8 @@
 }
 
 // Members acknowledge each generation before the next one is issued. Only an agent that was
-// regarded as lost can miss one, and its buckets had other owners meanwhile. Numbers are not
-// consecutive, so the view's history tells which generation came before.
+// regarded as lost can miss one, and its buckets had other owners meanwhile. Generation numbers are
+// not consecutive, so the view's history tells which generation came before.
 bool FlowCore::MissedGeneration(const ServiceTable& aOld) const
 {
   if (aOld.Generation() == 0 || aOld.Id() != mContext.mTable.Id() ||
@@ -80,19 +80,19 @@
 
 void FlowCore::OnTable(const ServiceTable& aOld, TimePoint aNow, FlowActions& aOut)
 {
-  const bool skipped = MissedGeneration(aOld);
+  const bool missedGeneration = MissedGeneration(aOld);
   const TableMember* self = mContext.Find(mContext.mSettings.mName);
   if (self != nullptr && self->mOut) {
-    mHandoff.Reset();
+    mBucketTransfers.Reset();
   } else {
-    mHandoff.OnTable(aOld, mDoubtful || skipped, aNow, aOut);
-    mDoubtful = false;
+    mBucketTransfers.OnTable(aOld, mOwnershipUncertain || missedGeneration, aNow, aOut);
+    mOwnershipUncertain = false;
   }
-  AnnounceFlows(aOld, aOut);
+  ReportHeldFlows(aOld, aOut);
   UpdateAcknowledgement();
 }
 
-// Whether the agent's data centre is out, or was out between the two configurations.
+// Whether the agent's data centre is out of service, or was between the two configurations.
 bool FlowCore::WasOwnDataCentreOut(const Configuration& aOld) const
 {
   const TableMember* self = mContext.Find(mContext.mSettings.mName);
@@ -110,7 +110,7 @@
          versionIn(mContext.mConfiguration) > versionIn(aOld);
 }
 
-void FlowCore::FollowBalancers()
+void FlowCore::UpdateBalancers()
 {
   mBalancers.clear();
   for (const auto& [name, member] : mContext.mView.mMembers) {
@@ -122,7 +122,7 @@
   }
 }
 
-void FlowCore::GiveUpFlows(TimePoint aNow, FlowActions& aOut)
+void FlowCore::ClearFlowState(TimePoint aNow, FlowActions& aOut)
 {
   std::vector<FlowId> flows;
   mContext.mFlows.ForEach([&](const FlowEntry& aEntry) { flows.push_back(aEntry.mFlow); });
@@ -131,12 +131,12 @@
     mAdmission.CloseFlow(aNow);
     aOut.emplace_back(CloseUpstreamPort{flow});
   }
-  mHandoff.Reset();
+  mBucketTransfers.Reset();
 }
 
-// Tells the new owners of buckets about the flows held here, so that a flow that was opened while
-// its bucket moved is known to the bucket's owner in every case.
-void FlowCore::AnnounceFlows(const ServiceTable& aOld, FlowActions& aOut)
+// Reports the flows held here to the new acting members of their buckets. Otherwise the owner might
+// not know a flow that was opened while its bucket was transferred.
+void FlowCore::ReportHeldFlows(const ServiceTable& aOld, FlowActions& aOut)
 {
   std::map<std::uint32_t, std::pair<std::string, bool>> actingByBucket;
   std::map<std::pair<std::string, std::string>, DirectoryUpdate> updates;
@@ -148,8 +148,8 @@
     const std::uint32_t bucket = BucketOf(aEntry.mFlow, table.Buckets());
     auto found = actingByBucket.find(bucket);
     if (found == actingByBucket.end()) {
-      std::string acting = ActingName(table, bucket);
-      const bool changed = acting != ActingName(aOld, bucket);
+      std::string acting = ActingMemberName(table, bucket);
+      const bool changed = acting != ActingMemberName(aOld, bucket);
       found = actingByBucket.emplace(bucket, std::pair(std::move(acting), changed)).first;
     }
     const auto& [acting, changed] = found->second;
@@ -167,7 +167,7 @@
 
 void FlowCore::UpdateAcknowledgement()
 {
-  if (!mResumption && mHandoff.IsComplete()) {
+  if (!mResumption && mBucketTransfers.IsComplete()) {
     mAckedGeneration = mContext.mTable.Generation();
   }
 }
@@ -179,13 +179,14 @@
   answer.mKind = DatagramKind::ProbeAnswer;
   answer.mConfirmed = aConfirmed;
   answer.mViewRevision = ViewRevision();
+  // State probes and their answers carry the configuration revision in the field of the flow hash.
   answer.mFlowHash = ConfigurationRevision();
   answer.mBalancer = aHeader.mBalancer;
   aOut.emplace_back(SendDatagram{aSender, answer, {}});
 }
 
 // The balancer that last carried a packet of the flow. A balancer that is not in the view yet is
-// used; one that is draining or gone is replaced by another in rendezvous order.
+// used. One that does not take replies is replaced by another, chosen by rendezvous hashing.
 const Endpoint& FlowCore::BalancerFor(const FlowEntry& aEntry) const
 {
   const auto known = mBalancers.find(aEntry.mBalancer);
@@ -259,13 +260,13 @@
   }
   mAdmission.CloseFlow(aNow);
   aOut.emplace_back(CloseUpstreamPort{aFlow});
-  TellOwner(aFlow, false, aOut);
+  NotifyOwner(aFlow, false, aOut);
 }
 
-void FlowCore::TellOwner(FlowId aFlow, bool aHeld, FlowActions& aOut)
+void FlowCore::NotifyOwner(FlowId aFlow, bool aHeld, FlowActions& aOut)
 {
   const std::uint32_t bucket = BucketOf(aFlow, std::max(1U, mContext.mTable.Buckets()));
-  const std::string acting = ActingName(mContext.mTable, bucket);
+  const std::string acting = ActingMemberName(mContext.mTable, bucket);
   if (acting.empty() || mContext.IsSelf(acting)) {
     return;
   }
@@ -275,14 +276,14 @@
   aOut.emplace_back(SendPeerMessage{acting, std::move(update)});
 }
 
-void FlowCore::RefreshFlows(TimePoint aNow, FlowActions& aOut)
+void FlowCore::ReportFlowsPeriodically(TimePoint aNow, FlowActions& aOut)
 {
   const ServiceEntry* entry = mContext.mConfiguration.FindService(mContext.mSettings.mService);
   if (entry == nullptr || aNow < mNextRefresh) {
     return;
   }
   mNextRefresh = aNow + entry->mSpec.mFlowIdleTimeout / kRefreshesPerTimeout;
-  AnnounceFlows(ServiceTable(), aOut);
+  ReportHeldFlows(ServiceTable(), aOut);
 }
 
 void FlowCore::OnTick(TimePoint aNow, FlowActions& aOut)
@@ -293,18 +294,19 @@
   }
   if (const ServiceEntry* entry =
         mContext.mConfiguration.FindService(mContext.mSettings.mService)) {
-    for (const FlowId flow : mContext.mFlows.FindIdle(
-           aNow, entry->mSpec.mFlowIdleTimeout, mContext.mSettings.mOpeningTimeout, kIdleBudget)) {
+    for (const FlowId flow :
+         mContext.mFlows.FindIdle(aNow, entry->mSpec.mFlowIdleTimeout,
+                                  mContext.mSettings.mOpeningTimeout, kIdleCheckSlots)) {
       EndFlow(flow, aNow, aOut);
     }
   }
-  mCustody.Tick(aNow);
+  mBackupRole.Tick(aNow);
   if (mResumption) {
     ContinueResumption(aNow, aOut);
     return;
   }
-  mHandoff.Tick(aNow, aOut);
-  RefreshFlows(aNow, aOut);
+  mBucketTransfers.Tick(aNow, aOut);
+  ReportFlowsPeriodically(aNow, aOut);
   UpdateAcknowledgement();
 }
 
--- a/lib/Agent/FlowCorePackets.cpp
+++ b/lib/Agent/FlowCorePackets.cpp
@@ -1,4 +1,4 @@
-// The rules for datagrams that balancers and other agents forward.
+// Handling of datagrams that balancers and other agents forward.
 #include "dandelionslip/Agent/FlowCore.h"
 
 #include "dandelionslip/Net/CallerDatagram.h"
@@ -8,11 +8,11 @@
 
 namespace {
 
-// At most one fetch of the view for packets with newer revisions in this time.
-constexpr Milliseconds kFetchIntervalMs{100};
+// Shortest time between two fetches of the view because of packets with newer revisions.
+constexpr Milliseconds kMinFetchInterval{100};
 
-// Retry-after time of refusals that admission has no time for.
-constexpr Milliseconds kRetryAfterMs{500};
+// Retry-after time of refusals that do not come from admission.
+constexpr Milliseconds kDefaultRetryAfter{500};
 
 // Whether another upstream may still take the flow.
 bool IsRedirectable(RefusalReason aReason)
@@ -37,12 +37,12 @@
                          const Endpoint& aSender, TimePoint aNow, FlowActions& aOut)
 {
   const Packet packet{aHeader, aPayload, aSender, aNow, aOut};
-  if (!Accept(packet)) {
+  if (!Validate(packet)) {
     return;
   }
-  FetchIfBehind(packet);
+  FetchViewIfBehind(packet);
   if (mStop) {
-    HandleStopped(packet);
+    HandleWhileStopping(packet);
     return;
   }
   if (FlowEntry* entry = mContext.mFlows.Find(aHeader.mFlowHash)) {
@@ -56,12 +56,12 @@
   Dispatch(packet);
 }
 
-// After the state has been exported it must not change, or the custodian would resume from outdated
-// state. Packets of flows held elsewhere still pass.
-void FlowCore::HandleStopped(const Packet& aPacket)
+// After the state has been exported it must not change, or the new process would resume from
+// outdated state. Packets of flows held elsewhere are still forwarded.
+void FlowCore::HandleWhileStopping(const Packet& aPacket)
 {
   const FlowId flow = aPacket.mHeader.mFlowHash;
-  const BucketDirectory& directory = mHandoff.Directory();
+  const BucketDirectory& directory = mBucketTransfers.Directory();
   const std::string* holder = directory.Buckets() == 0 ? nullptr : directory.Holder(flow);
   const TableMember* member = holder == nullptr ? nullptr : mContext.FindReachable(*holder);
   if (member == nullptr || mContext.IsSelf(*holder) || mContext.mFlows.Find(flow) != nullptr) {
@@ -71,7 +71,7 @@
   Forward(aPacket, member->mDatagramEndpoint, false);
 }
 
-bool FlowCore::Accept(const Packet& aPacket)
+bool FlowCore::Validate(const Packet& aPacket)
 {
   const DatagramHeader& header = aPacket.mHeader;
   if (header.mKind != DatagramKind::Forward ||
@@ -81,24 +81,24 @@
     return false;
   }
   if (mContext.mTable.Id() == 0 || header.mServiceId != mContext.mTable.Id()) {
-    FetchIfBehind(aPacket);
+    FetchViewIfBehind(aPacket);
     Drop(RefusalReason::WrongService);
     return false;
   }
   return true;
 }
 
-void FlowCore::FetchIfBehind(const Packet& aPacket)
+void FlowCore::FetchViewIfBehind(const Packet& aPacket)
 {
   if (aPacket.mHeader.mViewRevision > ViewRevision() && aPacket.mNow >= mNextFetch) {
-    mNextFetch = aPacket.mNow + kFetchIntervalMs;
-    aPacket.mOut.emplace_back(FetchView{});
+    mNextFetch = aPacket.mNow + kMinFetchInterval;
+    aPacket.mActions.emplace_back(FetchView{});
   }
 }
 
 void FlowCore::Deliver(FlowEntry& aEntry, const Packet& aPacket)
 {
-  // Two flows with one hash: the first one keeps it.
+  // Two flows with the same hash: the first one keeps the entry.
   if (aEntry.mCaller != aPacket.mHeader.mCaller || aEntry.mService != aPacket.mHeader.mService) {
     Drop(RefusalReason::Malformed);
     return;
@@ -106,14 +106,14 @@
   aEntry.mBalancer = aPacket.mHeader.mBalancer;
   aEntry.mLastActive = aPacket.mNow;
   const FlowId flow = aEntry.mFlow;
-  aPacket.mOut.emplace_back(
+  aPacket.mActions.emplace_back(
     SendToUpstream{flow, Bytes(aPacket.mPayload.begin(), aPacket.mPayload.end())});
   const auto datagram = DecodeCallerDatagram(aPacket.mPayload);
   if (datagram && datagram.value().mKind == CallerDatagramKind::Open) {
     aEntry.mSessionTag = datagram.value().mSessionTag;
   }
   if (datagram && EndsSession(datagram.value(), aEntry)) {
-    EndFlow(flow, aPacket.mNow, aPacket.mOut);
+    EndFlow(flow, aPacket.mNow, aPacket.mActions);
   }
 }
 
@@ -125,42 +125,44 @@
   if (owner == kNoMember) {
     Refuse(aPacket,
            {table.AllDataCentresOut() ? RefusalReason::DataCentreOut : RefusalReason::NoUpstream,
-            kRetryAfterMs});
+            kDefaultRetryAfter});
     return;
   }
   const TableMember& acting = table.Members()[table.ActingFor(owner)];
   if (mContext.IsSelf(acting.mName)) {
-    HandleOwned(aPacket, table.Members()[owner]);
+    HandleAsActingMember(aPacket, table.Members()[owner]);
     return;
   }
-  HandleOther(aPacket, table.Members()[owner], acting);
+  HandleAsOtherMember(aPacket, table.Members()[owner], acting);
 }
 
-void FlowCore::HandleOwned(const Packet& aPacket, const TableMember& aOwner)
+// This agent is the acting member for the owner of the flow's bucket.
+void FlowCore::HandleAsActingMember(const Packet& aPacket, const TableMember& aOwner)
 {
   if (mContext.IsSelf(aOwner.mName)) {
-    HandleInDirectory(aPacket, aOwner.mName, mHandoff.Directory());
+    HandleByDirectory(aPacket, aOwner.mName, mBucketTransfers.Directory());
     return;
   }
-  Custody* custody = mCustody.Find(aOwner.mName);
-  if (custody == nullptr || custody->mDirectory.Buckets() == 0) {
+  KeptState* kept = mBackupRole.Find(aOwner.mName);
+  if (kept == nullptr || kept->mDirectory.Buckets() == 0) {
     Drop(RefusalReason::HandoffPending);
     return;
   }
-  if (custody->mReturnedTo != 0) {
-    const TableMember* holder = mContext.Find(custody->mVia.empty() ? aOwner.mName : custody->mVia);
-    Forward(aPacket, holder == nullptr ? aOwner.mDatagramEndpoint : holder->mDatagramEndpoint,
+  if (kept->mFetchedBy != 0) {
+    const TableMember* fetcher =
+      mContext.Find(kept->mForwardedBy.empty() ? aOwner.mName : kept->mForwardedBy);
+    Forward(aPacket, fetcher == nullptr ? aOwner.mDatagramEndpoint : fetcher->mDatagramEndpoint,
             false);
     return;
   }
-  if (custody->mFlows.contains(aPacket.mHeader.mFlowHash)) {
+  if (kept->mFlows.contains(aPacket.mHeader.mFlowHash)) {
     Drop(RefusalReason::HandoffPending);
     return;
   }
-  HandleInDirectory(aPacket, aOwner.mName, custody->mDirectory);
+  HandleByDirectory(aPacket, aOwner.mName, kept->mDirectory);
 }
 
-void FlowCore::HandleInDirectory(const Packet& aPacket, const std::string& aOwner,
+void FlowCore::HandleByDirectory(const Packet& aPacket, const std::string& aOwner,
                                  BucketDirectory& aDirectory)
 {
   if (SendToHolder(aPacket, aOwner, aDirectory)) {
@@ -171,7 +173,7 @@
   switch (bucket.mState) {
     case BucketState::Complete:
       opening ? Admit(aPacket, aOwner, aDirectory)
-              : Refuse(aPacket, {bucket.mUnknownReason, Milliseconds(0)});
+              : Refuse(aPacket, {bucket.mUnknownFlowReason, Milliseconds(0)});
       return;
     case BucketState::Rebuilding:
       opening ? Admit(aPacket, aOwner, aDirectory) : Drop(RefusalReason::HandoffPending);
@@ -179,7 +181,7 @@
     case BucketState::Pending:
       HandlePending(aPacket, aOwner, aDirectory);
       return;
-    case BucketState::HandedOff:
+    case BucketState::Transferred:
       if (const TableMember* acting = mContext.ActingFor(bucket.mPeer);
           acting != nullptr && !mContext.IsSelf(acting->mName)) {
         Forward(aPacket, acting->mDatagramEndpoint, false);
@@ -194,7 +196,7 @@
 }
 
 // Forwards to the recorded holder. Returns false when there is none, or when it is gone and the
-// packet is to be handled as one of an unknown flow.
+// packet is to be handled like one of an unknown flow.
 bool FlowCore::SendToHolder(const Packet& aPacket, const std::string& aOwner,
                             BucketDirectory& aDirectory)
 {
@@ -212,18 +214,19 @@
     Refuse(aPacket, {RefusalReason::DataCentreOut, Milliseconds(0)});
     return true;
   }
-  // While the directory is incomplete, an entry may be outdated: the holder must not answer for it.
-  const bool certain =
+  // While the directory is incomplete, an entry may be outdated. The packet is then not marked as
+  // redirected, so that the holder does not refuse it as one of an unknown flow.
+  const bool authoritative =
     aPacket.mHeader.mOpening || aDirectory.Of(flow).mState == BucketState::Complete;
-  if (!certain && member->mDatagramEndpoint == aPacket.mSender) {
+  if (!authoritative && member->mDatagramEndpoint == aPacket.mSender) {
     return false;
   }
-  Forward(aPacket, member->mDatagramEndpoint, certain);
+  Forward(aPacket, member->mDatagramEndpoint, authoritative);
   return true;
 }
 
-// The previous owner decides first, because it may know the flow. It sends an opening packet of an
-// unknown flow back, which keeps a repeated opening packet from being admitted twice.
+// The previous owner handles the packet first, because it may know the flow. It sends an opening
+// packet of an unknown flow back, so that a repeated opening packet is not admitted by both owners.
 void FlowCore::HandlePending(const Packet& aPacket, const std::string& aOwner,
                              BucketDirectory& aDirectory)
 {
@@ -241,15 +244,17 @@
   Drop(RefusalReason::HandoffPending);
 }
 
-void FlowCore::HandleOther(const Packet& aPacket, const TableMember& aOwner,
-                           const TableMember& aActing)
+// Another agent is the acting member for the owner of the flow's bucket.
+void FlowCore::HandleAsOtherMember(const Packet& aPacket, const TableMember& aOwner,
+                                   const TableMember& aActing)
 {
-  const bool away = aOwner.mState == MemberState::Restarting && &aOwner == &aActing;
-  if (aPacket.mHeader.mRedirected || (away && aPacket.mHeader.mOpening)) {
+  // The owner restarts without a backup: the alternate admits new flows for it.
+  const bool noActingMember = aOwner.mState == MemberState::Restarting && &aOwner == &aActing;
+  if (aPacket.mHeader.mRedirected || (noActingMember && aPacket.mHeader.mOpening)) {
     HandleRedirected(aPacket);
     return;
   }
-  if (SendToHintedHolder(aPacket)) {
+  if (SendToFormerHolder(aPacket)) {
     return;
   }
   const bool fromOwner = aPacket.mSender == aActing.mDatagramEndpoint;
@@ -257,14 +262,14 @@
     Forward(aPacket, aActing.mDatagramEndpoint, false);
     return;
   }
-  if (mHandoff.Directory().Of(aPacket.mHeader.mFlowHash).mState == BucketState::Complete) {
+  if (mBucketTransfers.Directory().Of(aPacket.mHeader.mFlowHash).mState == BucketState::Complete) {
     Refuse(aPacket, {RefusalReason::UnknownFlow, Milliseconds(0)});
     return;
   }
   Drop(RefusalReason::HandoffPending);
 }
 
-// The bucket's owner regards this agent as the flow's holder.
+// The bucket's owner regards this agent as the flow's holder, or is restarting without a backup.
 void FlowCore::HandleRedirected(const Packet& aPacket)
 {
   if (aPacket.mHeader.mOpening) {
@@ -272,16 +277,16 @@
     return;
   }
   Refuse(aPacket, {RefusalReason::UnknownFlow, Milliseconds(0)});
-  TellOwner(aPacket.mHeader.mFlowHash, false, aPacket.mOut);
+  NotifyOwner(aPacket.mHeader.mFlowHash, false, aPacket.mActions);
 }
 
-// Uses the directory of a bucket that this agent owned until recently.
-bool FlowCore::SendToHintedHolder(const Packet& aPacket)
+// Forwards to the holder that this agent recorded while it owned the bucket.
+bool FlowCore::SendToFormerHolder(const Packet& aPacket)
 {
   const FlowId flow = aPacket.mHeader.mFlowHash;
-  const BucketDirectory& directory = mHandoff.Directory();
-  const std::string* holder = directory.Of(flow).mState == BucketState::HandedOff
-                                ? directory.Hint(flow)
+  const BucketDirectory& directory = mBucketTransfers.Directory();
+  const std::string* holder = directory.Of(flow).mState == BucketState::Transferred
+                                ? directory.FormerHolder(flow)
                                 : directory.Holder(flow);
   if (holder == nullptr || mContext.IsSelf(*holder)) {
     return false;
@@ -328,7 +333,7 @@
 void FlowCore::AdmitForOwner(const Packet& aPacket)
 {
   const auto refusal = TryAdmit(aPacket);
-  TellOwner(aPacket.mHeader.mFlowHash, !refusal, aPacket.mOut);
+  NotifyOwner(aPacket.mHeader.mFlowHash, !refusal, aPacket.mActions);
   if (refusal) {
     Refuse(aPacket, *refusal);
   }
@@ -343,10 +348,10 @@
 std::optional<Refusal> FlowCore::TryAdmit(const Packet& aPacket)
 {
   if (!MayAdmit()) {
-    return Refusal{RefusalReason::Draining, kRetryAfterMs};
+    return Refusal{RefusalReason::Draining, kDefaultRetryAfter};
   }
   if (mContext.mFlows.Size() >= mContext.mFlows.Capacity()) {
-    return Refusal{RefusalReason::TableFull, kRetryAfterMs};
+    return Refusal{RefusalReason::TableFull, kDefaultRetryAfter};
   }
   if (auto refusal = mAdmission.TryOpenFlow(aPacket.mNow)) {
     return refusal;
@@ -356,7 +361,7 @@
   entry.mCaller = aPacket.mHeader.mCaller;
   entry.mService = aPacket.mHeader.mService;
   entry.mLastActive = aPacket.mNow;
-  aPacket.mOut.emplace_back(OpenUpstreamPort{entry.mFlow, 0});
+  aPacket.mActions.emplace_back(OpenUpstreamPort{entry.mFlow, 0});
   Deliver(*mContext.mFlows.Insert(entry), aPacket);
   return std::nullopt;
 }
@@ -375,24 +380,24 @@
     send.mHeader.mViewRevision = ViewRevision();
     send.mHeader.mGeneration = mContext.mTable.Generation();
   }
-  aPacket.mOut.emplace_back(std::move(send));
+  aPacket.mActions.emplace_back(std::move(send));
 }
 
 void FlowCore::Refuse(const Packet& aPacket, const Refusal& aRefusal)
 {
   ++mRefusals[aRefusal.mReason];
-  const auto asked = DecodeCallerDatagram(aPacket.mPayload);
-  if (!asked) {
+  const auto request = DecodeCallerDatagram(aPacket.mPayload);
+  if (!request) {
     return;
   }
   CallerDatagram answer;
   answer.mKind = CallerDatagramKind::Refused;
-  answer.mSessionTag = asked.value().mSessionTag;
+  answer.mSessionTag = request.value().mSessionTag;
   answer.mReason = aRefusal.mReason;
   answer.mRetryAfter = aRefusal.mRetryAfter;
   SendDatagram send{aPacket.mHeader.mBalancer, aPacket.mHeader, EncodeCallerDatagram(answer)};
   send.mHeader.mKind = DatagramKind::Refuse;
-  aPacket.mOut.emplace_back(std::move(send));
+  aPacket.mActions.emplace_back(std::move(send));
 }
 
 } // namespace dandelionslip
--- a/lib/Agent/FlowCoreRestart.cpp
+++ b/lib/Agent/FlowCoreRestart.cpp
@@ -1,4 +1,4 @@
-// Peer messages, and handover and resumption of the whole state.
+// Dispatch of peer messages, and handover and resumption of the whole state.
 #include "dandelionslip/Agent/FlowCore.h"
 
 #include "BucketExport.h"
@@ -20,9 +20,9 @@
 template <typename... Handlers>
 Overloaded(Handlers...) -> Overloaded<Handlers...>;
 
-// States sent to a custodian without an acknowledgement before another one is chosen, one every
-// mAskInterval. With 10% of the exchanges lost, a live one is given up once in 100,000 times.
-constexpr std::uint32_t kMaxHandoverAsks = 5;
+// Unacknowledged sends to a backup, one every mRetryInterval, before another one is chosen. If 10%
+// of the exchanges are lost, a live backup is abandoned once in 100,000 times.
+constexpr std::uint32_t kMaxHandoverAttempts = 5;
 
 Endpoint ParseOrEmpty(const std::string& aText)
 {
@@ -35,46 +35,46 @@
 void FlowCore::OnPeerMessage(const std::string& aFrom, const PeerMessage& aMessage, TimePoint aNow,
                              FlowActions& aOut)
 {
-  // While the state is on its way to or from a custodian, questions stay unanswered; they are
-  // repeated, and then the custodian or the new process answers.
+  // While the state is on its way to or from a backup, requests are not answered. They are
+  // repeated, and then the backup or the new process answers.
   const bool inTransit = mStop || mResumption;
   std::visit(Overloaded{
                [&](const TransferRequest& aRequest) {
                  if (!inTransit) {
-                   mHandoff.OnRequest(aRequest, aOut);
+                   mBucketTransfers.OnTransferRequest(aRequest, aOut);
                  }
                },
                [&](const TransferAnswer& aAnswer) {
                  if (!inTransit) {
-                   mHandoff.OnAnswer(aAnswer, aNow, aOut);
+                   mBucketTransfers.OnTransferAnswer(aAnswer, aNow, aOut);
                  }
                },
                [&](const HeldFlowsQuery& aQuery) {
                  if (!inTransit) {
-                   mHandoff.OnQuery(aQuery, aOut);
+                   mBucketTransfers.OnHeldFlowsQuery(aQuery, aOut);
                  }
                },
                [&](const HeldFlowsAnswer& aAnswer) {
                  if (!inTransit) {
-                   mHandoff.OnQueryAnswer(aAnswer, aNow);
+                   mBucketTransfers.OnHeldFlowsAnswer(aAnswer, aNow);
                  }
                },
                [&](const DirectoryUpdate& aUpdate) {
                  if (mStop) {
-                   PassUpdateOn(mStop->mCustodian, aUpdate, aOut);
+                   ForwardUpdate(mStop->mCustodian, aUpdate, aOut);
                  } else if (!mResumption) {
-                   mHandoff.OnUpdate(aUpdate, aNow, aOut);
+                   mBucketTransfers.OnDirectoryUpdate(aUpdate, aNow, aOut);
                  }
                },
-               [&](const Handover& aState) {
+               [&](const StateHandover& aState) {
                  if (!inTransit) {
-                   mCustody.OnHandover(aFrom, aState, aNow, aOut);
+                   mBackupRole.OnHandover(aFrom, aState, aNow, aOut);
                  }
                },
-               [&](const HandoverAck& aAck) { OnHandoverAck(aAck, aOut); },
+               [&](const StateHandoverAck& aAck) { OnHandoverAck(aAck, aOut); },
                [&](const ResumeRequest& aRequest) {
                  if (!inTransit) {
-                   mCustody.OnResumeRequest(aRequest, aNow, aOut);
+                   mBackupRole.OnResumeRequest(aRequest, aNow, aOut);
                  }
                },
                [&](const ResumeAnswer& aAnswer) { OnResumeAnswer(aAnswer, aNow, aOut); },
@@ -83,16 +83,17 @@
   UpdateAcknowledgement();
 }
 
-// A live agent of the service that has not been silent, preferably one that takes new work and is
-// in the same data centre; spread by rendezvous.
-std::string FlowCore::ChooseCustodian() const
+// A live agent of the service that has not failed to acknowledge. Agents that take new work come
+// first, then agents in the same data centre; rendezvous hashing chooses among equals.
+std::string FlowCore::ChooseBackup() const
 {
   const TableMember* self = mContext.Find(mContext.mSettings.mName);
   std::string best;
   std::tuple<bool, bool, std::uint64_t> highest;
   for (const TableMember& member : mContext.mTable.Members()) {
     const bool serves = TakesNewWork(member.mState);
-    if (mContext.IsSelf(member.mName) || member.mOut || mStop->mSilent.contains(member.mName) ||
+    if (mContext.IsSelf(member.mName) || member.mOut ||
+        mStop->mUnresponsive.contains(member.mName) ||
         (!serves && member.mState != MemberState::Draining)) {
       continue;
     }
@@ -106,9 +107,9 @@
   return best;
 }
 
-Handover FlowCore::ExportState() const
+StateHandover FlowCore::ExportState() const
 {
-  Handover state;
+  StateHandover state;
   state.mMember = mContext.mSettings.mName;
   state.mServiceId = mContext.mTable.Id();
   state.mIncarnation = mContext.mSettings.mIncarnation;
@@ -118,9 +119,10 @@
                             aEntry.mBalancer.ToString(), aEntry.mUpstreamPort, aEntry.mEstablished,
                             aEntry.mSessionTag});
   });
-  state.mDirectory = ExportDirectory(mHandoff.Directory());
+  state.mDirectory = ExportDirectory(mBucketTransfers.Directory());
   if (mRecords != nullptr) {
-    state.mRecords = mRecords->Export(CompleteBuckets(mHandoff.Directory()), mStop->mCustodian);
+    state.mRecords =
+      mRecords->Export(CompleteBuckets(mBucketTransfers.Directory()), mStop->mCustodian);
   }
   state.mAdmission = mStop->mAdmission;
   return state;
@@ -137,46 +139,47 @@
   if (aNow < mStop->mNextSend || (!mStop->mCustodian.empty() && mStop->mUnacknowledged.empty())) {
     return;
   }
-  mStop->mNextSend = aNow + mContext.mSettings.mAskInterval;
-  // Agents that stop at the same time do not take each other's state and would wait for ever.
-  if (++mStop->mAsks > kMaxHandoverAsks) {
-    mStop->mSilent.insert(mStop->mCustodian);
+  mStop->mNextSend = aNow + mContext.mSettings.mRetryInterval;
+  // Agents that stop at the same time do not take each other's state and would wait for each other
+  // for ever.
+  if (++mStop->mAttempts > kMaxHandoverAttempts) {
+    mStop->mUnresponsive.insert(mStop->mCustodian);
   }
-  std::string custodian = ChooseCustodian();
-  if (custodian.empty() && !mStop->mSilent.empty()) {
-    mStop->mSilent.clear();
-    custodian = ChooseCustodian();
+  std::string backup = ChooseBackup();
+  if (backup.empty() && !mStop->mUnresponsive.empty()) {
+    mStop->mUnresponsive.clear();
+    backup = ChooseBackup();
   }
-  const bool changed = custodian != mStop->mCustodian;
-  mStop->mCustodian = custodian;
-  if (custodian.empty()) {
+  const bool changed = backup != mStop->mCustodian;
+  mStop->mCustodian = backup;
+  if (backup.empty()) {
     mStop->mNextSend = TimePoint::max();
     aOut.emplace_back(HandoverDone{});
     return;
   }
-  std::vector<Handover> states = mCustody.Export(custodian);
+  std::vector<StateHandover> states = mBackupRole.Export(backup);
   states.push_back(ExportState());
   if (changed) {
-    mStop->mAsks = 0;
+    mStop->mAttempts = 0;
     mStop->mUnacknowledged.clear();
-    for (const Handover& state : states) {
+    for (const StateHandover& state : states) {
       mStop->mUnacknowledged.insert(state.mMember);
     }
   }
-  for (Handover& state : states) {
+  for (StateHandover& state : states) {
     if (mStop->mUnacknowledged.contains(state.mMember)) {
       aOut.emplace_back(SendPeerMessage{mStop->mCustodian, std::move(state)});
     }
   }
 }
 
-void FlowCore::OnHandoverAck(const HandoverAck& aAck, FlowActions& aOut)
+void FlowCore::OnHandoverAck(const StateHandoverAck& aAck, FlowActions& aOut)
 {
   if (!mStop || aAck.mCustodian != mStop->mCustodian ||
       mStop->mUnacknowledged.erase(aAck.mMember) == 0) {
     return;
   }
-  mStop->mAsks = 0;
+  mStop->mAttempts = 0;
   if (mStop->mUnacknowledged.empty()) {
     aOut.emplace_back(HandoverDone{mStop->mCustodian});
   }
@@ -184,14 +187,14 @@
 
 void FlowCore::BeginResumption(const std::string& aCustodian, TimePoint aNow, FlowActions& aOut)
 {
-  mHandoff.NoteResumption();
+  mBucketTransfers.SetResumed();
   mResumption = Resumption{aCustodian, aNow};
   ContinueResumption(aNow, aOut);
 }
 
 void FlowCore::ContinueResumption(TimePoint aNow, FlowActions& aOut)
 {
-  if (mContext.mTable.Buckets() == 0 || aNow < mResumption->mNextAsk) {
+  if (mContext.mTable.Buckets() == 0 || aNow < mResumption->mNextRequest) {
     return;
   }
   const TableMember* acting = mContext.ActingFor(mResumption->mCustodian);
@@ -199,7 +202,7 @@
     FinishResumption({}, aNow, aOut);
     return;
   }
-  mResumption->mNextAsk = aNow + mContext.mSettings.mAskInterval;
+  mResumption->mNextRequest = aNow + mContext.mSettings.mRetryInterval;
   aOut.emplace_back(SendPeerMessage{
     acting->mName, ResumeRequest{mContext.mSettings.mName, mContext.mSettings.mIncarnation}});
 }
@@ -209,9 +212,9 @@
   if (!mResumption || aAnswer.mIncarnation != mContext.mSettings.mIncarnation) {
     return;
   }
-  for (const Handover& state : aAnswer.mCustody) {
+  for (const StateHandover& state : aAnswer.mKeptStates) {
     FlowActions acknowledgements;
-    mCustody.OnHandover(state.mMember, state, aNow, acknowledgements);
+    mBackupRole.OnHandover(state.mMember, state, aNow, acknowledgements);
   }
   if (!aAnswer.mState || aAnswer.mState->mServiceId != mContext.mTable.Id()) {
     FinishResumption({}, aNow, aOut);
@@ -220,7 +223,7 @@
   for (const FlowState& flow : aAnswer.mState->mFlows) {
     RestoreFlow(flow, aNow, aOut);
   }
-  mHandoff.Restore(*aAnswer.mState, aNow);
+  mBucketTransfers.Restore(*aAnswer.mState, aNow);
   FinishResumption(aAnswer.mState->mAdmission, aNow, aOut);
 }
 
@@ -243,8 +246,8 @@
 void FlowCore::FinishResumption(Json aAdmission, TimePoint aNow, FlowActions& aOut)
 {
   mResumption.reset();
-  // Without an older table, complete buckets stay complete and others start from the view's
-  // history.
+  // Without an older table, complete buckets stay complete, and the previous owners of the others
+  // come from the view's history.
   OnTable(ServiceTable(), aNow, aOut);
   aOut.emplace_back(ResumptionDone{std::move(aAdmission)});
 }
--- a/lib/Agent/FlowTable.cpp
+++ b/lib/Agent/FlowTable.cpp
@@ -1,4 +1,4 @@
-// Linear probing with backward-shift deletion.
+// Hash table with linear probing and backward-shift deletion.
 #include "dandelionslip/Agent/FlowTable.h"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 constexpr std::size_t kSmallestTable = 64;
 
-// Flow hashes are well mixed, but the low bits choose the bucket and are alike for flows of one
-// agent; the high bits are independent of that.
+// Flow hashes are well mixed, but the low bits choose the bucket, so they are similar for the flows
+// of one agent. The high bits do not depend on the bucket.
 std::size_t HomeSlot(FlowId aFlow, std::size_t aSlots)
 {
   return static_cast<std::size_t>(aFlow >> 32U ^ aFlow >> 16U) & (aSlots - 1);
@@ -101,12 +101,12 @@
 }
 
 std::vector<FlowId> FlowTable::FindIdle(TimePoint aNow, Milliseconds aIdleTimeout,
-                                        Milliseconds aOpeningTimeout, std::size_t aBudget)
+                                        Milliseconds aOpeningTimeout, std::size_t aMaxSlots)
 {
   std::vector<FlowId> idle;
-  for (std::size_t i = 0; i < std::min(aBudget, mSlots.size()); ++i) {
-    mSweep = (mSweep + 1) & (mSlots.size() - 1);
-    const Slot& slot = mSlots[mSweep];
+  for (std::size_t i = 0; i < std::min(aMaxSlots, mSlots.size()); ++i) {
+    mLastExamined = (mLastExamined + 1) & (mSlots.size() - 1);
+    const Slot& slot = mSlots[mLastExamined];
     const Milliseconds timeout = slot.mEntry.mEstablished ? aIdleTimeout : aOpeningTimeout;
     if (slot.mUsed && aNow - slot.mEntry.mLastActive > timeout) {
       idle.push_back(slot.mEntry.mFlow);
--- a/lib/Agent/LatencyBaseline.cpp
+++ b/lib/Agent/LatencyBaseline.cpp
@@ -1,4 +1,4 @@
-// Learns the normal latency of an upstream and recognises steps away from it.
+// Learns the normal latency of an upstream and detects steps away from it.
 #include "dandelionslip/Agent/LatencyBaseline.h"
 
 #include "dandelionslip/Support/Durations.h"
@@ -11,16 +11,16 @@
 
 using Duration = LatencyBaseline::Duration;
 
-// Shorter latencies count as this long: the delay with which the operating system schedules a
-// process would otherwise look like a step of an upstream that answers in microseconds.
+// Shorter latencies count as this long. Otherwise scheduling delays of the operating system would
+// look like a step of an upstream that answers in microseconds.
 constexpr Duration kShortestLatency = Milliseconds(1);
 
 constexpr double kLearnSeconds = 10;
 
-// While the recent completions are not normal, the baseline follows 60 times more slowly, so that
-// an upstream that stays cold for a minute is not taken for a normal one, and one that has become
-// slower for good is not held at the cold limit for ever.
-constexpr double kSuspectLearnSeconds = 600;
+// While the recent completions are not normal, the baseline follows 60 times more slowly. An
+// upstream that stays cold for a minute then does not count as normal, but one that has become
+// permanently slower does in the end and is not held at the cold limit for ever.
+constexpr double kSlowLearnSeconds = 600;
 
 constexpr double kLargestGain = 1.0 / kStepCompletions;
 
@@ -30,11 +30,11 @@
 {
   const Sample sample{std::max(aLatency, kShortestLatency), aSucceeded};
   if (aSucceeded && !mKnown) {
-    LearnFirst(sample.mLatency);
+    LearnInitial(sample.mLatency);
     mLearntAt = aNow;
   }
-  // A completion is learnt when it leaves the recent ones, so that a step is compared with the
-  // baseline from before the step.
+  // A completion affects the baseline only when it leaves the recent ones, so that a step is
+  // compared with the baseline from before the step.
   const Sample& oldest = mRecent[mNext];
   if (mKnown && mRecentCount == kStepCompletions && oldest.mSucceeded) {
     Learn(aNow, oldest.mLatency);
@@ -65,22 +65,22 @@
 {
   mKnown = aBaseline > Duration::zero();
   mBaseline = mKnown ? std::max(aBaseline, kShortestLatency) : Duration::zero();
-  mLearnt = 0;
+  mLearntCount = 0;
   ClearRecent();
 }
 
-void LatencyBaseline::LearnFirst(Duration aLatency)
+void LatencyBaseline::LearnInitial(Duration aLatency)
 {
-  ++mLearnt;
-  mBaseline += (aLatency - mBaseline) / mLearnt;
-  mKnown = mLearnt >= static_cast<std::int64_t>(kStepCompletions);
+  ++mLearntCount;
+  mBaseline += (aLatency - mBaseline) / mLearntCount;
+  mKnown = mLearntCount >= static_cast<std::int64_t>(kStepCompletions);
 }
 
 void LatencyBaseline::Learn(TimePoint aNow, Duration aLatency)
 {
   const double elapsed = std::max(0.0, Seconds(aNow - mLearntAt));
   const double gain =
-    std::min(kLargestGain, elapsed / (IsNormal() ? kLearnSeconds : kSuspectLearnSeconds));
+    std::min(kLargestGain, elapsed / (IsNormal() ? kLearnSeconds : kSlowLearnSeconds));
   mBaseline += std::chrono::duration_cast<Duration>((aLatency - mBaseline) * gain);
   mLearntAt = aNow;
 }
--- a/lib/Agent/RetrySchedule.cpp
+++ b/lib/Agent/RetrySchedule.cpp
@@ -1,4 +1,4 @@
-// Spreads the return of refused callers over time.
+// Spreads the retries of refused callers over time.
 #include "dandelionslip/Agent/RetrySchedule.h"
 
 #include <algorithm>
@@ -7,13 +7,13 @@
 
 Milliseconds RetrySchedule::Next(TimePoint aNow, RuntimeClock::duration aInterval)
 {
-  mPromised = std::max(mPromised, aNow) + aInterval;
-  if (mPromised > aNow + kLongest) {
-    // Beyond the longest time callers are spread over its second half; giving all of them the same
-    // time would bring them back together.
-    mPromised = aNow + kLongest / 2;
+  mLastRetryTime = std::max(mLastRetryTime, aNow) + aInterval;
+  if (mLastRetryTime > aNow + kLongest) {
+    // Callers beyond kLongest are spread over the second half of it; with the same time for all of
+    // them they would retry together.
+    mLastRetryTime = aNow + kLongest / 2;
   }
-  const auto delay = std::chrono::ceil<Milliseconds>(mPromised - aNow);
+  const auto delay = std::chrono::ceil<Milliseconds>(mLastRetryTime - aNow);
   return std::clamp(delay, kShortest, kLongest);
 }
 
--- a/lib/Agent/TokenBucket.cpp
+++ b/lib/Agent/TokenBucket.cpp
@@ -1,4 +1,4 @@
-// Bounds the rate of events.
+// Limits the rate of events.
 #include "dandelionslip/Agent/TokenBucket.h"
 
 #include "dandelionslip/Support/Durations.h"
--- a/lib/Agent/UpstreamAdmission.cpp
+++ b/lib/Agent/UpstreamAdmission.cpp
@@ -1,4 +1,4 @@
-// Admits flows and requests beside the upstream.
+// Admits flows and requests for the agent's upstream.
 #include "dandelionslip/Agent/UpstreamAdmission.h"
 
 #include <algorithm>
@@ -10,9 +10,10 @@
 
 constexpr double kCloseRateSeconds = 10;
 
-// Retry interval of callers when nothing is known about how soon room becomes free.
-constexpr double kUnknownFlowRate = 1;
-constexpr double kUnknownSlotRate = 10;
+// Admissions a second that retry times assume when nothing is known about how soon room becomes
+// free.
+constexpr double kAssumedFlowRate = 1;
+constexpr double kAssumedSlotRate = 10;
 
 RuntimeClock::duration IntervalOf(double aPerSecond)
 {
@@ -30,11 +31,11 @@
 UpstreamAdmission::UpstreamAdmission(const ServiceSpec& aSpec, TimePoint aNow)
   : mDeclaredOpensPerSecond(aSpec.mOpensPerSecond)
   , mRamp(aSpec, aNow)
-  , mOpens(OpensPerSecond(), aNow)
+  , mOpenTokens(OpensPerSecond(), aNow)
   , mWeight(aNow)
   , mClosedAt(aNow)
 {
-  FollowState();
+  UpdateState();
 }
 
 std::optional<Refusal> UpstreamAdmission::TryOpenFlow(TimePoint aNow)
@@ -48,8 +49,8 @@
     const bool ramping = reason == RefusalReason::Cold;
     return Refusal{reason, mFlowRetries.Next(aNow, FlowInterval(aNow, ramping))};
   }
-  if (!mOpens.TryTake(aNow)) {
-    return Refusal{RefusalReason::Paced, mFlowRetries.Next(aNow, mOpens.Interval())};
+  if (!mOpenTokens.TryTake(aNow)) {
+    return Refusal{RefusalReason::Paced, mFlowRetries.Next(aNow, mOpenTokens.Interval())};
   }
   ++mConnectionsInUse;
   return std::nullopt;
@@ -65,7 +66,7 @@
   mClosedAt = std::max(mClosedAt, aNow);
 }
 
-void UpstreamAdmission::AdoptFlow()
+void UpstreamAdmission::AddRestoredFlow()
 {
   ++mConnectionsInUse;
 }
@@ -92,33 +93,33 @@
   mWeight.OnCompletion(aNow, aResult);
   mWeight.OnOccupancy(aNow, --mSlotsInUse);
   mRamp.OnCompletion(aNow, aLatency, aResult, WorkKind::Request);
-  FollowRamp(aNow);
+  ApplyRamp(aNow);
 }
 
 void UpstreamAdmission::ObserveReply(TimePoint aNow, Duration aLatency)
 {
   mRamp.OnCompletion(aNow, aLatency, CompletionResult::Success, WorkKind::Flow);
-  FollowRamp(aNow);
+  ApplyRamp(aNow);
 }
 
 void UpstreamAdmission::ObserveShed(TimePoint aNow)
 {
-  FallBack(aNow, ColdReason::Shed);
+  ResetToCold(aNow, ColdReason::Shed);
 }
 
 void UpstreamAdmission::ObserveRestart(TimePoint aNow)
 {
-  FallBack(aNow, ColdReason::Restarted);
+  ResetToCold(aNow, ColdReason::Restarted);
 }
 
 void UpstreamAdmission::ReportHealth(TimePoint aNow, bool aHealthy)
 {
-  mHints.ReportHealth(aNow, aHealthy);
+  mReports.ReportHealth(aNow, aHealthy);
 }
 
 void UpstreamAdmission::ReportLoad(TimePoint aNow, double aLoad)
 {
-  mHints.ReportLoad(aNow, aLoad);
+  mReports.ReportLoad(aNow, aLoad);
 }
 
 void UpstreamAdmission::SetServiceMean(double aCompletionRate)
@@ -134,7 +135,7 @@
 void UpstreamAdmission::Undrain()
 {
   mState.OnUndrain();
-  FollowState();
+  UpdateState();
 }
 
 void UpstreamAdmission::Stop()
@@ -146,12 +147,12 @@
 {
   mDeclaredOpensPerSecond = aSpec.mOpensPerSecond;
   mRamp.UpdateSpec(aSpec, aNow);
-  FollowRamp(aNow);
+  ApplyRamp(aNow);
 }
 
 LoadLimit UpstreamAdmission::Limit(TimePoint aNow) const
 {
-  return mHints.Apply(aNow, mRamp.Limit(), mRamp.Cold());
+  return mReports.Apply(aNow, mRamp.Limit(), mRamp.Cold());
 }
 
 std::uint32_t UpstreamAdmission::UpdateWeight(TimePoint aNow)
@@ -177,7 +178,7 @@
   mRamp.Restore({aSnapshot.mSlotLimit, aSnapshot.mConnectionLimit},
                 Duration(aSnapshot.mRequestBaselineNs), Duration(aSnapshot.mFlowBaselineNs), aNow);
   mWeight.Restore(aSnapshot.mCompletionRate, aSnapshot.mWeight);
-  FollowRamp(aNow);
+  ApplyRamp(aNow);
 }
 
 bool UpstreamAdmission::TakesNewWork() const
@@ -191,19 +192,19 @@
   return aInUse < aFull && !mRamp.IsComplete() ? RefusalReason::Cold : aReason;
 }
 
-void UpstreamAdmission::FallBack(TimePoint aNow, ColdReason aReason)
+void UpstreamAdmission::ResetToCold(TimePoint aNow, ColdReason aReason)
 {
-  mRamp.FallBack(aNow, aReason);
-  FollowRamp(aNow);
+  mRamp.ResetToCold(aNow, aReason);
+  ApplyRamp(aNow);
 }
 
-void UpstreamAdmission::FollowRamp(TimePoint aNow)
+void UpstreamAdmission::ApplyRamp(TimePoint aNow)
 {
-  FollowState();
-  mOpens.SetRate(OpensPerSecond(), aNow);
+  UpdateState();
+  mOpenTokens.SetRate(OpensPerSecond(), aNow);
 }
 
-void UpstreamAdmission::FollowState()
+void UpstreamAdmission::UpdateState()
 {
   mRamp.IsComplete() ? mState.OnRampCompleted() : mState.OnReturnedToCold();
 }
@@ -219,14 +220,14 @@
 {
   // A ramp makes room for up to a quarter of its limit with each step.
   const double growth = aRamping ? mRamp.Limit().mConnections / 4.0 : 0.0;
-  const double freed = std::max({kUnknownFlowRate, growth, ClosesPerSecond(aNow)});
+  const double freed = std::max({kAssumedFlowRate, growth, ClosesPerSecond(aNow)});
   return IntervalOf(std::min(freed, OpensPerSecond()));
 }
 
 UpstreamAdmission::Duration UpstreamAdmission::SlotInterval(TimePoint aNow) const
 {
   const double perSlot = mWeight.CompletionRate();
-  return IntervalOf(perSlot > 0 ? perSlot * std::max(1U, Limit(aNow).mSlots) : kUnknownSlotRate);
+  return IntervalOf(perSlot > 0 ? perSlot * std::max(1U, Limit(aNow).mSlots) : kAssumedSlotRate);
 }
 
 double UpstreamAdmission::ClosesPerSecond(TimePoint aNow) const
--- a/lib/Agent/UpstreamState.cpp
+++ b/lib/Agent/UpstreamState.cpp
@@ -1,4 +1,4 @@
-// Names of upstream states and their announced form.
+// Names of upstream states and the member states announced for them.
 #include "dandelionslip/Agent/UpstreamState.h"
 
 #include <array>
--- a/lib/Agent/UpstreamStateMachine.cpp
+++ b/lib/Agent/UpstreamStateMachine.cpp
@@ -1,4 +1,5 @@
-// Boost.MSM machine of the upstream's state; kept in one file because its headers compile slowly.
+// Boost.MSM state machine of the upstream. Only this file includes the MSM headers, because they
+// compile slowly.
 #include "dandelionslip/Agent/UpstreamStateMachine.h"
 
 #include <boost/msm/back/state_machine.hpp>
--- a/lib/Agent/WeightEstimator.cpp
+++ b/lib/Agent/WeightEstimator.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Completions needed for one sample; fewer give no usable rate.
-constexpr std::uint32_t kSampleCompletions = 8;
+// Fewest completions of a sample; fewer give no usable rate.
+constexpr std::uint32_t kMinSampleCompletions = 8;
 
 // Smaller changes are not announced: each announced change moves buckets.
 constexpr double kDeadBand = 0.02;
@@ -39,7 +39,7 @@
 {
   AccumulateBusyTime(aNow);
   mSuccesses += aResult == CompletionResult::Success ? 1 : 0;
-  mEnded += aResult == CompletionResult::Cancelled ? 0 : 1;
+  mCompletions += aResult == CompletionResult::Cancelled ? 0 : 1;
 }
 
 void WeightEstimator::SetServiceMean(double aCompletionRate)
@@ -52,8 +52,8 @@
 std::uint32_t WeightEstimator::Update(TimePoint aNow, double aRampShare)
 {
   AccumulateBusyTime(aNow);
-  if (aNow - mSampledAt >= kStepInterval && mEnded >= kSampleCompletions) {
-    FoldSample(aNow);
+  if (aNow - mSampledAt >= kStepInterval && mCompletions >= kMinSampleCompletions) {
+    AddSample(aNow);
   }
   const double share = std::clamp(aRampShare, 0.0, 1.0);
   const double bound = share < 1.0 ? std::max(1.0, share * kFullWeight) : kLargestWeight;
@@ -83,7 +83,7 @@
   }
 }
 
-void WeightEstimator::FoldSample(TimePoint aNow)
+void WeightEstimator::AddSample(TimePoint aNow)
 {
   // A completion that was counted without busy time would give an infinite rate.
   constexpr double kShortestBusySeconds = 1e-4;
@@ -93,7 +93,7 @@
   mRate = mRate > 0 ? std::clamp(folded, mRate / kStepFactor, mRate * kStepFactor) : sample;
   mBusySeconds = 0;
   mSuccesses = 0;
-  mEnded = 0;
+  mCompletions = 0;
   mSampledAt = aNow;
 }
 
--- a/unittests/Agent/ColdStartRampTest.cpp
+++ b/unittests/Agent/ColdStartRampTest.cpp
@@ -10,7 +10,7 @@
 
 using Result = CompletionResult;
 
-// A ramp with a clock of its own, driven at 20 completions a second.
+// A ramp with its own clock and 20 completions a second.
 struct RampDriver
 {
   explicit RampDriver(std::uint32_t aSlots = 4)
@@ -32,7 +32,7 @@
     return mRamp.OnCompletion(mNow, aLatency, aResult, WorkKind::Request);
   }
 
-  // Completions of about aLatency; stops when the ramp falls back.
+  // Completions of about aLatency; stops when the ramp is reset to the cold limit.
   std::optional<ColdReason> Run(int aCount, Milliseconds aLatency)
   {
     for (int i = 0; i < aCount; ++i) {
@@ -52,7 +52,8 @@
   ColdStartRamp mRamp;
 };
 
-constexpr int kEnough = 1000;
+// More completions than a ramp of four slots needs to reach the full limit.
+constexpr int kRampCompletions = 1000;
 
 class ColdStartRampTest : public CppUnit::TestFixture
 {
@@ -60,15 +61,15 @@
   CPPUNIT_TEST(GrowthIsBounded);
   CPPUNIT_TEST(UnannouncedReturnToColdIsSeenInEightCompletions);
   CPPUNIT_TEST(ReturnToColdIsSeenInSparseTraffic);
-  CPPUNIT_TEST(SignsOfColdActAtOnce);
+  CPPUNIT_TEST(ShedRestartAndFailuresResetAtOnce);
   CPPUNIT_TEST(NoiseIsNotAReturnToCold);
   CPPUNIT_TEST(SlowUpstreamDoesNotGrow);
-  CPPUNIT_TEST(UpstreamThatIsSlowerForGoodIsAcceptedInTheEnd);
+  CPPUNIT_TEST(PermanentlySlowerUpstreamRampsUpAgain);
   CPPUNIT_TEST(WorkStartedBeforeAChangeIsNotCounted);
   CPPUNIT_TEST(ChangedServiceNeverRaisesTheLimit);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against a limit that grows faster than the design allows (I3).
+  // Guards against a limit that grows by more than one step a second.
   void GrowthIsBounded()
   {
     for (const std::uint32_t slots : {1U, 4U, 64U}) {
@@ -76,7 +77,7 @@
       LoadLimit last = driver.mRamp.Limit();
       CPPUNIT_ASSERT(last == ColdLoadLimit(driver.mSpec));
       TimePoint steppedAt = driver.mNow;
-      for (int i = 0; i < kEnough * 3; ++i) {
+      for (int i = 0; i < kRampCompletions * 3; ++i) {
         driver.Run(1, Milliseconds(20));
         const LoadLimit limit = driver.mRamp.Limit();
         if (limit != last) {
@@ -92,11 +93,11 @@
     }
   }
 
-  // Guards against full load on an upstream that became cold without notice (I3).
+  // Guards against full load on an upstream that became cold without reporting it.
   void UnannouncedReturnToColdIsSeenInEightCompletions()
   {
     RampDriver driver;
-    driver.Run(kEnough, Milliseconds(20));
+    driver.Run(kRampCompletions, Milliseconds(20));
     CPPUNIT_ASSERT(driver.mRamp.IsComplete());
     for (int i = 0; i < 7; ++i) {
       CPPUNIT_ASSERT(driver.mRamp.IsComplete());
@@ -106,15 +107,15 @@
     driver.Complete(Milliseconds(100));
     CPPUNIT_ASSERT(driver.mRamp.Limit() == driver.mRamp.Cold());
     CPPUNIT_ASSERT(driver.mRamp.LastReason() == ColdReason::LatencyStep);
-    driver.Run(kEnough, Milliseconds(20));
+    driver.Run(kRampCompletions, Milliseconds(20));
     CPPUNIT_ASSERT(driver.mRamp.IsComplete());
   }
 
-  // Guards against the baseline following a step so fast that the step is not seen.
+  // Guards against a baseline that follows a step so fast that the step is not detected.
   void ReturnToColdIsSeenInSparseTraffic()
   {
     RampDriver driver;
-    driver.Run(kEnough, Milliseconds(20));
+    driver.Run(kRampCompletions, Milliseconds(20));
     for (int i = 0; i < 8; ++i) {
       driver.mNow += std::chrono::seconds(5);
       driver.Complete(Milliseconds(100));
@@ -122,18 +123,19 @@
     CPPUNIT_ASSERT(driver.mRamp.LastReason() == ColdReason::LatencyStep);
   }
 
-  // Guards against waiting for a window before acting on certain signs.
-  void SignsOfColdActAtOnce()
+  // Guards against a limit that stays high after the upstream shed load, restarted or failed eight
+  // times in a row.
+  void ShedRestartAndFailuresResetAtOnce()
   {
     RampDriver driver;
-    driver.Run(kEnough, Milliseconds(20));
+    driver.Run(kRampCompletions, Milliseconds(20));
     CPPUNIT_ASSERT(driver.Complete(Milliseconds(1), Result::Shed) == ColdReason::Shed);
     CPPUNIT_ASSERT(driver.mRamp.Limit() == driver.mRamp.Cold());
-    driver.Run(kEnough, Milliseconds(20));
+    driver.Run(kRampCompletions, Milliseconds(20));
     CPPUNIT_ASSERT(driver.mRamp.IsComplete());
-    driver.mRamp.FallBack(driver.mNow, ColdReason::Restarted);
+    driver.mRamp.ResetToCold(driver.mNow, ColdReason::Restarted);
     CPPUNIT_ASSERT(driver.mRamp.Limit() == driver.mRamp.Cold());
-    driver.Run(kEnough, Milliseconds(20));
+    driver.Run(kRampCompletions, Milliseconds(20));
     std::optional<ColdReason> reason;
     for (int i = 0; i < 8; ++i) {
       CPPUNIT_ASSERT(!reason);
@@ -142,13 +144,13 @@
     CPPUNIT_ASSERT(reason == ColdReason::Failures);
   }
 
-  // Guards against losing a warm upstream because of single slow or failed requests, cancelled
-  // requests, scheduling delays below a millisecond, or a slow change.
+  // Guards against a reset to cold because of single slow or failed requests, cancelled requests,
+  // scheduling delays of upstreams that answer within a millisecond, or a gradual change.
   void NoiseIsNotAReturnToCold()
   {
     RampDriver driver;
-    driver.Run(kEnough, Milliseconds(20));
-    for (int i = 0; i < kEnough; ++i) {
+    driver.Run(kRampCompletions, Milliseconds(20));
+    for (int i = 0; i < kRampCompletions; ++i) {
       CPPUNIT_ASSERT(!driver.Run(4, Milliseconds(20)));
       CPPUNIT_ASSERT(!driver.Complete(Milliseconds(900)));
       CPPUNIT_ASSERT(!driver.Complete(Milliseconds(20), Result::Failed));
@@ -159,17 +161,17 @@
     }
     CPPUNIT_ASSERT(driver.mRamp.IsComplete());
     RampDriver fast;
-    fast.Run(kEnough, Milliseconds(0));
-    CPPUNIT_ASSERT(!fast.Run(kEnough, Milliseconds(3)));
+    fast.Run(kRampCompletions, Milliseconds(0));
+    CPPUNIT_ASSERT(!fast.Run(kRampCompletions, Milliseconds(3)));
   }
 
-  // Guards against a cold upstream being given more load while it is still slow (I3).
+  // Guards against a cold upstream being given more load while it is still slow.
   void SlowUpstreamDoesNotGrow()
   {
     for (const int factor : {3, 5, 10, 100}) {
       RampDriver driver;
-      driver.Run(kEnough, Milliseconds(20));
-      driver.mRamp.FallBack(driver.mNow, ColdReason::Restarted);
+      driver.Run(kRampCompletions, Milliseconds(20));
+      driver.mRamp.ResetToCold(driver.mNow, ColdReason::Restarted);
       const TimePoint start = driver.mNow;
       while (driver.mNow - start < std::chrono::seconds(60)) {
         driver.Run(1, Milliseconds(20 * factor));
@@ -178,37 +180,37 @@
     }
   }
 
-  // Guards against an upstream with a slower release staying at its cold limit for ever.
-  void UpstreamThatIsSlowerForGoodIsAcceptedInTheEnd()
+  // Guards against an upstream that a new release made slower staying at its cold limit for ever.
+  void PermanentlySlowerUpstreamRampsUpAgain()
   {
     RampDriver driver;
-    driver.Run(kEnough, Milliseconds(20));
-    CPPUNIT_ASSERT(driver.Run(kEnough, Milliseconds(200)) == ColdReason::LatencyStep);
+    driver.Run(kRampCompletions, Milliseconds(20));
+    CPPUNIT_ASSERT(driver.Run(kRampCompletions, Milliseconds(200)) == ColdReason::LatencyStep);
     constexpr int kTenMinutes = 10 * 60 * 20;
     CPPUNIT_ASSERT(!driver.Run(kTenMinutes, Milliseconds(200)));
     CPPUNIT_ASSERT(driver.mRamp.IsComplete());
   }
 
-  // Guards against answers of work from before a return to cold raising the limit again.
+  // Guards against a limit raised by completions of work that started before the reset to cold.
   void WorkStartedBeforeAChangeIsNotCounted()
   {
     RampDriver driver;
-    driver.Run(kEnough, Milliseconds(1500));
-    driver.mRamp.FallBack(driver.mNow, ColdReason::Restarted);
+    driver.Run(kRampCompletions, Milliseconds(1500));
+    driver.mRamp.ResetToCold(driver.mNow, ColdReason::Restarted);
     const TimePoint start = driver.mNow;
     while (driver.mNow - start < Milliseconds(1500)) {
       driver.Complete(Milliseconds(1500));
       CPPUNIT_ASSERT(driver.mRamp.Limit() == driver.mRamp.Cold());
     }
-    driver.Run(kEnough * 2, Milliseconds(1500));
+    driver.Run(kRampCompletions * 2, Milliseconds(1500));
     CPPUNIT_ASSERT(driver.mRamp.IsComplete());
   }
 
-  // Guards against a publication that lifts a cold upstream to its full limit.
+  // Guards against a changed service declaration that raises a cold upstream to its full limit.
   void ChangedServiceNeverRaisesTheLimit()
   {
     RampDriver driver;
-    driver.Run(kEnough, Milliseconds(20));
+    driver.Run(kRampCompletions, Milliseconds(20));
     ServiceSpec larger = driver.mSpec;
     larger.mSlots = 8;
     larger.mConnections = 4000;
--- a/unittests/Agent/FlowCoreTest.cpp
+++ b/unittests/Agent/FlowCoreTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-class OpenAdmission : public FlowAdmission
+class AlwaysAdmit : public FlowAdmission
 {
 public:
   std::optional<Refusal> TryOpenFlow(TimePoint) override { return std::nullopt; }
@@ -30,7 +30,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr std::size_t kCapacity = 100;
-  OpenAdmission mAdmission;
+  AlwaysAdmit mAdmission;
   std::unique_ptr<FlowCore> mCore;
   Endpoint mService = Endpoint::Parse("127.0.2.1:80").value();
   Endpoint mBalancer = Endpoint::Parse("127.0.0.9:9").value();
@@ -121,7 +121,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{50}, mCore->Flows().Size());
   }
 
-  // Guards against delivery of another service's packets after an address was reused (I2).
+  // Guards against delivery of another service's packets after an address was reused.
   void ForeignServiceIsDropped()
   {
     CPPUNIT_ASSERT(Send(1, CallerDatagramKind::Open, 0, 4).empty());
--- a/unittests/Agent/FlowHistory.cpp
+++ b/unittests/Agent/FlowHistory.cpp
@@ -12,7 +12,7 @@
 struct Session
 {
   std::optional<FlowEvent> mHolder;
-  bool mOver = false;
+  bool mEnded = false;
 };
 
 class Checker
@@ -21,49 +21,49 @@
   std::vector<std::string> Run(const std::vector<FlowEvent>& aEvents)
   {
     for (const FlowEvent& event : aEvents) {
-      Take(event);
+      Check(event);
     }
     return std::move(mViolations);
   }
 
 private:
-  void Take(const FlowEvent& aEvent)
+  void Check(const FlowEvent& aEvent)
   {
     Session& session = mSessions[aEvent.mSession];
     switch (aEvent.mKind) {
       case FlowEventKind::Delivered:
-        TakeDelivery(aEvent, session);
+        CheckDelivery(aEvent, session);
         return;
       case FlowEventKind::Established:
         session.mHolder = aEvent;
-        session.mOver = session.mOver || mOutNow.contains(aEvent.mDataCentre);
+        session.mEnded = session.mEnded || mOutOfService.contains(aEvent.mDataCentre);
         return;
       case FlowEventKind::Refused:
-      case FlowEventKind::Silent:
-        TakeBreak(aEvent, session);
+      case FlowEventKind::NoReply:
+        CheckBreak(aEvent, session);
         return;
       case FlowEventKind::Ended:
-        session.mOver = true;
+        session.mEnded = true;
         return;
       case FlowEventKind::DataCentreOut:
-        GiveUp(aEvent.mDataCentre);
-        mOutNow.insert(aEvent.mDataCentre);
+        EndSessionsIn(aEvent.mDataCentre);
+        mOutOfService.insert(aEvent.mDataCentre);
         return;
       case FlowEventKind::DataCentreIn:
-        mOutNow.erase(aEvent.mDataCentre);
+        mOutOfService.erase(aEvent.mDataCentre);
         return;
       case FlowEventKind::Applied:
-        mOut[{aEvent.mNode, aEvent.mDataCentre}] = aEvent.mPort != 0;
+        mOutByBalancer[{aEvent.mNode, aEvent.mDataCentre}] = aEvent.mPort != 0;
         return;
       case FlowEventKind::Forwarded:
-        if (mOut[{aEvent.mNode, aEvent.mDataCentre}]) {
+        if (mOutByBalancer[{aEvent.mNode, aEvent.mDataCentre}]) {
           Report(aEvent, "forwarded to a data centre that is out: " + aEvent.mDataCentre);
         }
         return;
     }
   }
 
-  void TakeDelivery(const FlowEvent& aEvent, Session& aSession)
+  void CheckDelivery(const FlowEvent& aEvent, Session& aSession)
   {
     // A session that no upstream has answered may be opened again at the service that took over the
     // address; an established one may not.
@@ -71,7 +71,7 @@
       Report(aEvent,
              "delivered to services " + aSession.mHolder->mService + " and " + aEvent.mService);
     }
-    if (aSession.mHolder && !aSession.mOver &&
+    if (aSession.mHolder && !aSession.mEnded &&
         (aSession.mHolder->mNode != aEvent.mNode || aSession.mHolder->mPort != aEvent.mPort)) {
       Report(aEvent, "held by " + aSession.mHolder->mNode + ":" +
                        std::to_string(aSession.mHolder->mPort) + ", delivered to " + aEvent.mNode +
@@ -79,21 +79,21 @@
     }
   }
 
-  void TakeBreak(const FlowEvent& aEvent, Session& aSession)
+  void CheckBreak(const FlowEvent& aEvent, Session& aSession)
   {
-    if (aSession.mHolder && !aSession.mOver) {
-      Report(aEvent, "established session broke: " + (aEvent.mKind == FlowEventKind::Silent
+    if (aSession.mHolder && !aSession.mEnded) {
+      Report(aEvent, "established session broke: " + (aEvent.mKind == FlowEventKind::NoReply
                                                         ? std::string("silent")
                                                         : std::string(ToString(aEvent.mReason))));
-      aSession.mOver = true;
+      aSession.mEnded = true;
     }
   }
 
-  void GiveUp(const std::string& aDataCentre)
+  void EndSessionsIn(const std::string& aDataCentre)
   {
     for (auto& [id, session] : mSessions) {
-      session.mOver =
-        session.mOver || (session.mHolder && session.mHolder->mDataCentre == aDataCentre);
+      session.mEnded =
+        session.mEnded || (session.mHolder && session.mHolder->mDataCentre == aDataCentre);
     }
   }
 
@@ -103,8 +103,9 @@
   }
 
   std::map<std::uint64_t, Session> mSessions;
-  std::map<std::pair<std::string, std::string>, bool> mOut; ///< As applied by balancers.
-  std::set<std::string> mOutNow;
+  /// Whether a balancer has applied that a data centre is out of service.
+  std::map<std::pair<std::string, std::string>, bool> mOutByBalancer;
+  std::set<std::string> mOutOfService;
   std::vector<std::string> mViolations;
 };
 
--- a/unittests/Agent/FlowHistory.h
+++ b/unittests/Agent/FlowHistory.h
@@ -1,4 +1,4 @@
-// History of flows in a simulated system, and its checker.
+// History of flows in a simulated system, and a checker for it.
 #pragma once
 
 #include "dandelionslip/Model/RefusalReason.h"
@@ -14,11 +14,11 @@
   Delivered,     ///< mNode (upstream) got a packet of the session on mPort.
   Established,   ///< The caller got the first reply, from mNode and mPort.
   Refused,       ///< The caller got a refusal with mReason.
-  Silent,        ///< The caller got no reply at the end although nothing changes any more.
+  NoReply,       ///< The caller of an established session got no reply after the last change.
   Ended,         ///< The caller closed the session.
-  DataCentreOut, ///< Operators took mDataCentre out.
-  DataCentreIn,  ///< Operators brought mDataCentre back.
-  Applied,       ///< Balancer mNode applied that mDataCentre is out (mPort 1) or in (mPort 0).
+  DataCentreOut, ///< Operators took mDataCentre out of service.
+  DataCentreIn,  ///< Operators put mDataCentre back into service.
+  Applied,       ///< Balancer mNode applied: mDataCentre is out of service if mPort is 1, in if 0.
   Forwarded,     ///< Balancer mNode forwarded a packet to mDataCentre.
 };
 
@@ -34,9 +34,9 @@
   RefusalReason mReason = RefusalReason::UnknownFlow;
 };
 
-/// Checks that established sessions stay at their upstream and port while their data centre is in,
-/// that no session reaches two services, and that balancers forward to no data centre that they
-/// know to be out. Returns the violations.
+/// Checks that established sessions stay at their upstream and port while their data centre is in
+/// service, that no session reaches two services, and that balancers forward nothing to a data
+/// centre that they know to be out of service. Returns the violations.
 std::vector<std::string> CheckFlowHistory(const std::vector<FlowEvent>& aEvents);
 
 } // namespace dandelionslip
--- a/unittests/Agent/FlowPropertyTest.cpp
+++ b/unittests/Agent/FlowPropertyTest.cpp
@@ -25,7 +25,7 @@
   CPPUNIT_TEST(SeedsThatFailedBefore);
   CPPUNIT_TEST(OtherFlowsSurviveDataCentreOut);
   CPPUNIT_TEST(ReusedAddressNeverMixesServices);
-  CPPUNIT_TEST(CheckerFailsWithoutHandoff);
+  CPPUNIT_TEST(CheckerFailsWithoutTransfer);
   CPPUNIT_TEST(CheckerFailsWithoutResumption);
   CPPUNIT_TEST_SUITE_END();
 
@@ -68,7 +68,7 @@
     return text;
   }
 
-  // Guards against established flows that break or move during planned changes (I1, I2).
+  // Guards against established flows that break or move during planned changes.
   void FlowsSurviveMixedPlannedChanges()
   {
     std::size_t transfers = 0;
@@ -86,13 +86,13 @@
       redirects += system->RedirectedFlows();
       resumptions += system->Resumptions();
     }
-    // Without these the changes would not have been exercised.
+    // Otherwise the changes would not have been exercised.
     CPPUNIT_ASSERT(transfers > SeedCount());
     CPPUNIT_ASSERT(redirects > SeedCount());
     CPPUNIT_ASSERT(resumptions > SeedCount());
   }
 
-  // Guards against agents that stop at the same time and wait for each other as custodians (123).
+  // Guards against agents that stop at the same time and wait for each other as backups (seed 123).
   void SeedsThatFailedBefore()
   {
     for (const std::uint64_t seed : {std::uint64_t{123}}) {
@@ -105,8 +105,8 @@
     }
   }
 
-  // Guards against packets to a data centre that a balancer knows to be out, and against flows of
-  // other data centres that break while one leaves and returns (I4).
+  // Guards against packets to a data centre that a balancer knows to be out of service, and against
+  // flows in other data centres that break while one is taken out and put back.
   void OtherFlowsSurviveDataCentreOut()
   {
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
@@ -124,9 +124,9 @@
     }
   }
 
-  // Guards against packets that reach another service when it takes over an address (I2). Sessions
-  // that were not established while the balancers' configurations differed are not judged: their
-  // opening packets may rightly reach both services.
+  // Guards against packets that reach another service when it takes over an address. Sessions that
+  // were opened but not yet established while the balancers' configurations differed are not
+  // checked: their opening packets may correctly reach both services.
   void ReusedAddressNeverMixesServices()
   {
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
@@ -159,10 +159,10 @@
   }
 
   // Guards against a checker that accepts every history.
-  void CheckerFailsWithoutHandoff()
+  void CheckerFailsWithoutTransfer()
   {
     FlowSystemFaults faults;
-    faults.mHandoffDisabled = true;
+    faults.mTransferDisabled = true;
     const auto system = MakeSystem(1, faults);
     Churn(*system);
     CPPUNIT_ASSERT(!CheckFlowHistory(system->History()).empty());
--- a/unittests/Agent/FlowSystem.cpp
+++ b/unittests/Agent/FlowSystem.cpp
@@ -1,4 +1,4 @@
-// The message pump, the control fake, callers and upstreams of the simulated system.
+// The network, a fake of control, and the callers and upstreams of the simulated system.
 #include "FlowSystem.h"
 
 #include "dandelionslip/Net/CallerDatagram.h"
@@ -39,10 +39,10 @@
   mTasks.emplace(std::pair(mNow + aDelay, ++mSequence), std::move(aTask));
 }
 
-std::chrono::microseconds FlowSystem::Delay(Milliseconds aMost)
+std::chrono::microseconds FlowSystem::RandomDelay(Milliseconds aLongest)
 {
   return std::chrono::microseconds(
-    100 + mRandom.Below(static_cast<std::uint64_t>(std::chrono::microseconds(aMost).count())));
+    100 + mRandom.Below(static_cast<std::uint64_t>(std::chrono::microseconds(aLongest).count())));
 }
 
 void FlowSystem::Run(Milliseconds aTime)
@@ -68,7 +68,7 @@
                            1,           MemberState::Serving,           ""};
   ++mView.mRevision;
   Balancer& added = *(mBalancers[aName] = std::move(balancer));
-  GiveState(added);
+  ApplyState(added);
   PollBalancer(added);
 }
 
@@ -112,7 +112,7 @@
     caller->mService = Endpoint::Parse(aAddress).value();
     caller->mSession = mNextSession++;
     Caller& added = *(mCallers[caller->mEndpoint] = std::move(caller));
-    After(Delay(Milliseconds(3'000)), [this, &added] { StepCaller(added); });
+    After(RandomDelay(Milliseconds(3'000)), [this, &added] { StepCaller(added); });
   }
 }
 
@@ -200,7 +200,7 @@
   ++mView.mRevision;
 }
 
-void FlowSystem::GiveState(Balancer& aBalancer)
+void FlowSystem::ApplyState(Balancer& aBalancer)
 {
   AnnouncementAnswer answer;
   answer.mConfirmed = true;
@@ -222,12 +222,12 @@
 void FlowSystem::PollBalancer(Balancer& aBalancer)
 {
   if (aBalancer.mAlive) {
-    GiveState(aBalancer);
+    ApplyState(aBalancer);
   }
-  After(Delay(Milliseconds(700)), [this, &aBalancer] { PollBalancer(aBalancer); });
+  After(RandomDelay(Milliseconds(700)), [this, &aBalancer] { PollBalancer(aBalancer); });
 }
 
-void FlowSystem::GiveState(Agent& aAgent)
+void FlowSystem::ApplyState(Agent& aAgent)
 {
   if (!aAgent.mCore) {
     return;
@@ -250,8 +250,8 @@
 
 void FlowSystem::PollAgent(Agent& aAgent)
 {
-  GiveState(aAgent);
-  After(Delay(Milliseconds(700)), [this, &aAgent] { PollAgent(aAgent); });
+  ApplyState(aAgent);
+  After(RandomDelay(Milliseconds(700)), [this, &aAgent] { PollAgent(aAgent); });
 }
 
 FlowSystem::Agent* FlowSystem::AgentAt(const Endpoint& aEndpoint)
@@ -283,7 +283,7 @@
     } else if (auto* message = std::get_if<SendPeerMessage>(&action)) {
       Perform(aAgent, std::move(*message));
     } else if (std::holds_alternative<FetchView>(action)) {
-      After(Delay(Milliseconds(20)), [this, &aAgent] { GiveState(aAgent); });
+      After(RandomDelay(Milliseconds(20)), [this, &aAgent] { ApplyState(aAgent); });
     } else if (auto* done = std::get_if<HandoverDone>(&action)) {
       After(std::chrono::microseconds(0),
             [this, &aAgent, custodian = done->mCustodian] { StopProcess(aAgent, custodian); });
@@ -303,22 +303,22 @@
   if (auto* answer = std::get_if<TransferAnswer>(&aAction.mMessage)) {
     for (BucketTransfer& bucket : answer->mBuckets) {
       mTransfersWithFlows += bucket.mFlows.empty() ? 0 : 1;
-      if (mFaults.mHandoffDisabled) {
+      if (mFaults.mTransferDisabled) {
         bucket = {bucket.mBucket, TransferStatus::Complete, "", {}};
       }
     }
   }
-  if (mFaults.mHandoffDisabled && std::holds_alternative<DirectoryUpdate>(aAction.mMessage)) {
+  if (mFaults.mTransferDisabled && std::holds_alternative<DirectoryUpdate>(aAction.mMessage)) {
     return;
   }
   if (auto* resumed = std::get_if<ResumeAnswer>(&aAction.mMessage);
       resumed != nullptr && resumed->mState && mFaults.mResumptionDisabled) {
     resumed->mState->mFlows.clear();
   }
-  if (Lost(mFaults.mPeerLoss)) {
+  if (IsLost(mFaults.mPeerLoss)) {
     return;
   }
-  After(Delay(mFaults.mPeerDelay),
+  After(RandomDelay(mFaults.mPeerDelay),
         [this, from = aAgent.mName, to = aAction.mTo, bytes = EncodePeerMessage(aAction.mMessage)] {
           const auto receiver = mAgents.find(to);
           const auto message = DecodePeerMessage(bytes, from);
@@ -347,22 +347,23 @@
   const Bytes body(text.begin(), text.end());
   Bytes reply =
     EncodeCallerDatagram({CallerDatagramKind::Data, datagram.mSessionTag, body, {}, {}});
-  After(Delay(Milliseconds(2)), [this, &aAgent, flow = aAction.mFlow, reply = std::move(reply)] {
-    if (aAgent.mCore && aAgent.mPorts.contains(flow)) {
-      FlowActions actions;
-      aAgent.mCore->OnUpstreamDatagram(flow, reply, mNow, actions);
-      Perform(aAgent, std::move(actions));
-    }
-  });
+  After(RandomDelay(Milliseconds(2)),
+        [this, &aAgent, flow = aAction.mFlow, reply = std::move(reply)] {
+          if (aAgent.mCore && aAgent.mPorts.contains(flow)) {
+            FlowActions actions;
+            aAgent.mCore->OnUpstreamDatagram(flow, reply, mNow, actions);
+            Perform(aAgent, std::move(actions));
+          }
+        });
 }
 
 void FlowSystem::SendToEndpoint(const Endpoint& aFrom, const Endpoint& aTo,
                                 const DatagramHeader& aHeader, const Bytes& aPayload)
 {
-  if (Lost(mFaults.mDatagramLoss)) {
+  if (IsLost(mFaults.mDatagramLoss)) {
     return;
   }
-  After(Delay(Milliseconds(5)), [this, aFrom, aTo, aHeader, aPayload] {
+  After(RandomDelay(Milliseconds(5)), [this, aFrom, aTo, aHeader, aPayload] {
     if (Agent* agent = AgentAt(aTo); agent != nullptr && agent->mCore) {
       FlowActions actions;
       agent->mCore->OnForward(aHeader, aPayload, aFrom, mNow, actions);
@@ -371,7 +372,7 @@
     }
     for (const auto& [name, balancer] : mBalancers) {
       if (balancer->mEndpoint == aTo && balancer->mAlive) {
-        ToCaller(aHeader.mCaller, aHeader.mService, aPayload);
+        DeliverToCaller(aHeader.mCaller, aHeader.mService, aPayload);
       }
     }
   });
@@ -380,7 +381,7 @@
 void FlowSystem::StepCaller(Caller& aCaller)
 {
   SendFromCaller(aCaller);
-  After(std::chrono::milliseconds(100) + Delay(Milliseconds(200)),
+  After(std::chrono::milliseconds(100) + RandomDelay(Milliseconds(200)),
         [this, &aCaller] { StepCaller(aCaller); });
 }
 
@@ -412,7 +413,8 @@
   }
 }
 
-void FlowSystem::ToCaller(const Endpoint& aCaller, const Endpoint& aService, const Bytes& aPayload)
+void FlowSystem::DeliverToCaller(const Endpoint& aCaller, const Endpoint& aService,
+                                 const Bytes& aPayload)
 {
   Caller& caller = *mCallers.at(aCaller);
   const auto datagram = DecodeCallerDatagram(aPayload).value();
@@ -464,15 +466,16 @@
   member.mState = MemberState::Restarting;
   member.mCustodian = aCustodian;
   ++mView.mRevision;
-  After(std::chrono::milliseconds(300) + Delay(Milliseconds(2'000)), [this, &aAgent, aCustodian] {
-    ++aAgent.mIncarnation;
-    aAgent.mResuming = true;
-    StartProcess(aAgent);
-    FlowActions actions;
-    aAgent.mCore->BeginResumption(aCustodian, mNow, actions);
-    aAgent.mCore->OnState(mView, mConfiguration, mNow, actions);
-    Perform(aAgent, std::move(actions));
-  });
+  After(std::chrono::milliseconds(300) + RandomDelay(Milliseconds(2'000)),
+        [this, &aAgent, aCustodian] {
+          ++aAgent.mIncarnation;
+          aAgent.mResuming = true;
+          StartProcess(aAgent);
+          FlowActions actions;
+          aAgent.mCore->BeginResumption(aCustodian, mNow, actions);
+          aAgent.mCore->OnState(mView, mConfiguration, mNow, actions);
+          Perform(aAgent, std::move(actions));
+        });
 }
 
 void FlowSystem::RestartBalancer(const std::string& aBalancer)
@@ -488,7 +491,7 @@
     After(std::chrono::milliseconds(500), [this, &balancer] {
       balancer.mAlive = true;
       SetDraining(balancer.mName, false);
-      GiveState(balancer);
+      ApplyState(balancer);
     });
   });
 }
@@ -538,7 +541,7 @@
   Run(Milliseconds(3'000));
   for (const auto& [endpoint, caller] : mCallers) {
     if (caller->mEstablished && caller->mLastReply < since) {
-      Record({FlowEventKind::Silent, caller->mSession, "", "", "", 0, {}});
+      Record({FlowEventKind::NoReply, caller->mSession, "", "", "", 0, {}});
     }
   }
 }
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSystem.h
@@ -1,4 +1,4 @@
-// Several balancer and agent cores in one process, connected by a message pump with delays.
+// Several balancer and agent cores in one process, connected by a simulated network.
 #pragma once
 
 #include "FlowHistory.h"
@@ -19,8 +19,9 @@
   double mDatagramLoss = 0.01;
   double mPeerLoss = 0.05;
   Milliseconds mPeerDelay{50};
-  bool mHandoffDisabled = false;    ///< Directories arrive empty; shows that the checker can fail.
-  bool mResumptionDisabled = false; ///< Handed-over flows do not come back.
+  // Faults that a planned change must not have; they show that the checker can fail.
+  bool mTransferDisabled = false;   ///< Transferred directories arrive empty.
+  bool mResumptionDisabled = false; ///< Resumed agents get no flows back.
 };
 
 /// Admits up to a number of flows and refuses some at random, so that redirects happen.
@@ -63,7 +64,7 @@
                 const std::string& aDataCentre);
   void AddCallers(const std::string& aAddress, std::size_t aCount);
 
-  /// Declares a service or replaces its addresses; a new id when aRedeclare.
+  /// Declares a service or replaces its addresses. aRedeclare gives it a new id.
   void Publish(const std::string& aService, std::vector<std::string> aAddresses,
                bool aRedeclare = false);
   void SetDataCentreOut(const std::string& aDataCentre, bool aOut);
@@ -77,7 +78,8 @@
 
   void Run(Milliseconds aTime);
 
-  /// Lets everything settle and records established sessions that get no reply.
+  /// Waits until planned changes have finished, then records established sessions that get no
+  /// reply.
   void Settle();
 
   bool AllAcknowledged() const;
@@ -124,8 +126,8 @@
   using Task = std::function<void()>;
 
   void After(std::chrono::microseconds aDelay, Task aTask);
-  std::chrono::microseconds Delay(Milliseconds aMost);
-  bool Lost(double aShare) { return mRandom.Unit() < aShare; }
+  std::chrono::microseconds RandomDelay(Milliseconds aLongest);
+  bool IsLost(double aShare) { return mRandom.Unit() < aShare; }
   void Record(FlowEvent aEvent) { mHistory.push_back(std::move(aEvent)); }
 
   void StartProcess(Agent& aAgent);
@@ -134,8 +136,8 @@
   void PollBalancer(Balancer& aBalancer);
   void PollAgent(Agent& aAgent);
   void TickAgent(Agent& aAgent);
-  void GiveState(Agent& aAgent);
-  void GiveState(Balancer& aBalancer);
+  void ApplyState(Agent& aAgent);
+  void ApplyState(Balancer& aBalancer);
   void Perform(Agent& aAgent, FlowActions aActions);
   void Perform(Agent& aAgent, SendPeerMessage aAction);
   void Deliver(Agent& aAgent, const SendToUpstream& aAction);
@@ -143,7 +145,7 @@
                       const Bytes& aPayload);
   void StepCaller(Caller& aCaller);
   void SendFromCaller(Caller& aCaller);
-  void ToCaller(const Endpoint& aCaller, const Endpoint& aService, const Bytes& aPayload);
+  void DeliverToCaller(const Endpoint& aCaller, const Endpoint& aService, const Bytes& aPayload);
   void StopProcess(Agent& aAgent, const std::string& aCustodian);
   Agent* AgentAt(const Endpoint& aEndpoint);
 
--- a/unittests/Agent/UpstreamAdmissionTest.cpp
+++ b/unittests/Agent/UpstreamAdmissionTest.cpp
@@ -1,4 +1,4 @@
-// Tests of admission beside the upstream.
+// Tests of admission to the agent's upstream.
 #include "dandelionslip/Agent/UpstreamAdmission.h"
 #include "dandelionslip/Support/Random.h"
 
@@ -35,8 +35,8 @@
   return std::min(aLimit, aFull);
 }
 
-// Random events on an admission, with an independent account of what the upstream holds and of the
-// bound on it since it last became cold.
+// Applies random events to an admission. Counts independently the work that the upstream has, and
+// bounds it by the time since the last reset to cold.
 class RandomInterleaving
 {
 public:
@@ -107,14 +107,14 @@
   CPPUNIT_TEST(HealthyReportsDoNotHideAReturnToCold);
   CPPUNIT_TEST(BadReportsLowerTheLimit);
   CPPUNIT_TEST(ColdUpstreamTakesFlowsSlowly);
-  CPPUNIT_TEST(ReturnOfAllCallersIsPaced);
+  CPPUNIT_TEST(SimultaneousReconnectsAreRateLimited);
   CPPUNIT_TEST(EstablishedFlowsSurviveAReturnToCold);
   CPPUNIT_TEST(DrainingTakesNoNewWork);
   CPPUNIT_TEST(RefusalsNameTheBound);
   CPPUNIT_TEST(StateIsHandedOver);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against more work in flight than the ramp permits, whatever the order of events (I3).
+  // Guards against more work in flight than the ramp permits, whatever the order of events.
   void LoadNeverExceedsTheBound()
   {
     std::uint32_t peakSlots = 0;
@@ -127,12 +127,13 @@
       peakSlots = std::max(peakSlots, run.mPeakSlots);
       peakFlows = std::max(peakFlows, run.mPeakFlows);
     }
-    // The bound means nothing if the runs never get near it.
+    // Otherwise the runs would not come near the bound.
     CPPUNIT_ASSERT(peakSlots > 4);
     CPPUNIT_ASSERT(peakFlows > 20);
   }
 
-  // Guards against endpoints that attract load: idle, healthy, stuck, late or invalid reports.
+  // Guards against endpoint reports that raise the load: idle, healthy, stuck, late or invalid
+  // ones.
   void MisleadingEndpointsNeverRaiseTheLimit()
   {
     constexpr double kInfinity = std::numeric_limits<double>::infinity();
@@ -157,7 +158,7 @@
     }
   }
 
-  // Guards against trusting endpoints that report that all is well after a restart.
+  // Guards against endpoint reports of low load and good health that hide a restart.
   void HealthyReportsDoNotHideAReturnToCold()
   {
     TimePoint now = kStart;
@@ -174,8 +175,8 @@
     CPPUNIT_ASSERT_EQUAL(50U, admission.UpdateWeight(now));
   }
 
-  // Guards against warnings of the endpoints being ignored, or lasting after the endpoint is
-  // silent.
+  // Guards against reports of bad health or high load being ignored, or having an effect after
+  // their lifetime.
   void BadReportsLowerTheLimit()
   {
     TimePoint now = kStart;
@@ -193,7 +194,7 @@
     CPPUNIT_ASSERT(admission.Limit(now).mConnections < 1750);
   }
 
-  // Guards against a cold upstream being given flows at the rate of a warm one (I3).
+  // Guards against a cold upstream being given flows at the rate of a warm one.
   void ColdUpstreamTakesFlowsSlowly()
   {
     UpstreamAdmission admission(ServiceSpec{}, kStart);
@@ -201,12 +202,12 @@
     for (int millisecond = 0; millisecond < 1000; ++millisecond) {
       admitted += admission.TryOpenFlow(kStart + Milliseconds(millisecond)) ? 0 : 1;
     }
-    // 5% of 500 a second, and a burst of a tenth of that.
+    // 5% of 500 a second, plus a burst of a tenth of that.
     CPPUNIT_ASSERT(admitted >= 25 && admitted <= 28);
   }
 
-  // Guards against an overload when all callers return together after a holiday.
-  void ReturnOfAllCallersIsPaced()
+  // Guards against overload when all callers reconnect at the same time.
+  void SimultaneousReconnectsAreRateLimited()
   {
     TimePoint now = kStart;
     UpstreamAdmission admission(ServiceSpec{}, now);
@@ -214,7 +215,7 @@
     constexpr std::uint32_t kEstablished = 100;
     constexpr std::uint32_t kCallers = 1900;
     for (std::uint32_t i = 0; i < kEstablished; ++i) {
-      admission.AdoptFlow();
+      admission.AddRestoredFlow();
     }
     const TimePoint begin = now;
     std::multimap<TimePoint, std::uint32_t> attempts;
@@ -235,7 +236,7 @@
         ++admittedBySecond[std::chrono::duration_cast<seconds>(time - begin).count()];
       }
     }
-    // 500 a second and a burst of 50.
+    // 500 a second plus a burst of 50.
     for (const auto& [second, admitted] : admittedBySecond) {
       CPPUNIT_ASSERT(admitted <= 550);
     }
@@ -245,14 +246,14 @@
   }
 
   // Guards against breaking established flows when the limit falls, and against a service without
-  // requests that could then never ramp up again (I1).
+  // requests that could then never ramp up again.
   void EstablishedFlowsSurviveAReturnToCold()
   {
     TimePoint now = kStart;
     UpstreamAdmission admission(ServiceSpec{}, now);
     MakeWarm(admission, now);
     for (int i = 0; i < 1500; ++i) {
-      admission.AdoptFlow();
+      admission.AddRestoredFlow();
     }
     admission.ObserveRestart(now);
     CPPUNIT_ASSERT_EQUAL(1500U, admission.ConnectionsInUse());
@@ -263,7 +264,7 @@
     CPPUNIT_ASSERT(!admission.TryOpenFlow(now));
   }
 
-  // Guards against new work on a leaving upstream (I8) and lost accounting of its running work.
+  // Guards against new work on a draining upstream, and against losing count of its running work.
   void DrainingTakesNoNewWork()
   {
     TimePoint now = kStart;
@@ -281,7 +282,7 @@
     CPPUNIT_ASSERT(!admission.TryStartSlot(now));
   }
 
-  // Guards against refusals that tell operators and callers the wrong bound.
+  // Guards against refusals that name the wrong limit.
   void RefusalsNameTheBound()
   {
     TimePoint now = kStart;
@@ -297,10 +298,10 @@
     CPPUNIT_ASSERT(first->mReason == RefusalReason::SlotsFull);
     CPPUNIT_ASSERT(second->mRetryAfter > first->mRetryAfter);
     for (int i = 0; i < 2000; ++i) {
-      admission.AdoptFlow();
+      admission.AddRestoredFlow();
     }
     CPPUNIT_ASSERT(admission.TryOpenFlow(now)->mReason == RefusalReason::ConnectionsFull);
-    // Callers who wait for the longest time must not come back together.
+    // Callers that get the longest delays must not retry together.
     std::map<Milliseconds, int> callersByDelay;
     for (int i = 0; i < 1000; ++i) {
       const Milliseconds delay = admission.TryOpenFlow(now)->mRetryAfter;
@@ -309,8 +310,8 @@
     }
   }
 
-  // Guards against a planned restart of the agent that starts cold, and against a damaged snapshot
-  // that lifts the limit.
+  // Guards against a planned restart of the agent that makes its upstream cold, and against a
+  // damaged snapshot that raises the limit.
   void StateIsHandedOver()
   {
     TimePoint now = kStart;
--- a/unittests/Agent/WeightEstimatorTest.cpp
+++ b/unittests/Agent/WeightEstimatorTest.cpp
@@ -22,8 +22,8 @@
   CPPUNIT_TEST(FastFailuresDoNotAttractLoad);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against weights that swing because reports lag, and against upstreams of unequal speed
-  // being loaded unequally.
+  // Guards against weights that oscillate because reports are late, and against upstreams of
+  // unequal speed being loaded unequally.
   void UnevenUpstreamsConverge()
   {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -48,14 +48,14 @@
         busySum += busy;
       }
       const double imbalance = busiest * 20 / busySum;
-      // One step of the weight is a factor of 1.25; a swing beyond it would be an oscillation.
+      // One step of the weight is a factor of 1.25; a larger range would be an oscillation.
       CPPUNIT_ASSERT(widestSwing <= WeightEstimator::kStepFactor);
       constexpr double kSteadyImbalance = 1.05;
       CPPUNIT_ASSERT(imbalance <= kSteadyImbalance);
     }
   }
 
-  // Guards against a single odd sample moving many buckets.
+  // Guards against a single outlier that moves many buckets.
   void StepsAreBounded()
   {
     WeightEstimator estimator(kStart);
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT(changedAt - kStart > seconds(100));
   }
 
-  // Guards against a cold upstream being announced with a warm one's weight (I3).
+  // Guards against a cold upstream being announced with the weight of a warm one.
   void ColdWeightFollowsTheRampDownAtOnce()
   {
     WeightEstimator estimator(kStart);
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT_EQUAL(1U, WeightEstimator(kStart).Update(kStart, 0.0));
   }
 
-  // Guards against an upstream that fails quickly looking like a fast one.
+  // Guards against an upstream that fails quickly being taken for a fast one.
   void FastFailuresDoNotAttractLoad()
   {
     WeightEstimator estimator(kStart);
--- a/unittests/Agent/WeightSimulation.h
+++ b/unittests/Agent/WeightSimulation.h
@@ -11,8 +11,8 @@
 
 namespace dandelionslip {
 
-/// Requests are spread in proportion to announced weights; weights, service means and load reports
-/// reach their readers with the lag of each upstream.
+/// Distributes requests in proportion to the announced weights. Weights, completion rates and load
+/// reports take effect with the lag of each upstream.
 class WeightSimulation
 {
 public:
