--- a/unittests/Agent/FlowHistory.cpp
+++ b/unittests/Agent/FlowHistory.cpp
@@ -83,7 +83,7 @@
   {
     if (aSession.mHolder && !aSession.mEnded) {
       Report(aEvent, "established session broke: " + (aEvent.mKind == FlowEventKind::NoReply
-                                                        ? std::string("silent")
+                                                        ? std::string("no reply")
                                                         : std::string(ToString(aEvent.mReason))));
       aSession.mEnded = true;
     }
--- a/unittests/Agent/FlowPropertyTest.cpp
+++ b/unittests/Agent/FlowPropertyTest.cpp
@@ -79,7 +79,7 @@
       Churn(*system);
       const auto violations = CheckFlowHistory(system->History());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, violations), violations.empty());
-      CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"hand-offs never finished"}),
+      CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"bucket transfers never finished"}),
                              system->AllAcknowledged());
       CPPUNIT_ASSERT(system->EstablishedSessions() > 160);
       transfers += system->TransfersWithFlows();
@@ -100,7 +100,7 @@
       Churn(*system);
       const auto violations = CheckFlowHistory(system->History());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, violations), violations.empty());
-      CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"hand-offs never finished"}),
+      CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"bucket transfers never finished"}),
                              system->AllAcknowledged());
     }
   }
