--- a/include/dandelionslip/Agent/EndpointReports.h
+++ b/include/dandelionslip/Agent/EndpointReports.h
@@ -1,4 +1,4 @@
-// Lowers a load limit by what the upstream's health and load endpoints report.
+// Reports of the upstream's health and load endpoints.
 #pragma once
 
 #include "dandelionslip/Agent/LoadLimit.h"
@@ -6,8 +6,8 @@
 
 namespace dandelionslip {
 
-/// Reports may be late, stuck or wrong, so they can lower the limit but never raise it. Not
-/// thread-safe.
+/// Keeps the latest reports and lowers a load limit by them. Reports may be late, stuck or wrong,
+/// so they never raise the limit. Not thread-safe.
 class EndpointReports
 {
 public:
--- a/lib/Agent/LatencyBaseline.cpp
+++ b/lib/Agent/LatencyBaseline.cpp
@@ -15,6 +15,7 @@
 // look like a step of an upstream that answers in microseconds.
 constexpr Duration kShortestLatency = Milliseconds(1);
 
+// Time constant with which the baseline follows normal completions.
 constexpr double kLearnSeconds = 10;
 
 // While the recent completions are not normal, the baseline follows 60 times more slowly. An
--- a/lib/Agent/UpstreamAdmission.cpp
+++ b/lib/Agent/UpstreamAdmission.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+// Time constant over which the rate of closed flows is averaged.
 constexpr double kCloseRateSeconds = 10;
 
 // Admissions a second that retry times assume when nothing is known about how soon room becomes
--- a/lib/Agent/WeightEstimator.cpp
+++ b/lib/Agent/WeightEstimator.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Fewest completions of a sample; fewer give no usable rate.
+// Fewer completions give no usable rate.
 constexpr std::uint32_t kMinSampleCompletions = 8;
 
 // Smaller changes are not announced: each announced change moves buckets.
--- a/unittests/Agent/FlowPropertyTest.cpp
+++ b/unittests/Agent/FlowPropertyTest.cpp
@@ -125,8 +125,8 @@
   }
 
   // Guards against packets that reach another service when it takes over an address. Sessions that
-  // were opened but not yet established while the balancers' configurations differed are not
-  // checked: their opening packets may correctly reach both services.
+  // were being opened while the balancers' configurations differed are not checked: their opening
+  // packets may correctly reach both services.
   void ReusedAddressNeverMixesServices()
   {
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSystem.h
@@ -19,7 +19,7 @@
   double mDatagramLoss = 0.01;
   double mPeerLoss = 0.05;
   Milliseconds mPeerDelay{50};
-  // Faults that a planned change must not have; they show that the checker can fail.
+  // With these two faults flows break, which shows that the checker can fail.
   bool mTransferDisabled = false;   ///< Transferred directories arrive empty.
   bool mResumptionDisabled = false; ///< Resumed agents get no flows back.
 };
