--- a/include/dandelionslip/Agent/BackupRole.h
+++ b/include/dandelionslip/Agent/BackupRole.h
@@ -55,7 +55,7 @@
   std::vector<DirectoryEntry> HeldFlows(std::span<const std::uint32_t> aBuckets) const;
 
   /// All states not returned yet, to be passed on when this agent stops itself.
-  std::vector<StateHandover> Export(const std::string& aCustodian) const;
+  std::vector<StateHandover> Export(const std::string& aBackup) const;
 
   /// Removes expired states.
   void Tick(TimePoint aNow);
--- a/include/dandelionslip/Agent/BucketRecords.h
+++ b/include/dandelionslip/Agent/BucketRecords.h
@@ -10,8 +10,8 @@
 
 namespace dandelionslip {
 
-/// Implemented by the request core's side, so that the flow core can transfer a bucket's directory
-/// and request records together.
+/// Implemented with the records of the request core, so that the flow core can transfer a bucket's
+/// directory and request records together.
 class BucketRecords
 {
 public:
@@ -27,7 +27,7 @@
   virtual void Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords) = 0;
 
   /// This agent is the first owner that the buckets have ever had.
-  virtual void StartFirst(std::span<const std::uint32_t> aBuckets) = 0;
+  virtual void StartAsFirstOwner(std::span<const std::uint32_t> aBuckets) = 0;
 
   /// The records of the buckets are lost; this agent now owns the buckets.
   virtual void StartWithoutRecords(std::span<const std::uint32_t> aBuckets) = 0;
--- a/include/dandelionslip/Agent/FlowCore.h
+++ b/include/dandelionslip/Agent/FlowCore.h
@@ -30,7 +30,7 @@
 
   /// The agent's lease has expired. Other members may own its buckets from now on, so the buckets
   /// are rebuilt when the next state arrives.
-  void OnLeaseEnd() { mOwnershipUncertain = true; }
+  void OnLeaseExpired() { mOwnershipUncertain = true; }
 
   /// The lease is valid again, and every state up to then has been applied. If none of them was
   /// newer, no other member has owned the buckets.
@@ -67,7 +67,7 @@
 
   /// Starts the resumption: requests the state from before the restart from the backup. Ends with
   /// ResumptionDone; until then no flow is admitted.
-  void BeginResumption(const std::string& aCustodian, TimePoint aNow, FlowActions& aOut);
+  void BeginResumption(const std::string& aBackup, TimePoint aNow, FlowActions& aOut);
 
   /// Newest generation in which all owned buckets are complete, for announcements.
   std::uint32_t AckedGeneration() const { return mAckedGeneration; }
@@ -99,7 +99,7 @@
   struct Stop
   {
     Json mAdmission;
-    std::string mCustodian;
+    std::string mBackup;
     std::set<std::string> mUnacknowledged; ///< Members whose state the backup has not acknowledged.
     TimePoint mNextSend;
     std::uint32_t mAttempts = 0; ///< Times sent to the backup since its last acknowledgement.
@@ -110,7 +110,7 @@
   /// A resumption in progress.
   struct Resumption
   {
-    std::string mCustodian;
+    std::string mBackup;
     TimePoint mNextRequest;
   };
 
--- a/include/dandelionslip/Agent/FlowMessages.h
+++ b/include/dandelionslip/Agent/FlowMessages.h
@@ -254,7 +254,7 @@
 /// The backup has the state; the sender of the handover may exit.
 struct StateHandoverAck
 {
-  std::string mCustodian;
+  std::string mBackup;
   std::string mMember; ///< Whose state it is.
   std::uint64_t mIncarnation = 0;
 
@@ -264,7 +264,7 @@
 template <typename V>
 void DescribeFields(V& aVisitor, StateHandoverAck& aValue)
 {
-  aVisitor.Field("custodian", aValue.mCustodian);
+  aVisitor.Field("custodian", aValue.mBackup);
   aVisitor.Field("member", aValue.mMember);
   aVisitor.Field("incarnation", aValue.mIncarnation);
 }
@@ -288,7 +288,7 @@
 /// Answer to ResumeRequest; without state when the backup has none.
 struct ResumeAnswer
 {
-  std::string mCustodian;
+  std::string mBackup;
   std::uint64_t mIncarnation = 0; ///< Of the request.
   std::optional<StateHandover> mState;
   /// States that the restarted agent itself kept for others when it stopped.
@@ -300,7 +300,7 @@
 template <typename V>
 void DescribeFields(V& aVisitor, ResumeAnswer& aValue)
 {
-  aVisitor.Field("custodian", aValue.mCustodian);
+  aVisitor.Field("custodian", aValue.mBackup);
   aVisitor.Field("incarnation", aValue.mIncarnation);
   aVisitor.Optional("state", aValue.mState);
   aVisitor.Optional("custody", aValue.mKeptStates);
--- a/lib/Agent/BackupRole.cpp
+++ b/lib/Agent/BackupRole.cpp
@@ -163,7 +163,7 @@
   return flows;
 }
 
-std::vector<StateHandover> BackupRole::Export(const std::string& aCustodian) const
+std::vector<StateHandover> BackupRole::Export(const std::string& aBackup) const
 {
   std::vector<StateHandover> states;
   for (const auto& [member, state] : mKeptStates) {
@@ -172,7 +172,7 @@
       states.back().mSenderIncarnation = mContext.mSettings.mIncarnation;
       states.back().mDirectory = ExportDirectory(state.mDirectory);
       if (mRecords != nullptr) {
-        states.back().mRecords = mRecords->Export(CompleteBuckets(state.mDirectory), aCustodian);
+        states.back().mRecords = mRecords->Export(CompleteBuckets(state.mDirectory), aBackup);
       }
     }
   }
--- a/lib/Agent/BucketTransferManager.cpp
+++ b/lib/Agent/BucketTransferManager.cpp
@@ -61,7 +61,7 @@
       FindServiceView(mContext.mView, mContext.mConfiguration, mContext.mSettings.mService);
     return service == nullptr || service->mGenerations.size() < 2
              ? std::vector<std::string>(table.Buckets())
-             : OwnersIn(service->mGenerations[1], table);
+             : OwnerNamesByBucket(service->mGenerations[1], table);
   }
   std::vector<std::string> names;
   for (std::uint32_t bucket = 0; bucket < aOld.Buckets(); ++bucket) {
@@ -136,7 +136,7 @@
   bucket.mUnknownFlowReason = previous != nullptr && previous->mDataCentreOut
                                 ? RefusalReason::DataCentreOut
                                 : RefusalReason::UnknownFlow;
-  if (previous == nullptr || previous->mOut || mContext.IsSelf(aPrevious)) {
+  if (previous == nullptr || previous->mExcluded || mContext.IsSelf(aPrevious)) {
     StartRebuild(aBucket, aNow, isNew);
     return;
   }
@@ -204,7 +204,7 @@
     mRecords->StartWithoutRecords(mRebuiltBuckets);
   }
   if (mRecords != nullptr && !mNewBuckets.empty()) {
-    mRecords->StartFirst(mNewBuckets);
+    mRecords->StartAsFirstOwner(mNewBuckets);
   }
   mRebuiltBuckets.clear();
   mNewBuckets.clear();
--- a/lib/Agent/FlowCoreRestart.cpp
+++ b/lib/Agent/FlowCoreRestart.cpp
@@ -61,7 +61,7 @@
                },
                [&](const DirectoryUpdate& aUpdate) {
                  if (mStop) {
-                   ForwardUpdate(mStop->mCustodian, aUpdate, aOut);
+                   ForwardUpdate(mStop->mBackup, aUpdate, aOut);
                  } else if (!mResumption) {
                    mBucketTransfers.OnDirectoryUpdate(aUpdate, aNow, aOut);
                  }
@@ -92,7 +92,7 @@
   std::tuple<bool, bool, std::uint64_t> highest;
   for (const TableMember& member : mContext.mTable.Members()) {
     const bool serves = TakesNewWork(member.mState);
-    if (mContext.IsSelf(member.mName) || member.mOut ||
+    if (mContext.IsSelf(member.mName) || member.mExcluded ||
         mStop->mUnresponsive.contains(member.mName) ||
         (!serves && member.mState != MemberState::Draining)) {
       continue;
@@ -122,7 +122,7 @@
   state.mDirectory = ExportDirectory(mBucketTransfers.Directory());
   if (mRecords != nullptr) {
     state.mRecords =
-      mRecords->Export(CompleteBuckets(mBucketTransfers.Directory()), mStop->mCustodian);
+      mRecords->Export(CompleteBuckets(mBucketTransfers.Directory()), mStop->mBackup);
   }
   state.mAdmission = mStop->mAdmission;
   return state;
@@ -136,22 +136,22 @@
 
 void FlowCore::ContinueHandover(TimePoint aNow, FlowActions& aOut)
 {
-  if (aNow < mStop->mNextSend || (!mStop->mCustodian.empty() && mStop->mUnacknowledged.empty())) {
+  if (aNow < mStop->mNextSend || (!mStop->mBackup.empty() && mStop->mUnacknowledged.empty())) {
     return;
   }
   mStop->mNextSend = aNow + mContext.mSettings.mRetryInterval;
   // Agents that stop at the same time do not take each other's state and would wait for each other
   // for ever.
   if (++mStop->mAttempts > kMaxHandoverAttempts) {
-    mStop->mUnresponsive.insert(mStop->mCustodian);
+    mStop->mUnresponsive.insert(mStop->mBackup);
   }
   std::string backup = ChooseBackup();
   if (backup.empty() && !mStop->mUnresponsive.empty()) {
     mStop->mUnresponsive.clear();
     backup = ChooseBackup();
   }
-  const bool changed = backup != mStop->mCustodian;
-  mStop->mCustodian = backup;
+  const bool changed = backup != mStop->mBackup;
+  mStop->mBackup = backup;
   if (backup.empty()) {
     mStop->mNextSend = TimePoint::max();
     aOut.emplace_back(HandoverDone{});
@@ -168,27 +168,26 @@
   }
   for (StateHandover& state : states) {
     if (mStop->mUnacknowledged.contains(state.mMember)) {
-      aOut.emplace_back(SendPeerMessage{mStop->mCustodian, std::move(state)});
+      aOut.emplace_back(SendPeerMessage{mStop->mBackup, std::move(state)});
     }
   }
 }
 
 void FlowCore::OnHandoverAck(const StateHandoverAck& aAck, FlowActions& aOut)
 {
-  if (!mStop || aAck.mCustodian != mStop->mCustodian ||
-      mStop->mUnacknowledged.erase(aAck.mMember) == 0) {
+  if (!mStop || aAck.mBackup != mStop->mBackup || mStop->mUnacknowledged.erase(aAck.mMember) == 0) {
     return;
   }
   mStop->mAttempts = 0;
   if (mStop->mUnacknowledged.empty()) {
-    aOut.emplace_back(HandoverDone{mStop->mCustodian});
+    aOut.emplace_back(HandoverDone{mStop->mBackup});
   }
 }
 
-void FlowCore::BeginResumption(const std::string& aCustodian, TimePoint aNow, FlowActions& aOut)
+void FlowCore::BeginResumption(const std::string& aBackup, TimePoint aNow, FlowActions& aOut)
 {
   mBucketTransfers.SetResumed();
-  mResumption = Resumption{aCustodian, aNow};
+  mResumption = Resumption{aBackup, aNow};
   ContinueResumption(aNow, aOut);
 }
 
@@ -197,7 +196,7 @@
   if (mContext.mTable.Buckets() == 0 || aNow < mResumption->mNextRequest) {
     return;
   }
-  const TableMember* acting = mContext.ActingFor(mResumption->mCustodian);
+  const TableMember* acting = mContext.ActingFor(mResumption->mBackup);
   if (acting == nullptr || mContext.IsSelf(acting->mName)) {
     FinishResumption({}, aNow, aOut);
     return;
--- a/lib/Agent/UpstreamAdmission.cpp
+++ b/lib/Agent/UpstreamAdmission.cpp
@@ -51,7 +51,7 @@
     return Refusal{reason, mFlowRetries.Next(aNow, FlowInterval(aNow, ramping))};
   }
   if (!mOpenTokens.TryTake(aNow)) {
-    return Refusal{RefusalReason::Paced, mFlowRetries.Next(aNow, mOpenTokens.Interval())};
+    return Refusal{RefusalReason::RateLimited, mFlowRetries.Next(aNow, mOpenTokens.Interval())};
   }
   ++mConnectionsInUse;
   return std::nullopt;
@@ -72,7 +72,7 @@
   ++mConnectionsInUse;
 }
 
-std::optional<Refusal> UpstreamAdmission::TryStartSlot(TimePoint aNow)
+std::optional<Refusal> UpstreamAdmission::TryStartRequest(TimePoint aNow)
 {
   if (!TakesNewWork()) {
     return Refusal{RefusalReason::Draining, RetrySchedule::kShortest};
@@ -86,7 +86,7 @@
   return std::nullopt;
 }
 
-void UpstreamAdmission::FinishSlot(TimePoint aNow, Duration aLatency, CompletionResult aResult)
+void UpstreamAdmission::FinishRequest(TimePoint aNow, Duration aLatency, CompletionResult aResult)
 {
   if (mSlotsInUse == 0) {
     return;
--- a/unittests/Agent/FlowHistory.cpp
+++ b/unittests/Agent/FlowHistory.cpp
@@ -36,7 +36,7 @@
         return;
       case FlowEventKind::Established:
         session.mHolder = aEvent;
-        session.mEnded = session.mEnded || mOutOfService.contains(aEvent.mDataCentre);
+        session.mEnded = session.mEnded || mDataCentresOut.contains(aEvent.mDataCentre);
         return;
       case FlowEventKind::Refused:
       case FlowEventKind::NoReply:
@@ -47,10 +47,10 @@
         return;
       case FlowEventKind::DataCentreOut:
         EndSessionsIn(aEvent.mDataCentre);
-        mOutOfService.insert(aEvent.mDataCentre);
+        mDataCentresOut.insert(aEvent.mDataCentre);
         return;
       case FlowEventKind::DataCentreIn:
-        mOutOfService.erase(aEvent.mDataCentre);
+        mDataCentresOut.erase(aEvent.mDataCentre);
         return;
       case FlowEventKind::Applied:
         mOutByBalancer[{aEvent.mNode, aEvent.mDataCentre}] = aEvent.mPort != 0;
@@ -105,7 +105,7 @@
   std::map<std::uint64_t, Session> mSessions;
   /// Whether a balancer has applied that a data centre is out of service.
   std::map<std::pair<std::string, std::string>, bool> mOutByBalancer;
-  std::set<std::string> mOutOfService;
+  std::set<std::string> mDataCentresOut;
   std::vector<std::string> mViolations;
 };
 
--- a/unittests/Agent/FlowPropertyTest.cpp
+++ b/unittests/Agent/FlowPropertyTest.cpp
@@ -140,19 +140,19 @@
       system->Run(Milliseconds(4'000));
       std::map<std::uint64_t, std::set<std::string>> services;
       std::map<std::uint64_t, std::size_t> firstEvents;
-      std::set<std::uint64_t> judged;
+      std::set<std::uint64_t> checkedSessions;
       for (std::size_t i = 0; i < system->History().size(); ++i) {
         const FlowEvent& event = system->History()[i];
         const std::size_t first = firstEvents.emplace(event.mSession, i).first->second;
         if (event.mKind == FlowEventKind::Established && (i < published || first > applied)) {
-          judged.insert(event.mSession);
+          checkedSessions.insert(event.mSession);
         }
         if (event.mKind == FlowEventKind::Delivered) {
           services[event.mSession].insert(event.mService);
         }
       }
-      CPPUNIT_ASSERT(judged.size() > 150);
-      for (const std::uint64_t session : judged) {
+      CPPUNIT_ASSERT(checkedSessions.size() > 150);
+      for (const std::uint64_t session : checkedSessions) {
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, services[session].size());
       }
     }
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSystem.h
@@ -40,7 +40,7 @@
       return Refusal{RefusalReason::ConnectionsFull, Milliseconds(200)};
     }
     if (mRandom.Below(10) == 0) {
-      return Refusal{RefusalReason::Paced, Milliseconds(100)};
+      return Refusal{RefusalReason::RateLimited, Milliseconds(100)};
     }
     ++mOpen;
     return std::nullopt;
@@ -146,7 +146,7 @@
   void StepCaller(Caller& aCaller);
   void SendFromCaller(Caller& aCaller);
   void DeliverToCaller(const Endpoint& aCaller, const Endpoint& aService, const Bytes& aPayload);
-  void StopProcess(Agent& aAgent, const std::string& aCustodian);
+  void StopProcess(Agent& aAgent, const std::string& aBackup);
   Agent* AgentAt(const Endpoint& aEndpoint);
 
   Random mRandom;
