--- a/include/dandelionslip/Agent/BucketDirectory.h
+++ b/include/dandelionslip/Agent/BucketDirectory.h
@@ -20,7 +20,7 @@
   Complete,    ///< All flows of the bucket are known.
   Pending,     ///< The directory has been requested from a previous owner.
   Rebuilding,  ///< The previous owner is lost; all members are asked which flows they hold.
-  Transferred, ///< The new owner has the directory; the agent forwards packets to it.
+  Transferred, ///< Transferred to a new owner; the agent forwards packets to it.
 };
 
 /// Where a flow is held.
--- a/include/dandelionslip/Agent/FlowActions.h
+++ b/include/dandelionslip/Agent/FlowActions.h
@@ -54,7 +54,7 @@
 /// The backup has acknowledged the state; announce the backup and exit.
 struct HandoverDone
 {
-  std::string mBackup;
+  std::string mBackup; ///< Empty when no other agent could take the state.
 };
 
 /// The resumption has ended; the agent may announce itself as serving.
--- a/include/dandelionslip/Agent/FlowMessages.h
+++ b/include/dandelionslip/Agent/FlowMessages.h
@@ -53,7 +53,8 @@
 {
   Complete, ///< The entries are all flows of the bucket.
   Partial,  ///< The entries are what the member knows; the others come from mNext.
-  Unknown,  ///< The member never owned the bucket; the entries are the flows that it holds.
+  Unknown,  ///< The member never owned the bucket or is rebuilding it; the entries are the flows
+            ///< that it knows.
   Stale,    ///< The member owns the bucket in a newer table; the requester must update.
 };
 
