--- a/unittests/Agent/FlowPropertyTest.cpp
+++ b/unittests/Agent/FlowPropertyTest.cpp
@@ -25,7 +25,7 @@
   CPPUNIT_TEST(SeedsThatFailedBefore);
   CPPUNIT_TEST(OtherFlowsSurviveDataCentreOut);
   CPPUNIT_TEST(ReusedAddressNeverMixesServices);
-  CPPUNIT_TEST(CheckerFailsWithoutHandoff);
+  CPPUNIT_TEST(CheckerFailsWithoutTransfer);
   CPPUNIT_TEST(CheckerFailsWithoutResumption);
   CPPUNIT_TEST_SUITE_END();
 
@@ -68,7 +68,7 @@
     return text;
   }
 
-  // Guards against established flows that break or move during planned changes (I1, I2).
+  // Guards against established flows that break or move during planned changes.
   void FlowsSurviveMixedPlannedChanges()
   {
     std::size_t transfers = 0;
@@ -79,20 +79,20 @@
       Churn(*system);
       const auto violations = CheckFlowHistory(system->History());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, violations), violations.empty());
-      CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"hand-offs never finished"}),
+      CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"bucket transfers never finished"}),
                              system->AllAcknowledged());
       CPPUNIT_ASSERT(system->EstablishedSessions() > 160);
       transfers += system->TransfersWithFlows();
       redirects += system->RedirectedFlows();
       resumptions += system->Resumptions();
     }
-    // Without these the changes would not have been exercised.
+    // Otherwise the changes would not have been exercised.
     CPPUNIT_ASSERT(transfers > SeedCount());
     CPPUNIT_ASSERT(redirects > SeedCount());
     CPPUNIT_ASSERT(resumptions > SeedCount());
   }
 
-  // Guards against agents that stop at the same time and wait for each other as custodians (123).
+  // Guards against agents that stop at the same time and wait for each other as backups (seed 123).
   void SeedsThatFailedBefore()
   {
     for (const std::uint64_t seed : {std::uint64_t{123}}) {
@@ -100,13 +100,13 @@
       Churn(*system);
       const auto violations = CheckFlowHistory(system->History());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, violations), violations.empty());
-      CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"hand-offs never finished"}),
+      CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"bucket transfers never finished"}),
                              system->AllAcknowledged());
     }
   }
 
-  // Guards against packets to a data centre that a balancer knows to be out, and against flows of
-  // other data centres that break while one leaves and returns (I4).
+  // Guards against packets to a data centre that a balancer knows to be out of service, and against
+  // flows in other data centres that break while one is taken out and put back.
   void OtherFlowsSurviveDataCentreOut()
   {
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
@@ -124,9 +124,9 @@
     }
   }
 
-  // Guards against packets that reach another service when it takes over an address (I2). Sessions
-  // that were not established while the balancers' configurations differed are not judged: their
-  // opening packets may rightly reach both services.
+  // Guards against packets that reach another service when it takes over an address. Sessions that
+  // were being opened while the balancers' configurations differed are not checked: their opening
+  // packets may correctly reach both services.
   void ReusedAddressNeverMixesServices()
   {
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
@@ -140,29 +140,29 @@
       system->Run(Milliseconds(4'000));
       std::map<std::uint64_t, std::set<std::string>> services;
       std::map<std::uint64_t, std::size_t> firstEvents;
-      std::set<std::uint64_t> judged;
+      std::set<std::uint64_t> checkedSessions;
       for (std::size_t i = 0; i < system->History().size(); ++i) {
         const FlowEvent& event = system->History()[i];
         const std::size_t first = firstEvents.emplace(event.mSession, i).first->second;
         if (event.mKind == FlowEventKind::Established && (i < published || first > applied)) {
-          judged.insert(event.mSession);
+          checkedSessions.insert(event.mSession);
         }
         if (event.mKind == FlowEventKind::Delivered) {
           services[event.mSession].insert(event.mService);
         }
       }
-      CPPUNIT_ASSERT(judged.size() > 150);
-      for (const std::uint64_t session : judged) {
+      CPPUNIT_ASSERT(checkedSessions.size() > 150);
+      for (const std::uint64_t session : checkedSessions) {
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, services[session].size());
       }
     }
   }
 
   // Guards against a checker that accepts every history.
-  void CheckerFailsWithoutHandoff()
+  void CheckerFailsWithoutTransfer()
   {
     FlowSystemFaults faults;
-    faults.mHandoffDisabled = true;
+    faults.mTransferDisabled = true;
     const auto system = MakeSystem(1, faults);
     Churn(*system);
     CPPUNIT_ASSERT(!CheckFlowHistory(system->History()).empty());
