--- a/include/dandelionslip/Control/AttachedNodes.h
+++ b/include/dandelionslip/Control/AttachedNodes.h
@@ -22,16 +22,16 @@
   explicit AttachedNodes(const MembershipSettings& aSettings);
 
   /// Takes an announcement; Fenced when this replica has seen a higher incarnation.
-  RenewalOutcome Take(const Announcement& aAnnouncement, TimePoint aNow);
+  RenewalOutcome RecordAnnouncement(const Announcement& aAnnouncement, TimePoint aNow);
 
   /// Builds the next summary for the leader of aTerm; the first one of a term is whole.
-  MemberSummary NextSummary(const std::string& aReplica, std::uint64_t aTerm,
-                            std::uint64_t aViewRevision, TimePoint aNow);
+  MemberSummary BuildSummary(const std::string& aReplica, std::uint64_t aTerm,
+                             std::uint64_t aViewRevision, TimePoint aNow);
 
   /// Takes the leader's answer to a summary. aViewRevision is the view that this replica hands out;
   /// when it is older than the one the answer rests on, the answer renews no lease, because a node
   /// that was lost in between would get a lease together with buckets that it no longer owns.
-  void TakeAnswer(const SummaryAnswer& aAnswer, std::uint64_t aViewRevision);
+  void HandleAnswer(const SummaryAnswer& aAnswer, std::uint64_t aViewRevision);
 
   /// What remains at aNow of the lease that the leader has acknowledged for this incarnation.
   Milliseconds LeaseFor(const std::string& aName, std::uint64_t aIncarnation, TimePoint aNow) const;
@@ -40,10 +40,10 @@
   bool IsFenced(const std::string& aName, std::uint64_t aIncarnation) const;
 
   /// Detaches nodes that have not announced themselves within the attach window.
-  void DropSilent(TimePoint aNow);
+  void DetachSilent(TimePoint aNow);
 
   /// The announcements of all attached nodes.
-  std::vector<Announcement> All() const;
+  std::vector<Announcement> Announcements() const;
 
 private:
   struct Node
@@ -51,18 +51,18 @@
     Announcement mAnnouncement;
     std::uint64_t mDigest = 0;
     TimePoint mLastAnnounced;
-    std::uint64_t mAckedDigest = 0;      ///< Of the announcement that the leader has.
-    std::optional<TimePoint> mLeaseFrom; ///< When the acknowledged summary was built.
+    std::uint64_t mAckedDigest = 0;       ///< Of the announcement that the leader has.
+    std::optional<TimePoint> mLeaseStart; ///< When the acknowledged summary was built.
   };
 
-  struct Sent
+  struct SentNode
   {
     std::uint64_t mIncarnation = 0;
     std::uint64_t mDigest = 0;
   };
 
   void StartTerm(std::uint64_t aTerm);
-  void TakeAccepted(const SummaryAnswer& aAnswer, bool aRenews);
+  void RecordAcceptance(const SummaryAnswer& aAnswer, bool aRenews);
   void Fence(const std::string& aName);
 
   MembershipSettings mSettings;
@@ -71,9 +71,9 @@
   std::set<std::string> mDetached;              ///< Not yet acknowledged by the leader.
   std::uint64_t mTerm = 0;
   std::uint64_t mSequence = 0;
-  bool mWholeNext = true;
-  TimePoint mSentAt;                 ///< When the newest summary was built.
-  std::map<std::string, Sent> mSent; ///< What the newest summary covers.
+  bool mNextIsWhole = true;
+  TimePoint mSentAt;                          ///< When the newest summary was built.
+  std::map<std::string, SentNode> mSentNodes; ///< What the newest summary covers.
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/ConfigurationStore.h
+++ b/include/dandelionslip/Control/ConfigurationStore.h
@@ -37,8 +37,8 @@
   Result<void> Restore(const Json& aSnapshot);
 
 private:
-  CommandAnswer Decide(std::uint64_t aIndex, const Command& aCommand);
-  void Keep(std::uint64_t aIndex, const Command& aCommand, const CommandAnswer& aAnswer);
+  CommandAnswer ApplyNew(std::uint64_t aIndex, const Command& aCommand);
+  void KeepAnswer(std::uint64_t aIndex, const Command& aCommand, const CommandAnswer& aAnswer);
   void EvictAnswers();
   void IndexAnswers();
 
--- a/include/dandelionslip/Control/LeaseTable.h
+++ b/include/dandelionslip/Control/LeaseTable.h
@@ -25,13 +25,13 @@
 /// One node with its lease.
 struct LeaseEntry
 {
-  Announcement mAnnouncement;                 ///< mMember.mState is the state in force.
-  MemberState mAnnounced = MemberState::Cold; ///< State before the lease ended.
+  Announcement mAnnouncement;                      ///< mMember.mState is the state in force.
+  MemberState mAnnouncedState = MemberState::Cold; ///< State before the lease ended.
   TimePoint
     mDeadline; ///< When the member is lost; for a lost or left member, when it is forgotten.
   /// First view of this leader that shows the member with this incarnation as live; 0 for none.
-  std::uint64_t mLiveFrom = 0;
-  bool mHeard = false; ///< False while the entry comes only from an adopted view.
+  std::uint64_t mLiveSinceRevision = 0;
+  bool mHasAnnounced = false; ///< False while the entry comes only from an adopted view.
 };
 
 /// Tracks leases, fencing and planned stops. Not thread-safe.
@@ -45,7 +45,8 @@
 
   /// Extends the lease of a member whose announcement is unchanged. Fenced: this incarnation was
   /// replaced or has left; Invalid: it is unknown.
-  RenewalOutcome Touch(const std::string& aName, std::uint64_t aIncarnation, TimePoint aNow);
+  RenewalOutcome RenewUnchanged(const std::string& aName, std::uint64_t aIncarnation,
+                                TimePoint aNow);
 
   /// Marks members whose lease or restart grace has ended as lost; returns their names.
   std::vector<std::string> Expire(TimePoint aNow);
@@ -58,11 +59,11 @@
   void Adopt(const View& aView, TimePoint aNow);
 
   /// Notes that the view with this revision shows all members that are live now.
-  void MarkShown(std::uint64_t aRevision);
+  void MarkLiveInView(std::uint64_t aRevision);
 
   /// Whether a view up to the held revision shows the member as live. Only then may it get a lease:
   /// the next leader knows that view and gives the member a full lease before it is lost.
-  bool IsShown(const std::string& aName, std::uint64_t aHeldRevision) const;
+  bool IsLiveInHeldView(const std::string& aName, std::uint64_t aHeldRevision) const;
 
   /// The entry with this name, or null.
   const LeaseEntry* Find(const std::string& aName) const;
--- a/include/dandelionslip/Control/LogStore.h
+++ b/include/dandelionslip/Control/LogStore.h
@@ -25,7 +25,7 @@
   std::optional<Error> mDroppedTail;         ///< Where an incomplete record was dropped; for logs.
 
   /// Whether the disk holds no log at all, as on the first start of a replica.
-  bool Blank() const { return !mSnapshot && mEntries.empty(); }
+  bool IsEmpty() const { return !mSnapshot && mEntries.empty(); }
 };
 
 /// Settings of a LogStore.
@@ -100,19 +100,19 @@
   Status LoadSegment(LogIndex aFirst, bool aNewest);
   Status LoadEntries(Segment& aSegment, LogIndex aFirst, std::span<const std::uint8_t> aBytes,
                      bool aNewest);
-  Status CutTail(Segment& aSegment, std::uint64_t aSize);
+  Status DropTail(Segment& aSegment, std::uint64_t aSize);
   Status DropCoveredEntries();
   std::optional<Term> TermAt(LogIndex aIndex) const;
   std::optional<Term> SegmentTermAt(LogIndex aIndex) const;
 
-  Status Guard(Status aStatus);
+  Status RecordFailure(Status aStatus);
   Status CheckUsable(const char* aStep) const;
-  Status WriteFile(const std::string& aPath, std::span<const std::uint8_t> aBytes);
+  Status WriteFileAtomically(const std::string& aPath, std::span<const std::uint8_t> aBytes);
   Status WriteSnapshotFile(const Snapshot& aSnapshot);
   Status StartSegment(LogIndex aFirst, Term aPreviousTerm);
   Status AppendToSegment(std::span<const LogEntry> aEntries);
-  Status OpenNewest();
-  void CloseNewest();
+  Status OpenNewestSegment();
+  void CloseNewestSegment();
   Status RemoveNewestSegment();
   Status ShortenNewestSegment(LogIndex aFirst);
   Status RemoveCoveredSegments();
@@ -121,7 +121,7 @@
   FileLayer& mFiles;
   LogStoreSettings mSettings;
   std::map<LogIndex, Segment> mSegments; ///< By first index.
-  std::optional<FileHandle> mNewest;     ///< Open for appending; the last of mSegments.
+  std::optional<FileHandle> mNewestFile; ///< Open for appending; the last of mSegments.
   RecoveredState mRecovered;
   EntryId mSnapshotId;
   LogIndex mLastIndex = 0;
--- a/include/dandelionslip/Control/MembershipCore.h
+++ b/include/dandelionslip/Control/MembershipCore.h
@@ -84,7 +84,7 @@
 
   /// The view that nodes get: the newest one known to be held by a quorum, so that the next leader
   /// knows every view that a node has ever acted on.
-  const View& HandedView() const { return mHanded.Newest(); }
+  const View& ServedView() const { return mServedViews.Newest(); }
   const LeaseTable& Leases() const { return mLeases; }
 
   /// Whether this replica leads and has heard the views of a quorum, so that it issues views.
@@ -94,29 +94,29 @@
   struct Peer
   {
     SummaryReceiver mReceiver;
-    bool mHeard = false;             ///< Its view is known and not newer than ours.
+    bool mViewKnown = false;         ///< Its view is known and not newer than ours.
     std::uint64_t mViewRevision = 0; ///< Newest revision it is known to hold.
-    TimePoint mHeardAt;
-    TimePoint mSentAt;
-    std::uint64_t mSentRevision = 0;
-    std::uint64_t mToldHeld = 0; ///< Held revision that it was last told.
+    TimePoint mLastSummaryAt;
+    TimePoint mViewSentAt;
+    std::uint64_t mViewRevisionSent = 0;
+    std::uint64_t mHeldRevisionSent = 0; ///< Held revision that it was last told.
   };
 
-  void AddState(const Announcement& aAnnouncement, AnnouncementAnswer& aAnswer) const;
+  void AddNewerState(const Announcement& aAnnouncement, AnnouncementAnswer& aAnswer) const;
   bool IsFencedByView(const Member& aMember) const;
-  void TakeViewOf(const MemberSummary& aSummary, Peer& aPeer, SummaryAnswer& aAnswer,
-                  TimePoint aNow);
-  void TakeView(const ViewUpdate& aUpdate);
-  void LearnHeld(std::uint64_t aRevision);
+  void AdoptViewOf(const MemberSummary& aSummary, Peer& aPeer, SummaryAnswer& aAnswer,
+                   TimePoint aNow);
+  void ApplyViewUpdate(const ViewUpdate& aUpdate);
+  void RaiseHeldRevision(std::uint64_t aRevision);
   Milliseconds LeaseFor(const Member& aMember, TimePoint aNow) const;
-  std::optional<ViewUpdate> UpdateFor(Peer& aPeer, TimePoint aNow) const;
+  std::optional<ViewUpdate> ViewUpdateFor(Peer& aPeer, TimePoint aNow) const;
   void BeginTerm(TimePoint aNow);
   void StartIssuing(TimePoint aNow);
   void UpdateView(TimePoint aNow);
   bool IsVoter(const std::string& aReplica) const;
-  bool HasHeardQuorum() const;
+  bool KnowsViewsOfQuorum() const;
   std::uint64_t QuorumRevision() const;
-  bool MayIssue() const;
+  bool MayIssueView() const;
   void AddViewUpdates(std::vector<MembershipAction>& aActions, TimePoint aNow);
   void AddSummary(std::vector<MembershipAction>& aActions, TimePoint aNow);
 
@@ -125,19 +125,19 @@
   ConfigurationStore mStore;
   RevisionHistory<Configuration, ConfigurationDifference> mConfigurations;
   RevisionHistory<View, ViewDifference> mViews;
-  RevisionHistory<View, ViewDifference> mHanded;
+  RevisionHistory<View, ViewDifference> mServedViews;
   std::uint64_t mHeldRevision = 0; ///< Newest revision known to be held by a quorum.
   AttachedNodes mAttached;
   LeaseTable mLeases;
   ViewBuilder mBuilder;
   RoleChange mRole;
   bool mIssuing = false;
-  TimePoint mIssueFrom; ///< Earliest time of the first view in this term.
+  TimePoint mFirstIssueTime; ///< Earliest time of the first view in this term.
   std::map<std::string, Peer> mPeers;
   std::optional<TimePoint> mViewUpdatedAt;
   std::optional<TimePoint> mSummarySentAt;
-  bool mAwaitingAnswer = false; ///< The newest summary is not answered yet.
-  bool mSendView = false;       ///< The leader asked for this replica's view.
+  bool mAwaitingSummaryAnswer = false; ///< The newest summary is not answered yet.
+  bool mViewRequested = false;         ///< The leader asked for this replica's view.
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/ProposalTracker.h
+++ b/include/dandelionslip/Control/ProposalTracker.h
@@ -34,10 +34,10 @@
   /// A snapshot replaced all entries up to aIndex; their outcomes are unknown.
   std::vector<ProposalResult> SnapshotInstalled(LogIndex aIndex);
   /// Gives up on all open proposals, for example at a stop.
-  std::vector<ProposalResult> Abandon();
+  std::vector<ProposalResult> AbandonAll();
   /// Gives up on one proposal, for example at its deadline.
   void Forget(EntryId aEntry);
-  std::size_t Open() const { return mOpen.size(); }
+  std::size_t OpenCount() const { return mOpen.size(); }
 
 private:
   std::multimap<LogIndex, Term> mOpen;
--- a/include/dandelionslip/Control/RaftCore.h
+++ b/include/dandelionslip/Control/RaftCore.h
@@ -90,8 +90,8 @@
   LogIndex MatchOf(const ReplicaId& aReplica) const;
 
 private:
-  class Node;
-  std::unique_ptr<Node> mNode;
+  class Impl;
+  std::unique_ptr<Impl> mImpl;
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/RaftMessage.h
+++ b/include/dandelionslip/Control/RaftMessage.h
@@ -98,7 +98,7 @@
   LogIndex mPreviousIndex = 0;
   Term mPreviousTerm = 0;
   std::vector<LogEntry> mEntries;
-  LogIndex mCommit = 0;
+  LogIndex mCommitIndex = 0;
   std::int64_t mSentNs = 0; ///< Leader's clock, returned in the answer.
   /// Nanoseconds since the leader's last quorum contact; absent before the leader has committed an
   /// entry of its term.
@@ -116,7 +116,7 @@
   aVisitor.Field("previous_index", aValue.mPreviousIndex);
   aVisitor.Field("previous_term", aValue.mPreviousTerm);
   aVisitor.Field("entries", aValue.mEntries);
-  aVisitor.Field("commit", aValue.mCommit);
+  aVisitor.Field("commit", aValue.mCommitIndex);
   aVisitor.Field("sent_ns", aValue.mSentNs);
   aVisitor.Field("quorum_age_ns", aValue.mQuorumAgeNs);
   aVisitor.Field("echo", aValue.mEcho);
@@ -126,7 +126,7 @@
 struct AppendAnswer
 {
   bool mSuccess = false;
-  LogIndex mMatch = 0;         ///< On success: the log is durable and equal up to here.
+  LogIndex mMatchIndex = 0;    ///< On success: the log is durable and equal up to here.
   LogIndex mPreviousIndex = 0; ///< Of the request.
   LogIndex mHint = 0;          ///< On failure: highest index that may match.
   std::int64_t mSentNs = 0;    ///< Of the request.
@@ -139,7 +139,7 @@
 void DescribeFields(V& aVisitor, AppendAnswer& aValue)
 {
   aVisitor.Field("success", aValue.mSuccess);
-  aVisitor.Field("match", aValue.mMatch);
+  aVisitor.Field("match", aValue.mMatchIndex);
   aVisitor.Field("previous_index", aValue.mPreviousIndex);
   aVisitor.Field("hint", aValue.mHint);
   aVisitor.Field("sent_ns", aValue.mSentNs);
@@ -227,8 +227,8 @@
   ReplicaId mTo;
   Term mTerm = 0;
   StoreId mFromStore = 0;
-  bool mFromBlank = false; ///< The sender holds no log.
-  StoreId mToStore = 0;    ///< Receiver's store as known to the sender; zero when unknown.
+  bool mFromEmptyLog = false; ///< The sender holds no log.
+  StoreId mToStore = 0;       ///< Receiver's store as known to the sender; zero when unknown.
   RaftBody mBody;
   /// Endpoint of the sender, filled in by its runtime: a learner without a log does not know the
   /// members yet and could not answer otherwise.
--- a/include/dandelionslip/Control/ReplicaKeeper.h
+++ b/include/dandelionslip/Control/ReplicaKeeper.h
@@ -17,7 +17,7 @@
   std::size_t mTargetVoters = 5; ///< Twice the disks that may be lost at once, plus one.
   /// A voter that is silent for longer may be replaced by a learner. It is longer than a process
   /// takes to restart and shorter than the time until the next loss must be survived.
-  Milliseconds mSilence{2'000};
+  Milliseconds mVoterSilence{2'000};
   Milliseconds mJoinLifetime{2'000};    ///< Age at which an unrepeated join request lapses.
   Milliseconds mLearnerSilence{30'000}; ///< A silent learner is removed after this time.
   std::size_t mMaxReplicas = 16;        ///< Voters and learners.
@@ -28,8 +28,8 @@
 {
   const Membership& mMembers; ///< The newest membership in the log.
   ReplicaId mSelf;
-  LogIndex mCommit = 0;
-  std::function<LogIndex(const ReplicaId&)> mMatchOf; ///< Durable and equal up to this index.
+  LogIndex mCommitIndex = 0;
+  std::function<LogIndex(const ReplicaId&)> mMatchIndexOf; ///< Durable and equal up to this index.
 };
 
 /// Keeps the number of voters at the target while disks are lost and VMs are replaced. A replica
@@ -52,7 +52,7 @@
   std::optional<MembershipChange> Next(const ReplicaGroup& aGroup, TimePoint aNow) const;
 
 private:
-  struct Presence
+  struct JoinRecord
   {
     std::string mAddress;
     TimePoint mAt;
@@ -66,9 +66,9 @@
   std::optional<MembershipChange> RemoveReplica(const ReplicaGroup& aGroup, TimePoint aNow) const;
 
   ReplicaKeeperSettings mSettings;
-  TimePoint mLeadingSince;
-  std::map<ReplicaId, TimePoint> mHeard;
-  std::map<ReplicaId, Presence> mJoining; ///< At most one identity for each address.
+  TimePoint mLeaderSince;
+  std::map<ReplicaId, TimePoint> mLastHeard;
+  std::map<ReplicaId, JoinRecord> mJoining; ///< At most one identity for each address.
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/StoreState.h
+++ b/include/dandelionslip/Control/StoreState.h
@@ -10,7 +10,7 @@
 namespace dandelionslip {
 
 /// Answers kept regardless of age.
-inline constexpr std::size_t kKeptAnswers = 4096;
+inline constexpr std::size_t kMinKeptAnswers = 4096;
 
 /// Answers younger than this, by the issue times in the log, are kept regardless of their number.
 inline constexpr std::int64_t kAnswerRetentionMs = 24LL * 60 * 60 * 1000;
--- a/include/dandelionslip/Control/SummaryReceiver.h
+++ b/include/dandelionslip/Control/SummaryReceiver.h
@@ -17,21 +17,21 @@
   /// Renews the nodes that the summary covers; those that no view up to aHeldRevision shows get no
   /// lease yet. When the digest does not match, only the listed
   /// announcements are renewed and a whole summary is requested.
-  SummaryAnswer Take(const MemberSummary& aSummary, LeaseTable& aLeases,
-                     std::uint64_t aHeldRevision, TimePoint aNow);
+  SummaryAnswer HandleSummary(const MemberSummary& aSummary, LeaseTable& aLeases,
+                              std::uint64_t aHeldRevision, TimePoint aNow);
 
 private:
-  struct Known
+  struct KnownNode
   {
     std::uint64_t mIncarnation = 0;
     std::uint64_t mDigest = 0;
   };
 
-  std::set<std::string> TakeListed(const MemberSummary& aSummary, LeaseTable& aLeases,
-                                   TimePoint aNow, SummaryAnswer& aAnswer);
+  std::set<std::string> ApplyListed(const MemberSummary& aSummary, LeaseTable& aLeases,
+                                    TimePoint aNow, SummaryAnswer& aAnswer);
   std::uint64_t Digest() const;
 
-  std::map<std::string, Known> mNodes;
+  std::map<std::string, KnownNode> mNodes;
   std::uint64_t mSequence = 0;
 };
 
--- a/include/dandelionslip/Control/ViewBuilder.h
+++ b/include/dandelionslip/Control/ViewBuilder.h
@@ -31,7 +31,7 @@
 
 /// Numbers skipped beyond an acknowledged generation that control has forgotten. Agents may hold
 /// kMaxGenerations newer ones.
-inline constexpr std::uint32_t kForgottenGap = 4 * kGenerationStride;
+inline constexpr std::uint32_t kForgottenGenerationGap = 4 * kGenerationStride;
 
 /// The lease entries of one service's agents, ordered by name.
 using AgentsOfService = std::vector<const LeaseEntry*>;
@@ -64,11 +64,11 @@
                                                  const LeaseTable& aLeases);
 
 private:
-  struct Pace
+  struct StepTiming
   {
     ServiceId mServiceId = 0;
     TimePoint mLastStep;
-    bool mStepped = false; ///< mLastStep is valid.
+    bool mHasStepped = false; ///< mLastStep is valid.
   };
 
   static std::map<std::string, Member> BuildMembers(const Configuration& aConfiguration,
@@ -77,14 +77,14 @@
                            const Configuration& aConfiguration, const AgentsOfService& aAgents,
                            const LeaseTable& aLeases, TimePoint aNow);
   std::uint32_t NextNumber(const ServiceView& aService, std::uint32_t aHighestAcked) const;
-  void Issue(ServiceView& aService, std::vector<WeightedMember> aMembers,
-             std::uint32_t aHighestAcked) const;
+  void AddGeneration(ServiceView& aService, std::vector<WeightedMember> aMembers,
+                     std::uint32_t aHighestAcked) const;
 
   MembershipSettings mSettings;
   std::uint64_t mTerm = 0;
   bool mIssuedInTerm = false;
   View mView;
-  std::map<std::string, Pace> mPace;
+  std::map<std::string, StepTiming> mStepTimings;
 };
 
 } // namespace dandelionslip
--- a/lib/Control/AttachedNodes.cpp
+++ b/lib/Control/AttachedNodes.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-RenewalOutcome AttachedNodes::Take(const Announcement& aAnnouncement, TimePoint aNow)
+RenewalOutcome AttachedNodes::RecordAnnouncement(const Announcement& aAnnouncement, TimePoint aNow)
 {
   if (!CheckAnnouncement(aAnnouncement)) {
     return RenewalOutcome::Invalid;
@@ -27,7 +27,7 @@
   }
   Node& node = mNodes[member.mName];
   if (node.mAnnouncement.mMember.mIncarnation != member.mIncarnation) {
-    node.mLeaseFrom.reset();
+    node.mLeaseStart.reset();
   }
   node.mAnnouncement = aAnnouncement;
   node.mDigest = DigestOf(aAnnouncement);
@@ -40,11 +40,11 @@
 {
   mTerm = aTerm;
   mSequence = 0;
-  mWholeNext = true;
+  mNextIsWhole = true;
   mDetached.clear();
 }
 
-void AttachedNodes::DropSilent(TimePoint aNow)
+void AttachedNodes::DetachSilent(TimePoint aNow)
 {
   std::erase_if(mNodes, [&](const auto& aItem) {
     const bool silent = aItem.second.mLastAnnounced + mSettings.mAttachWindow < aNow;
@@ -56,56 +56,56 @@
   // A leader sends no summaries that would empty the set.
   if (mDetached.size() > mSettings.mMaxMembers) {
     mDetached.clear();
-    mWholeNext = true;
+    mNextIsWhole = true;
   }
 }
 
-MemberSummary AttachedNodes::NextSummary(const std::string& aReplica, std::uint64_t aTerm,
-                                         std::uint64_t aViewRevision, TimePoint aNow)
+MemberSummary AttachedNodes::BuildSummary(const std::string& aReplica, std::uint64_t aTerm,
+                                          std::uint64_t aViewRevision, TimePoint aNow)
 {
   if (aTerm != mTerm) {
     StartTerm(aTerm);
   }
-  DropSilent(aNow);
+  DetachSilent(aNow);
   MemberSummary summary;
   summary.mReplica = aReplica;
   summary.mTerm = aTerm;
   summary.mSequence = ++mSequence;
-  summary.mWhole = mWholeNext;
+  summary.mWhole = mNextIsWhole;
   summary.mViewRevision = aViewRevision;
   summary.mDetached.assign(mDetached.begin(), mDetached.end());
-  mSent.clear();
+  mSentNodes.clear();
   mSentAt = aNow;
   AttachedDigest digest;
   for (const auto& [name, node] : mNodes) {
-    if (mWholeNext || node.mDigest != node.mAckedDigest) {
+    if (mNextIsWhole || node.mDigest != node.mAckedDigest) {
       summary.mChanged.push_back(node.mAnnouncement);
     }
     digest.Add(name, node.mDigest);
-    mSent.emplace(name, Sent{node.mAnnouncement.mMember.mIncarnation, node.mDigest});
+    mSentNodes.emplace(name, SentNode{node.mAnnouncement.mMember.mIncarnation, node.mDigest});
   }
   summary.mDigest = digest.Value();
   return summary;
 }
 
-void AttachedNodes::TakeAnswer(const SummaryAnswer& aAnswer, std::uint64_t aViewRevision)
+void AttachedNodes::HandleAnswer(const SummaryAnswer& aAnswer, std::uint64_t aViewRevision)
 {
   if (aAnswer.mTerm != mTerm || aAnswer.mSequence != mSequence) {
     return;
   }
-  mWholeNext = aAnswer.mWholeWanted || (mWholeNext && !aAnswer.mAccepted);
+  mNextIsWhole = aAnswer.mWholeWanted || (mNextIsWhole && !aAnswer.mAccepted);
   for (const std::string& name : aAnswer.mFenced) {
     Fence(name);
   }
   if (aAnswer.mAccepted) {
-    TakeAccepted(aAnswer, aViewRevision >= aAnswer.mHeldRevision);
+    RecordAcceptance(aAnswer, aViewRevision >= aAnswer.mHeldRevision);
   }
 }
 
 void AttachedNodes::Fence(const std::string& aName)
 {
-  const auto sent = mSent.find(aName);
-  if (sent == mSent.end()) {
+  const auto sent = mSentNodes.find(aName);
+  if (sent == mSentNodes.end()) {
     return;
   }
   if (mFenced.size() >= mSettings.mMaxMembers) {
@@ -120,10 +120,10 @@
   }
 }
 
-void AttachedNodes::TakeAccepted(const SummaryAnswer& aAnswer, bool aRenews)
+void AttachedNodes::RecordAcceptance(const SummaryAnswer& aAnswer, bool aRenews)
 {
   const std::set<std::string> refused(aAnswer.mRefused.begin(), aAnswer.mRefused.end());
-  for (const auto& [name, sent] : mSent) {
+  for (const auto& [name, sent] : mSentNodes) {
     const auto node = mNodes.find(name);
     if (node == mNodes.end()) {
       continue;
@@ -131,22 +131,22 @@
     node->second.mAckedDigest = sent.mDigest;
     if (aRenews && !refused.contains(name) &&
         node->second.mAnnouncement.mMember.mIncarnation == sent.mIncarnation) {
-      node->second.mLeaseFrom = mSentAt;
+      node->second.mLeaseStart = mSentAt;
     }
   }
   // What was detached after the summary was built is not acknowledged yet.
-  std::erase_if(mDetached, [&](const std::string& aName) { return !mSent.contains(aName); });
+  std::erase_if(mDetached, [&](const std::string& aName) { return !mSentNodes.contains(aName); });
 }
 
 Milliseconds AttachedNodes::LeaseFor(const std::string& aName, std::uint64_t aIncarnation,
                                      TimePoint aNow) const
 {
   const auto found = mNodes.find(aName);
-  if (found == mNodes.end() || !found->second.mLeaseFrom ||
+  if (found == mNodes.end() || !found->second.mLeaseStart ||
       found->second.mAnnouncement.mMember.mIncarnation != aIncarnation) {
     return Milliseconds{0};
   }
-  const auto left = *found->second.mLeaseFrom + mSettings.mLease - aNow;
+  const auto left = *found->second.mLeaseStart + mSettings.mLease - aNow;
   return std::max(Milliseconds{0}, std::chrono::floor<Milliseconds>(left));
 }
 
@@ -160,7 +160,7 @@
   return found != mNodes.end() && aIncarnation < found->second.mAnnouncement.mMember.mIncarnation;
 }
 
-std::vector<Announcement> AttachedNodes::All() const
+std::vector<Announcement> AttachedNodes::Announcements() const
 {
   std::vector<Announcement> all;
   all.reserve(mNodes.size());
--- a/lib/Control/CommandRules.cpp
+++ b/lib/Control/CommandRules.cpp
@@ -147,8 +147,8 @@
   return {};
 }
 
-Rejection ChangeService(Configuration& aNext, std::uint64_t aIndex, const ServiceChange& aChange,
-                        const std::string& aPath)
+Rejection ApplyServiceChange(Configuration& aNext, std::uint64_t aIndex,
+                             const ServiceChange& aChange, const std::string& aPath)
 {
   if (!aChange.mSpec) {
     aNext.mServices.erase(aChange.mName);
@@ -166,7 +166,7 @@
   return {};
 }
 
-void ChangeOthers(Configuration& aNext, const Command& aCommand)
+void ApplyOtherChanges(Configuration& aNext, const Command& aCommand)
 {
   if (aCommand.mDataCentre) {
     DataCentreState& state = aNext.mDataCentres[aCommand.mDataCentre->mName];
@@ -273,11 +273,11 @@
   Configuration next = aState.mConfiguration;
   next.mRevision = aIndex;
   for (std::size_t i = 0; i < aCommand.mServices.size(); ++i) {
-    if (auto rejection = ChangeService(next, aIndex, aCommand.mServices[i], ServicePath(i))) {
+    if (auto rejection = ApplyServiceChange(next, aIndex, aCommand.mServices[i], ServicePath(i))) {
       return std::move(*rejection);
     }
   }
-  ChangeOthers(next, aCommand);
+  ApplyOtherChanges(next, aCommand);
   if (auto check = CheckSizes(next); !check) {
     return Refuse(check.error().Message());
   }
--- a/lib/Control/ConfigurationStore.cpp
+++ b/lib/Control/ConfigurationStore.cpp
@@ -107,10 +107,10 @@
               std::to_string(mState.mExpiredThroughMs) +
               ", because answers to older publications are no longer kept"};
   }
-  return Decide(aIndex, aCommand);
+  return ApplyNew(aIndex, aCommand);
 }
 
-CommandAnswer ConfigurationStore::Decide(std::uint64_t aIndex, const Command& aCommand)
+CommandAnswer ConfigurationStore::ApplyNew(std::uint64_t aIndex, const Command& aCommand)
 {
   mState.mLogTimeMs = std::max(mState.mLogTimeMs, aCommand.mIssuedMs);
   EvictAnswers();
@@ -120,7 +120,7 @@
   }
   auto result = Evaluate(mState, aIndex, aCommand);
   if (auto* rejection = std::get_if<CommandAnswer>(&result)) {
-    Keep(aIndex, aCommand, *rejection);
+    KeepAnswer(aIndex, aCommand, *rejection);
     return std::move(*rejection);
   }
   auto& next = std::get<Configuration>(result);
@@ -130,12 +130,12 @@
   mState.mConfiguration = std::move(next);
   RecordWriters(mState, aIndex, aCommand);
   CommandAnswer answer{CommandOutcome::Applied, aIndex, ""};
-  Keep(aIndex, aCommand, answer);
+  KeepAnswer(aIndex, aCommand, answer);
   return answer;
 }
 
-void ConfigurationStore::Keep(std::uint64_t aIndex, const Command& aCommand,
-                              const CommandAnswer& aAnswer)
+void ConfigurationStore::KeepAnswer(std::uint64_t aIndex, const Command& aCommand,
+                                    const CommandAnswer& aAnswer)
 {
   mState.mAnswers.push_back({aCommand.mPublicationId, aCommand.mIssuedMs, aIndex, aAnswer});
   mAnswerById.emplace(aCommand.mPublicationId, aAnswer);
@@ -146,7 +146,7 @@
 {
   std::size_t evicted = 0;
   const std::int64_t youngest = mState.mLogTimeMs - kAnswerRetentionMs;
-  while (mState.mAnswers.size() - evicted > kKeptAnswers &&
+  while (mState.mAnswers.size() - evicted > kMinKeptAnswers &&
          mState.mAnswers[evicted].mIssuedMs < youngest) {
     const KeptAnswer& kept = mState.mAnswers[evicted];
     mState.mExpiredThroughMs = std::max(mState.mExpiredThroughMs, kept.mIssuedMs);
--- a/lib/Control/GenerationPlan.cpp
+++ b/lib/Control/GenerationPlan.cpp
@@ -14,7 +14,7 @@
   return std::max(aEntry.mAnnouncement.mWeight, kMinWeight);
 }
 
-bool IsNoise(std::uint32_t aCurrent, std::uint32_t aTarget)
+bool IsWithinDeadBand(std::uint32_t aCurrent, std::uint32_t aTarget)
 {
   const std::uint64_t distance = aCurrent > aTarget ? aCurrent - aTarget : aTarget - aCurrent;
   return distance * kPermille < std::uint64_t{aCurrent} * kDeadBandPermille;
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::map<std::string, AgentsOfService> GroupAgents(const LeaseTable& aLeases)
+std::map<std::string, AgentsOfService> AgentsByService(const LeaseTable& aLeases)
 {
   std::map<std::string, AgentsOfService> agents;
   for (const auto& [name, entry] : aLeases.Entries()) {
@@ -79,7 +79,8 @@
 {
   std::vector<WeightedMember> members;
   for (const LeaseEntry* entry : mAgents) {
-    if (IsEligible(entry) && entry->mHeard && TakesNewWork(entry->mAnnouncement.mMember.mState)) {
+    if (IsEligible(entry) && entry->mHasAnnounced &&
+        TakesNewWork(entry->mAnnouncement.mMember.mState)) {
       members.push_back({entry->mAnnouncement.mMember.mName, AnnouncedWeight(*entry)});
     }
   }
@@ -90,7 +91,7 @@
 {
   const LeaseEntry& entry = *mLeases.Find(aMember.mMember);
   const MemberState state = entry.mAnnouncement.mMember.mState;
-  if (!entry.mHeard || !TakesNewWork(state)) {
+  if (!entry.mHasAnnounced || !TakesNewWork(state)) {
     return aMember.mWeight;
   }
   const std::uint32_t target = AnnouncedWeight(entry);
@@ -98,7 +99,8 @@
   if (state == MemberState::Cold && target < aMember.mWeight) {
     return target;
   }
-  return IsNoise(aMember.mWeight, target) ? aMember.mWeight : BoundedStep(aMember.mWeight, target);
+  return IsWithinDeadBand(aMember.mWeight, target) ? aMember.mWeight
+                                                   : BoundedStep(aMember.mWeight, target);
 }
 
 void GenerationPlan::AddJoining(std::vector<WeightedMember>& aMembers) const
@@ -113,8 +115,8 @@
   std::sort(aMembers.begin(), aMembers.end(), NameLess);
 }
 
-std::optional<GenerationPlan::Step> GenerationPlan::Planned(const ServiceView& aService,
-                                                            bool aStepDue) const
+std::optional<GenerationPlan::Step> GenerationPlan::PlannedChange(const ServiceView& aService,
+                                                                  bool aStepDue) const
 {
   const std::vector<WeightedMember> none;
   const std::vector<WeightedMember>& before =
@@ -127,7 +129,7 @@
   }
   if (step.mMembers.empty()) {
     step.mMembers = AnnouncedWeights();
-    step.mStepped = true;
+    step.mIsWeightStep = true;
     return step.mMembers.empty() ? std::nullopt : std::optional(std::move(step));
   }
   if (aStepDue) {
@@ -136,12 +138,13 @@
       member.mWeight = SteppedWeight(member);
     }
     AddJoining(step.mMembers);
-    step.mStepped = step.mMembers != kept;
+    step.mIsWeightStep = step.mMembers != kept;
   }
   return step.mMembers == before ? std::nullopt : std::optional(std::move(step));
 }
 
-std::optional<std::vector<WeightedMember>> GenerationPlan::Forced(const ServiceView& aService) const
+std::optional<std::vector<WeightedMember>> GenerationPlan::ForcedRemoval(
+  const ServiceView& aService) const
 {
   std::vector<WeightedMember> members = aService.mGenerations.front().mMembers;
   const auto removed = std::erase_if(
--- a/lib/Control/GenerationPlan.h
+++ b/lib/Control/GenerationPlan.h
@@ -10,7 +10,7 @@
 namespace dandelionslip {
 
 /// The agents that announce themselves for each service.
-std::map<std::string, AgentsOfService> GroupAgents(const LeaseTable& aLeases);
+std::map<std::string, AgentsOfService> AgentsByService(const LeaseTable& aLeases);
 
 /// Plans the next generation of one service; does not look at acknowledgements.
 class GenerationPlan
@@ -19,7 +19,7 @@
   struct Step
   {
     std::vector<WeightedMember> mMembers;
-    bool mStepped = false; ///< Weights were changed or members joined.
+    bool mIsWeightStep = false; ///< Weights were changed or members joined.
   };
 
   GenerationPlan(const std::string& aService, const Configuration& aConfiguration,
@@ -27,10 +27,10 @@
 
   /// All changes that are due; joins and weight steps only with aStepDue. Empty when nothing
   /// changes, or when no member is eligible: the owners then keep their buckets and flows.
-  std::optional<Step> Planned(const ServiceView& aService, bool aStepDue) const;
+  std::optional<Step> PlannedChange(const ServiceView& aService, bool aStepDue) const;
 
   /// Only the removal of members whose buckets have no live owner.
-  std::optional<std::vector<WeightedMember>> Forced(const ServiceView& aService) const;
+  std::optional<std::vector<WeightedMember>> ForcedRemoval(const ServiceView& aService) const;
 
 private:
   bool IsEligible(const LeaseEntry* aEntry) const;
--- a/lib/Control/LeaseTable.cpp
+++ b/lib/Control/LeaseTable.cpp
@@ -19,7 +19,7 @@
 
 // A planned stop is final for an incarnation. An announcement that was sent before the stop and
 // arrives after it, through another replica, must not take it back.
-bool TakesBackStop(MemberState aBefore, MemberState aNow)
+bool RevertsPlannedStop(MemberState aBefore, MemberState aNow)
 {
   if (aBefore == MemberState::Left) {
     return aNow != MemberState::Left;
@@ -109,10 +109,10 @@
     return RenewalOutcome::Fenced;
   }
   const bool same = member.mIncarnation == before.mIncarnation;
-  if (same && TakesBackStop(entry.mAnnounced, member.mState)) {
+  if (same && RevertsPlannedStop(entry.mAnnouncedState, member.mState)) {
     return RenewalOutcome::Fenced;
   }
-  const std::uint64_t liveFrom = same && !IsGone(before.mState) ? entry.mLiveFrom : 0;
+  const std::uint64_t liveFrom = same && !IsGone(before.mState) ? entry.mLiveSinceRevision : 0;
   entry =
     LeaseEntry{aAnnouncement, member.mState, DeadlineFor(member.mState, aNow), liveFrom, true};
   if (same) {
@@ -125,8 +125,8 @@
   return RenewalOutcome::Accepted;
 }
 
-RenewalOutcome LeaseTable::Touch(const std::string& aName, std::uint64_t aIncarnation,
-                                 TimePoint aNow)
+RenewalOutcome LeaseTable::RenewUnchanged(const std::string& aName, std::uint64_t aIncarnation,
+                                          TimePoint aNow)
 {
   const auto found = mEntries.find(aName);
   if (found == mEntries.end() || found->second.mAnnouncement.mMember.mIncarnation < aIncarnation) {
@@ -134,14 +134,14 @@
   }
   LeaseEntry& entry = found->second;
   if (entry.mAnnouncement.mMember.mIncarnation > aIncarnation ||
-      entry.mAnnounced == MemberState::Left) {
+      entry.mAnnouncedState == MemberState::Left) {
     return RenewalOutcome::Fenced;
   }
   if (entry.mAnnouncement.mMember.mState == MemberState::Lost) {
-    entry.mLiveFrom = 0;
+    entry.mLiveSinceRevision = 0;
   }
-  entry.mAnnouncement.mMember.mState = entry.mAnnounced;
-  entry.mDeadline = DeadlineFor(entry.mAnnounced, aNow);
+  entry.mAnnouncement.mMember.mState = entry.mAnnouncedState;
+  entry.mDeadline = DeadlineFor(entry.mAnnouncedState, aNow);
   return RenewalOutcome::Accepted;
 }
 
@@ -182,31 +182,32 @@
     const auto found = mEntries.find(name);
     if (found != mEntries.end() &&
         (found->second.mAnnouncement.mMember.mIncarnation > member.mIncarnation ||
-         (found->second.mHeard &&
+         (found->second.mHasAnnounced &&
           found->second.mAnnouncement.mMember.mIncarnation == member.mIncarnation))) {
       continue;
     }
     LeaseEntry entry;
     entry.mAnnouncement.mMember = member;
-    entry.mAnnounced = member.mState == MemberState::Lost ? MemberState::Cold : member.mState;
+    entry.mAnnouncedState = member.mState == MemberState::Lost ? MemberState::Cold : member.mState;
     entry.mDeadline = DeadlineFor(member.mState, aNow);
     mEntries.insert_or_assign(name, std::move(entry));
   }
 }
 
-void LeaseTable::MarkShown(std::uint64_t aRevision)
+void LeaseTable::MarkLiveInView(std::uint64_t aRevision)
 {
   for (auto& [name, entry] : mEntries) {
-    if (entry.mLiveFrom == 0 && !IsGone(entry.mAnnouncement.mMember.mState)) {
-      entry.mLiveFrom = aRevision;
+    if (entry.mLiveSinceRevision == 0 && !IsGone(entry.mAnnouncement.mMember.mState)) {
+      entry.mLiveSinceRevision = aRevision;
     }
   }
 }
 
-bool LeaseTable::IsShown(const std::string& aName, std::uint64_t aHeldRevision) const
+bool LeaseTable::IsLiveInHeldView(const std::string& aName, std::uint64_t aHeldRevision) const
 {
   const LeaseEntry* entry = Find(aName);
-  return entry != nullptr && entry->mLiveFrom != 0 && entry->mLiveFrom <= aHeldRevision;
+  return entry != nullptr && entry->mLiveSinceRevision != 0 &&
+         entry->mLiveSinceRevision <= aHeldRevision;
 }
 
 const LeaseEntry* LeaseTable::Find(const std::string& aName) const
--- a/lib/Control/LogStore.cpp
+++ b/lib/Control/LogStore.cpp
@@ -1,7 +1,7 @@
 // Changes to the durable log of a replica.
 #include "dandelionslip/Control/LogStore.h"
 
-#include "LogStoreNames.h"
+#include "LogStoreFormat.h"
 #include "RecordCodec.h"
 
 #include <boost/outcome/try.hpp>
@@ -18,7 +18,7 @@
 
 LogStore::~LogStore()
 {
-  CloseNewest();
+  CloseNewestSegment();
 }
 
 RecoveredState LogStore::TakeRecovered()
@@ -45,7 +45,8 @@
 Status LogStore::SaveHardState(const HardState& aState)
 {
   BOOST_OUTCOME_TRY(CheckUsable("store.hard_state"));
-  return Guard(WriteFile(PathOf(std::string(kHardStateName)), EncodeRecord(ToCbor(aState))));
+  return RecordFailure(
+    WriteFileAtomically(PathOf(std::string(kHardStateName)), EncodeRecord(ToCbor(aState))));
 }
 
 Status LogStore::Append(std::span<const LogEntry> aEntries)
@@ -61,10 +62,10 @@
   }
   while (!aEntries.empty()) {
     if (mSegments.empty() || mSegments.rbegin()->second.mSize >= mSettings.mSegmentBytes) {
-      BOOST_OUTCOME_TRY(Guard(StartSegment(mLastIndex + 1, mLastTerm)));
+      BOOST_OUTCOME_TRY(RecordFailure(StartSegment(mLastIndex + 1, mLastTerm)));
     }
     const LogIndex before = mLastIndex;
-    BOOST_OUTCOME_TRY(Guard(AppendToSegment(aEntries)));
+    BOOST_OUTCOME_TRY(RecordFailure(AppendToSegment(aEntries)));
     aEntries = aEntries.subspan(mLastIndex - before);
   }
   return Ok();
@@ -80,10 +81,10 @@
   const Term term = TermAt(aFirst - 1).value_or(mLastTerm);
   // Each removal is synced before the next one, so a crash never leaves a gap.
   while (!mSegments.empty() && mSegments.rbegin()->first >= aFirst) {
-    BOOST_OUTCOME_TRY(Guard(RemoveNewestSegment()));
+    BOOST_OUTCOME_TRY(RecordFailure(RemoveNewestSegment()));
   }
   if (!mSegments.empty() && mLastIndex >= aFirst) {
-    BOOST_OUTCOME_TRY(Guard(ShortenNewestSegment(aFirst)));
+    BOOST_OUTCOME_TRY(RecordFailure(ShortenNewestSegment(aFirst)));
   }
   if (mLastIndex >= aFirst) {
     mLastIndex = aFirst - 1;
@@ -100,8 +101,8 @@
                 "entry " + std::to_string(aSnapshot.mIndex) + " of term " +
                   std::to_string(aSnapshot.mTerm) + " is not in the log");
   }
-  BOOST_OUTCOME_TRY(Guard(WriteSnapshotFile(aSnapshot)));
-  return Guard(RemoveCoveredSegments());
+  BOOST_OUTCOME_TRY(RecordFailure(WriteSnapshotFile(aSnapshot)));
+  return RecordFailure(RemoveCoveredSegments());
 }
 
 Status LogStore::InstallSnapshot(const Snapshot& aSnapshot, bool aKeepSuffix)
@@ -114,14 +115,14 @@
     return Fail(ErrorCode::InvalidInput, "store.install", mSettings.mDirectory,
                 "a snapshot of entry " + std::to_string(mSnapshotId.mIndex) + " is in force");
   }
-  BOOST_OUTCOME_TRY(Guard(WriteSnapshotFile(aSnapshot)));
-  BOOST_OUTCOME_TRY(Guard(RemoveAllSegments()));
+  BOOST_OUTCOME_TRY(RecordFailure(WriteSnapshotFile(aSnapshot)));
+  BOOST_OUTCOME_TRY(RecordFailure(RemoveAllSegments()));
   mLastIndex = aSnapshot.mIndex;
   mLastTerm = aSnapshot.mTerm;
   return Ok();
 }
 
-Status LogStore::Guard(Status aStatus)
+Status LogStore::RecordFailure(Status aStatus)
 {
   if (!aStatus && !mFailure) {
     mFailure = aStatus.error();
@@ -138,7 +139,7 @@
   return Ok();
 }
 
-Status LogStore::WriteFile(const std::string& aPath, std::span<const std::uint8_t> aBytes)
+Status LogStore::WriteFileAtomically(const std::string& aPath, std::span<const std::uint8_t> aBytes)
 {
   const std::string temporary = aPath + std::string(kTemporarySuffix);
   BOOST_OUTCOME_TRY(const FileHandle file, mFiles.Open(temporary, OpenMode::Create));
@@ -154,7 +155,8 @@
 
 Status LogStore::WriteSnapshotFile(const Snapshot& aSnapshot)
 {
-  BOOST_OUTCOME_TRY(WriteFile(SnapshotPath(aSnapshot.mIndex), EncodeRecord(ToCbor(aSnapshot))));
+  BOOST_OUTCOME_TRY(
+    WriteFileAtomically(SnapshotPath(aSnapshot.mIndex), EncodeRecord(ToCbor(aSnapshot))));
   const LogIndex previous = mSnapshotId.mIndex;
   mSnapshotId = aSnapshot.Id();
   // Not synced: a file that reappears after a crash is removed at the next start.
@@ -163,18 +165,18 @@
 
 Status LogStore::StartSegment(LogIndex aFirst, Term aPreviousTerm)
 {
-  CloseNewest();
+  CloseNewestSegment();
   const SegmentHeader header{aFirst, aPreviousTerm};
   const Bytes record = EncodeRecord(ToCbor(header));
-  BOOST_OUTCOME_TRY(WriteFile(SegmentPath(aFirst), record));
+  BOOST_OUTCOME_TRY(WriteFileAtomically(SegmentPath(aFirst), record));
   Segment& segment = mSegments[aFirst];
   segment = Segment{SegmentPath(aFirst), aPreviousTerm, {}, {}, record.size()};
-  return OpenNewest();
+  return OpenNewestSegment();
 }
 
 Status LogStore::AppendToSegment(std::span<const LogEntry> aEntries)
 {
-  BOOST_OUTCOME_TRY(OpenNewest());
+  BOOST_OUTCOME_TRY(OpenNewestSegment());
   Segment& segment = mSegments.rbegin()->second;
   Bytes batch;
   std::size_t count = 0;
@@ -186,8 +188,8 @@
     offsets.push_back(segment.mSize + batch.size());
     batch.insert(batch.end(), record.begin(), record.end());
   }
-  BOOST_OUTCOME_TRY(mFiles.Append(*mNewest, batch));
-  BOOST_OUTCOME_TRY(mFiles.Sync(*mNewest));
+  BOOST_OUTCOME_TRY(mFiles.Append(*mNewestFile, batch));
+  BOOST_OUTCOME_TRY(mFiles.Sync(*mNewestFile));
   segment.mSize += batch.size();
   for (std::size_t i = 0; i < count; ++i) {
     segment.mOffsets.push_back(offsets[i]);
@@ -198,27 +200,27 @@
   return Ok();
 }
 
-Status LogStore::OpenNewest()
+Status LogStore::OpenNewestSegment()
 {
-  if (!mNewest) {
+  if (!mNewestFile) {
     BOOST_OUTCOME_TRY(const FileHandle file,
                       mFiles.Open(mSegments.rbegin()->second.mPath, OpenMode::Append));
-    mNewest = file;
+    mNewestFile = file;
   }
   return Ok();
 }
 
-void LogStore::CloseNewest()
+void LogStore::CloseNewestSegment()
 {
-  if (mNewest) {
-    mFiles.Close(*mNewest);
-    mNewest.reset();
+  if (mNewestFile) {
+    mFiles.Close(*mNewestFile);
+    mNewestFile.reset();
   }
 }
 
 Status LogStore::RemoveNewestSegment()
 {
-  CloseNewest();
+  CloseNewestSegment();
   const auto newest = std::prev(mSegments.end());
   BOOST_OUTCOME_TRY(mFiles.Remove(newest->second.mPath));
   BOOST_OUTCOME_TRY(mFiles.SyncDirectory(mSettings.mDirectory));
@@ -230,11 +232,11 @@
 
 Status LogStore::ShortenNewestSegment(LogIndex aFirst)
 {
-  BOOST_OUTCOME_TRY(OpenNewest());
+  BOOST_OUTCOME_TRY(OpenNewestSegment());
   auto& [first, segment] = *mSegments.rbegin();
   const std::size_t kept = aFirst - first;
-  BOOST_OUTCOME_TRY(mFiles.Truncate(*mNewest, segment.mOffsets[kept]));
-  BOOST_OUTCOME_TRY(mFiles.Sync(*mNewest));
+  BOOST_OUTCOME_TRY(mFiles.Truncate(*mNewestFile, segment.mOffsets[kept]));
+  BOOST_OUTCOME_TRY(mFiles.Sync(*mNewestFile));
   segment.mSize = segment.mOffsets[kept];
   segment.mOffsets.resize(kept);
   segment.mTerms.resize(kept);
--- a/lib/Control/LogStoreLoad.cpp
+++ b/lib/Control/LogStoreLoad.cpp
@@ -1,7 +1,7 @@
 // Reading of the data directory at start.
 #include "dandelionslip/Control/LogStore.h"
 
-#include "LogStoreNames.h"
+#include "LogStoreFormat.h"
 #include "RecordCodec.h"
 
 #include <boost/outcome/try.hpp>
@@ -50,7 +50,7 @@
 Result<T> DecodeRecord(const RecordView& aRecord, const std::string& aPath, std::uint64_t aOffset)
 {
   if (aRecord.mStatus != RecordStatus::Complete) {
-    return Damage(aPath, aOffset, aRecord.mProblem);
+    return Damage(aPath, aOffset, aRecord.mError);
   }
   auto decoded = FromCbor<T>(aRecord.mPayload, aPath);
   if (!decoded) {
@@ -61,7 +61,7 @@
 
 // Reads a file that holds exactly one record.
 template <typename T>
-Result<T> ReadSingle(FileLayer& aFiles, const std::string& aPath)
+Result<T> ReadSingleRecord(FileLayer& aFiles, const std::string& aPath)
 {
   BOOST_OUTCOME_TRY(const Bytes bytes, aFiles.Read(aPath));
   if (bytes.empty()) {
@@ -147,7 +147,7 @@
 Status LogStore::LoadIdentity()
 {
   const std::string path = PathOf(std::string(kIdentityName));
-  BOOST_OUTCOME_TRY(const auto identity, ReadSingle<Identity>(mFiles, path));
+  BOOST_OUTCOME_TRY(const auto identity, ReadSingleRecord<Identity>(mFiles, path));
   if (!mSettings.mReplica.empty() && mSettings.mReplica != identity.mReplica) {
     return Fail(ErrorCode::Conflict, "store.open", path,
                 "the directory belongs to replica " + identity.mReplica + ", not to " +
@@ -169,12 +169,13 @@
     mRecovered.mStore = aRandom.Next();
   } while (mRecovered.mStore == 0);
   const Identity identity{mRecovered.mReplica, mRecovered.mStore};
-  return WriteFile(PathOf(std::string(kIdentityName)), EncodeRecord(ToCbor(identity)));
+  return WriteFileAtomically(PathOf(std::string(kIdentityName)), EncodeRecord(ToCbor(identity)));
 }
 
 Status LogStore::LoadHardState()
 {
-  BOOST_OUTCOME_TRY(auto state, ReadSingle<HardState>(mFiles, PathOf(std::string(kHardStateName))));
+  BOOST_OUTCOME_TRY(auto state,
+                    ReadSingleRecord<HardState>(mFiles, PathOf(std::string(kHardStateName))));
   mRecovered.mHardState = std::move(state);
   return Ok();
 }
@@ -186,7 +187,7 @@
     return Ok();
   }
   const std::string path = SnapshotPath(indexes.back());
-  BOOST_OUTCOME_TRY(auto snapshot, ReadSingle<Snapshot>(mFiles, path));
+  BOOST_OUTCOME_TRY(auto snapshot, ReadSingleRecord<Snapshot>(mFiles, path));
   if (snapshot.mIndex != indexes.back()) {
     return Damage(path, 0, "the snapshot's index differs from the file name");
   }
@@ -252,8 +253,8 @@
   while (aSegment.mSize < aBytes.size()) {
     const std::uint64_t offset = aSegment.mSize;
     const RecordView record = ReadRecord(aBytes, offset);
-    if (record.mStatus == RecordStatus::Cut && aNewest) {
-      return CutTail(aSegment, aBytes.size());
+    if (record.mStatus == RecordStatus::Incomplete && aNewest) {
+      return DropTail(aSegment, aBytes.size());
     }
     BOOST_OUTCOME_TRY(auto entry, DecodeRecord<LogEntry>(record, aSegment.mPath, offset));
     if (const LogIndex expected = aFirst + aSegment.mTerms.size(); entry.mIndex != expected) {
@@ -275,7 +276,7 @@
   return Ok();
 }
 
-Status LogStore::CutTail(Segment& aSegment, std::uint64_t aSize)
+Status LogStore::DropTail(Segment& aSegment, std::uint64_t aSize)
 {
   mRecovered.mDroppedTail =
     Error{ErrorCode::Corrupt, "store.open", aSegment.mPath,
--- a/lib/Control/MembershipCore.cpp
+++ b/lib/Control/MembershipCore.cpp
@@ -48,8 +48,9 @@
 {
   AnnouncementAnswer answer;
   const Member& member = aAnnouncement.mMember;
-  RenewalOutcome outcome =
-    IsFencedByView(member) ? RenewalOutcome::Fenced : mAttached.Take(aAnnouncement, aNow);
+  RenewalOutcome outcome = IsFencedByView(member)
+                             ? RenewalOutcome::Fenced
+                             : mAttached.RecordAnnouncement(aAnnouncement, aNow);
   if (outcome == RenewalOutcome::Accepted && mRole.mLeading) {
     outcome = mLeases.Renew(aAnnouncement, aNow);
   }
@@ -59,7 +60,7 @@
   }
   answer.mConfirmed = true;
   answer.mLease = LeaseFor(member, aNow);
-  AddState(aAnnouncement, answer);
+  AddNewerState(aAnnouncement, answer);
   return answer;
 }
 
@@ -68,16 +69,18 @@
   if (!mRole.mLeading) {
     return mAttached.LeaseFor(aMember.mName, aMember.mIncarnation, aNow);
   }
-  return mLeases.IsShown(aMember.mName, mHeldRevision) ? mSettings.mLease : Milliseconds{0};
+  return mLeases.IsLiveInHeldView(aMember.mName, mHeldRevision) ? mSettings.mLease
+                                                                : Milliseconds{0};
 }
 
-void MembershipCore::AddState(const Announcement& aAnnouncement, AnnouncementAnswer& aAnswer) const
+void MembershipCore::AddNewerState(const Announcement& aAnnouncement,
+                                   AnnouncementAnswer& aAnswer) const
 {
   aAnswer.mConfigurationRevision = mConfigurations.Newest().mRevision;
-  aAnswer.mViewRevision = HandedView().mRevision;
+  aAnswer.mViewRevision = ServedView().mRevision;
   AddNewer(mConfigurations, aAnnouncement.mConfigurationRevision, aAnswer.mConfiguration,
            aAnswer.mConfigurationDifference);
-  AddNewer(mHanded, aAnnouncement.mViewRevision, aAnswer.mView, aAnswer.mViewDifference);
+  AddNewer(mServedViews, aAnnouncement.mViewRevision, aAnswer.mView, aAnswer.mViewDifference);
 }
 
 SummaryAnswer MembershipCore::OnSummary(const MemberSummary& aSummary, TimePoint aNow)
@@ -89,19 +92,19 @@
     return answer;
   }
   Peer& peer = mPeers[aSummary.mReplica];
-  SummaryAnswer answer = peer.mReceiver.Take(aSummary, mLeases, mHeldRevision, aNow);
-  peer.mHeardAt = aNow;
+  SummaryAnswer answer = peer.mReceiver.HandleSummary(aSummary, mLeases, mHeldRevision, aNow);
+  peer.mLastSummaryAt = aNow;
   peer.mViewRevision = aSummary.mViewRevision;
   if (!mIssuing) {
-    TakeViewOf(aSummary, peer, answer, aNow);
+    AdoptViewOf(aSummary, peer, answer, aNow);
     StartIssuing(aNow);
   }
-  LearnHeld(QuorumRevision());
+  RaiseHeldRevision(QuorumRevision());
   return answer;
 }
 
-void MembershipCore::TakeViewOf(const MemberSummary& aSummary, Peer& aPeer, SummaryAnswer& aAnswer,
-                                TimePoint aNow)
+void MembershipCore::AdoptViewOf(const MemberSummary& aSummary, Peer& aPeer, SummaryAnswer& aAnswer,
+                                 TimePoint aNow)
 {
   const bool ofEarlierTerm =
     aSummary.mView && (aSummary.mView->mRevision >> kTermShift) < mRole.mTerm;
@@ -109,18 +112,18 @@
     mLeases.Adopt(*aSummary.mView, aNow);
   }
   aAnswer.mViewWanted = aSummary.mViewRevision > CurrentView().mRevision;
-  aPeer.mHeard = !aAnswer.mViewWanted;
+  aPeer.mViewKnown = !aAnswer.mViewWanted;
 }
 
 void MembershipCore::OnSummaryAnswer(const SummaryAnswer& aAnswer)
 {
-  mAwaitingAnswer = false;
+  mAwaitingSummaryAnswer = false;
   if (mRole.mLeading || aAnswer.mTerm != mRole.mTerm) {
     return;
   }
-  mSendView = aAnswer.mViewWanted;
-  LearnHeld(aAnswer.mHeldRevision);
-  mAttached.TakeAnswer(aAnswer, HandedView().mRevision);
+  mViewRequested = aAnswer.mViewWanted;
+  RaiseHeldRevision(aAnswer.mHeldRevision);
+  mAttached.HandleAnswer(aAnswer, ServedView().mRevision);
   if (aAnswer.mViewWanted || aAnswer.mWholeWanted) {
     mSummarySentAt.reset();
   }
@@ -129,13 +132,13 @@
 ViewUpdateAnswer MembershipCore::OnViewUpdate(const ViewUpdate& aUpdate)
 {
   if (!mRole.mLeading && aUpdate.mTerm == mRole.mTerm) {
-    TakeView(aUpdate);
-    LearnHeld(aUpdate.mHeldRevision);
+    ApplyViewUpdate(aUpdate);
+    RaiseHeldRevision(aUpdate.mHeldRevision);
   }
   return {mReplica, aUpdate.mTerm, CurrentView().mRevision};
 }
 
-void MembershipCore::TakeView(const ViewUpdate& aUpdate)
+void MembershipCore::ApplyViewUpdate(const ViewUpdate& aUpdate)
 {
   // A revision beyond the sender's term would keep out the views of later leaders.
   const auto allowed = [&](std::uint64_t aRevision) {
@@ -152,20 +155,20 @@
   }
 }
 
-void MembershipCore::LearnHeld(std::uint64_t aRevision)
+void MembershipCore::RaiseHeldRevision(std::uint64_t aRevision)
 {
   mHeldRevision = std::max(mHeldRevision, aRevision);
   const std::uint64_t heldTerm = mHeldRevision >> kTermShift;
   // A view of an earlier term may be one that never reached a quorum.
   if (CurrentView().mRevision <= mHeldRevision) {
     if (CurrentView().mRevision >> kTermShift == heldTerm) {
-      mHanded.Advance(CurrentView());
+      mServedViews.Advance(CurrentView());
     }
     return;
   }
-  if (const auto step = mViews.DifferenceFrom(HandedView().mRevision, mHeldRevision);
+  if (const auto step = mViews.DifferenceFrom(ServedView().mRevision, mHeldRevision);
       step && step->mTo >> kTermShift == heldTerm) {
-    std::ignore = mHanded.Apply(*step);
+    std::ignore = mServedViews.Apply(*step);
   }
 }
 
@@ -176,7 +179,7 @@
   }
   if (const auto peer = mPeers.find(aAnswer.mReplica); peer != mPeers.end()) {
     peer->second.mViewRevision = aAnswer.mViewRevision;
-    LearnHeld(QuorumRevision());
+    RaiseHeldRevision(QuorumRevision());
   }
 }
 
@@ -210,8 +213,8 @@
 void MembershipCore::BeginTerm(TimePoint aNow)
 {
   mIssuing = false;
-  mSendView = false;
-  mAwaitingAnswer = false;
+  mViewRequested = false;
+  mAwaitingSummaryAnswer = false;
   mSummarySentAt.reset();
   mViewUpdatedAt.reset();
   mPeers.clear();
@@ -220,24 +223,24 @@
     return;
   }
   mLeases.Adopt(CurrentView(), aNow);
-  mAttached.DropSilent(aNow);
-  for (const Announcement& announcement : mAttached.All()) {
+  mAttached.DetachSilent(aNow);
+  for (const Announcement& announcement : mAttached.Announcements()) {
     mLeases.Renew(announcement, aNow);
   }
 }
 
 void MembershipCore::StartIssuing(TimePoint aNow)
 {
-  if (!mRole.mLeading || mIssuing || !HasHeardQuorum()) {
+  if (!mRole.mLeading || mIssuing || !KnowsViewsOfQuorum()) {
     return;
   }
   mIssuing = true;
-  mIssueFrom = aNow;
+  mFirstIssueTime = aNow;
   // Without a view from before, the first generation would go to the agents that happen to
   // announce themselves first. All live ones do so within one lease. Without services there are no
   // generations.
   if (CurrentView().mRevision == 0 && !mStore.Current().mServices.empty()) {
-    mIssueFrom += mSettings.mLease + mSettings.mLeaseMargin;
+    mFirstIssueTime += mSettings.mLease + mSettings.mLeaseMargin;
   }
   mBuilder.StartTerm(mRole.mTerm, CurrentView());
 }
@@ -247,11 +250,11 @@
   return std::find(mRole.mVoters.begin(), mRole.mVoters.end(), aReplica) != mRole.mVoters.end();
 }
 
-bool MembershipCore::HasHeardQuorum() const
+bool MembershipCore::KnowsViewsOfQuorum() const
 {
   std::size_t heard = IsVoter(mReplica) ? 1 : 0;
   for (const auto& [name, peer] : mPeers) {
-    heard += peer.mHeard && IsVoter(name) ? 1 : 0;
+    heard += peer.mViewKnown && IsVoter(name) ? 1 : 0;
   }
   return heard > mRole.mVoters.size() / 2;
 }
@@ -271,7 +274,7 @@
   return held[held.size() / 2];
 }
 
-bool MembershipCore::MayIssue() const
+bool MembershipCore::MayIssueView() const
 {
   const std::uint64_t firstOfTerm = mRole.mTerm << kTermShift;
   const std::uint64_t held = std::max(QuorumRevision(), firstOfTerm);
@@ -280,39 +283,41 @@
 
 void MembershipCore::UpdateView(TimePoint aNow)
 {
-  if (!mIssuing || aNow < mIssueFrom ||
+  if (!mIssuing || aNow < mFirstIssueTime ||
       (mViewUpdatedAt && aNow - *mViewUpdatedAt < mSettings.mViewInterval)) {
     return;
   }
   mViewUpdatedAt = aNow;
-  mAttached.DropSilent(aNow);
+  mAttached.DetachSilent(aNow);
   mLeases.Expire(aNow);
   mLeases.Forget(CurrentView(), aNow);
-  if (MayIssue() && mBuilder.Update(mStore.Current(), mLeases, aNow)) {
+  if (MayIssueView() && mBuilder.Update(mStore.Current(), mLeases, aNow)) {
     mViews.Advance(mBuilder.Current());
   }
   if (CurrentView().mRevision >> kTermShift == mRole.mTerm) {
-    mLeases.MarkShown(CurrentView().mRevision);
+    mLeases.MarkLiveInView(CurrentView().mRevision);
   }
-  LearnHeld(QuorumRevision());
+  RaiseHeldRevision(QuorumRevision());
 }
 
-std::optional<ViewUpdate> MembershipCore::UpdateFor(Peer& aPeer, TimePoint aNow) const
+std::optional<ViewUpdate> MembershipCore::ViewUpdateFor(Peer& aPeer, TimePoint aNow) const
 {
   const std::uint64_t newest = CurrentView().mRevision;
-  const bool waits = aPeer.mSentRevision == newest && aNow - aPeer.mSentAt < mSettings.mViewResend;
+  const bool waits =
+    aPeer.mViewRevisionSent == newest && aNow - aPeer.mViewSentAt < mSettings.mViewResend;
   const bool behind = aPeer.mViewRevision < newest && !waits;
-  if (aNow - aPeer.mHeardAt > mSettings.mLease || (!behind && aPeer.mToldHeld >= mHeldRevision)) {
+  if (aNow - aPeer.mLastSummaryAt > mSettings.mLease ||
+      (!behind && aPeer.mHeldRevisionSent >= mHeldRevision)) {
     return std::nullopt;
   }
   ViewUpdate update;
   update.mTerm = mRole.mTerm;
   update.mHeldRevision = mHeldRevision;
-  aPeer.mToldHeld = mHeldRevision;
+  aPeer.mHeldRevisionSent = mHeldRevision;
   if (behind) {
     AddNewer(mViews, aPeer.mViewRevision, update.mView, update.mDifference);
-    aPeer.mSentAt = aNow;
-    aPeer.mSentRevision = newest;
+    aPeer.mViewSentAt = aNow;
+    aPeer.mViewRevisionSent = newest;
   }
   return update;
 }
@@ -320,7 +325,7 @@
 void MembershipCore::AddViewUpdates(std::vector<MembershipAction>& aActions, TimePoint aNow)
 {
   for (auto& [name, peer] : mPeers) {
-    if (auto update = UpdateFor(peer, aNow)) {
+    if (auto update = ViewUpdateFor(peer, aNow)) {
       aActions.emplace_back(SendViewUpdate{name, std::move(*update)});
     }
   }
@@ -332,17 +337,17 @@
     return;
   }
   const Milliseconds pause =
-    mAwaitingAnswer ? mSettings.mSummaryTimeout : mSettings.mSummaryInterval;
+    mAwaitingSummaryAnswer ? mSettings.mSummaryTimeout : mSettings.mSummaryInterval;
   if (mSummarySentAt && aNow - *mSummarySentAt < pause) {
     return;
   }
   MemberSummary summary =
-    mAttached.NextSummary(mReplica, mRole.mTerm, CurrentView().mRevision, aNow);
-  if (mSendView) {
+    mAttached.BuildSummary(mReplica, mRole.mTerm, CurrentView().mRevision, aNow);
+  if (mViewRequested) {
     summary.mView = CurrentView();
   }
   mSummarySentAt = aNow;
-  mAwaitingAnswer = true;
+  mAwaitingSummaryAnswer = true;
   aActions.emplace_back(SendSummary{mRole.mLeader, std::move(summary)});
 }
 
--- a/lib/Control/ReplicaMachine.h
+++ b/lib/Control/PeerStateMachine.h
@@ -5,7 +5,7 @@
 
 namespace dandelionslip {
 
-enum class ReplicaState
+enum class PeerState
 {
   Probe,     ///< The leader looks for the last matching entry.
   Replicate, ///< Entries are sent without waiting for each answer.
@@ -13,7 +13,7 @@
   Refused,   ///< Its disk is not the one that was promoted.
 };
 
-enum class ReplicaEvent
+enum class PeerEvent
 {
   Matched,
   Mismatched,
@@ -24,17 +24,17 @@
 };
 
 /// State machine of a leader's knowledge about another replica.
-class ReplicaMachine
+class PeerStateMachine
 {
 public:
-  ReplicaMachine();
-  ~ReplicaMachine();
-  ReplicaMachine(ReplicaMachine&&) noexcept;
-  ReplicaMachine& operator=(ReplicaMachine&&) noexcept;
+  PeerStateMachine();
+  ~PeerStateMachine();
+  PeerStateMachine(PeerStateMachine&&) noexcept;
+  PeerStateMachine& operator=(PeerStateMachine&&) noexcept;
 
-  ReplicaState State() const;
+  PeerState State() const;
   /// Takes the transition for the event; false if the state has none.
-  bool Process(ReplicaEvent aEvent);
+  bool Process(PeerEvent aEvent);
 
 private:
   struct Impl;
--- a/lib/Control/ProposalTracker.cpp
+++ b/lib/Control/ProposalTracker.cpp
@@ -7,7 +7,7 @@
 
 using OpenProposals = std::multimap<LogIndex, Term>;
 
-std::vector<ProposalResult> TakeUnknown(OpenProposals& aOpen, OpenProposals::iterator aEnd)
+std::vector<ProposalResult> RemoveAsUnknown(OpenProposals& aOpen, OpenProposals::iterator aEnd)
 {
   std::vector<ProposalResult> results;
   for (auto at = aOpen.begin(); at != aEnd; ++at) {
@@ -39,12 +39,12 @@
 
 std::vector<ProposalResult> ProposalTracker::SnapshotInstalled(LogIndex aIndex)
 {
-  return TakeUnknown(mOpen, mOpen.upper_bound(aIndex));
+  return RemoveAsUnknown(mOpen, mOpen.upper_bound(aIndex));
 }
 
-std::vector<ProposalResult> ProposalTracker::Abandon()
+std::vector<ProposalResult> ProposalTracker::AbandonAll()
 {
-  return TakeUnknown(mOpen, mOpen.end());
+  return RemoveAsUnknown(mOpen, mOpen.end());
 }
 
 void ProposalTracker::Forget(EntryId aEntry)
--- a/lib/Control/RaftCore.cpp
+++ b/lib/Control/RaftCore.cpp
@@ -1,12 +1,12 @@
 // Public face of the decision core.
 #include "dandelionslip/Control/RaftCore.h"
 
-#include "RaftNode.h"
+#include "RaftCoreImpl.h"
 
 namespace dandelionslip {
 
 RaftCore::RaftCore(RaftSettings aSettings, RecoveredState aState, Random aRandom, TimePoint aNow)
-  : mNode(std::make_unique<Node>(aSettings, std::move(aState), aRandom, aNow))
+  : mImpl(std::make_unique<Impl>(aSettings, std::move(aState), aRandom, aNow))
 {
 }
 
@@ -14,105 +14,105 @@
 
 RaftActions RaftCore::Tick(TimePoint aNow)
 {
-  return mNode->Tick(aNow);
+  return mImpl->Tick(aNow);
 }
 
 RaftActions RaftCore::Receive(TimePoint aNow, const RaftMessage& aMessage)
 {
-  return mNode->Receive(aNow, aMessage);
+  return mImpl->Receive(aNow, aMessage);
 }
 
 RaftActions RaftCore::Persisted(TimePoint aNow, EntryId aLast)
 {
-  return mNode->Persisted(aNow, aLast);
+  return mImpl->Persisted(aNow, aLast);
 }
 
 Result<EntryId> RaftCore::Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions)
 {
-  return mNode->Propose(aNow, std::move(aPayload), aActions);
+  return mImpl->Propose(aNow, std::move(aPayload), aActions);
 }
 
 Result<EntryId> RaftCore::ProposeChange(TimePoint aNow, const MembershipChange& aChange,
                                         RaftActions& aActions)
 {
-  return mNode->ProposeChange(aNow, aChange, aActions);
+  return mImpl->ProposeChange(aNow, aChange, aActions);
 }
 
 Status RaftCore::TransferLeadership(TimePoint aNow, const ReplicaId& aTarget, RaftActions& aActions)
 {
-  return mNode->TransferLeadership(aNow, aTarget, aActions);
+  return mImpl->TransferLeadership(aNow, aTarget, aActions);
 }
 
 bool RaftCore::SnapshotDue() const
 {
-  return mNode->SnapshotDue();
+  return mImpl->SnapshotDue();
 }
 
 Snapshot RaftCore::MakeSnapshot(Bytes aState) const
 {
-  const LogIndex applied = mNode->AppliedIndex();
-  return {applied, *mNode->Log().TermAt(applied), mNode->Log().MembershipAt(applied),
+  const LogIndex applied = mImpl->AppliedIndex();
+  return {applied, *mImpl->Log().TermAt(applied), mImpl->Log().MembershipAt(applied),
           std::move(aState)};
 }
 
 void RaftCore::Compact(std::shared_ptr<const Snapshot> aSnapshot)
 {
-  mNode->Compact(std::move(aSnapshot));
+  mImpl->Compact(std::move(aSnapshot));
 }
 
 bool RaftCore::Confirmed(TimePoint aNow) const
 {
-  return mNode->Confirmed(aNow);
+  return mImpl->Confirmed(aNow);
 }
 
 std::optional<ReplicaId> RaftCore::Leader() const
 {
-  return mNode->Leader();
+  return mImpl->Leader();
 }
 
 RaftRole RaftCore::Role() const
 {
-  return mNode->Role();
+  return mImpl->Role();
 }
 
 Term RaftCore::CurrentTerm() const
 {
-  return mNode->CurrentTerm();
+  return mImpl->CurrentTerm();
 }
 
 LogIndex RaftCore::CommitIndex() const
 {
-  return mNode->CommitIndex();
+  return mImpl->CommitIndex();
 }
 
 LogIndex RaftCore::AppliedIndex() const
 {
-  return mNode->AppliedIndex();
+  return mImpl->AppliedIndex();
 }
 
 LogIndex RaftCore::LastIndex() const
 {
-  return mNode->Log().LastIndex();
+  return mImpl->Log().LastIndex();
 }
 
 std::optional<Term> RaftCore::TermAt(LogIndex aIndex) const
 {
-  return mNode->Log().TermAt(aIndex);
+  return mImpl->Log().TermAt(aIndex);
 }
 
 const Membership& RaftCore::Members() const
 {
-  return mNode->Log().LatestMembership();
+  return mImpl->Log().LatestMembership();
 }
 
 const Membership& RaftCore::CommittedMembers() const
 {
-  return mNode->Log().MembershipAt(mNode->CommitIndex());
+  return mImpl->Log().MembershipAt(mImpl->CommitIndex());
 }
 
 LogIndex RaftCore::MatchOf(const ReplicaId& aReplica) const
 {
-  return mNode->MatchOf(aReplica);
+  return mImpl->MatchOf(aReplica);
 }
 
 } // namespace dandelionslip
--- a/lib/Control/RaftNode.cpp
+++ b/lib/Control/RaftCoreImpl.cpp
@@ -1,5 +1,5 @@
 // Events of the core and the actions built from their effects.
-#include "RaftNode.h"
+#include "RaftCoreImpl.h"
 
 namespace dandelionslip {
 
@@ -24,11 +24,11 @@
 }
 
 // How long after the start the first election timeout applies.
-constexpr Milliseconds kFirstElections{1'000};
+constexpr Milliseconds kFirstElectionPeriod{1'000};
 
 } // namespace
 
-RaftCore::Node::Node(RaftSettings aSettings, RecoveredState aState, Random aRandom, TimePoint aNow)
+RaftCore::Impl::Impl(RaftSettings aSettings, RecoveredState aState, Random aRandom, TimePoint aNow)
   : mSettings(aSettings)
   , mSelf(std::move(aState.mReplica))
   , mStore(aState.mStore)
@@ -38,71 +38,71 @@
   , mStartedAt(aNow)
   , mHardState(std::move(aState.mHardState))
   , mLog(std::move(aState.mSnapshot), std::move(aState.mEntries))
-  , mPersisted(mLog.LastIndex())
-  , mCommit(mLog.SnapshotId().mIndex)
-  , mApplied(mCommit)
+  , mPersistedIndex(mLog.LastIndex())
+  , mCommitIndex(mLog.SnapshotId().mIndex)
+  , mAppliedIndex(mCommitIndex)
 {
   ResetElectionDeadline();
 }
 
-RaftActions RaftCore::Node::Tick(TimePoint aNow)
+RaftActions RaftCore::Impl::Tick(TimePoint aNow)
 {
-  Begin(aNow);
-  if (!mSelfChecked) {
-    CheckSelf();
+  SetNow(aNow);
+  if (!mOwnIdentityChecked) {
+    CheckOwnIdentity();
   }
   if (Role() == RaftRole::Leader) {
     TickLeader();
   } else if (Role() != RaftRole::Stopped && mNow >= mElectionDeadline) {
     IsCandidateEligible() ? StartPreVote() : ResetElectionDeadline();
   }
-  return Finish();
+  return CollectActions();
 }
 
-RaftActions RaftCore::Node::Receive(TimePoint aNow, const RaftMessage& aMessage)
+RaftActions RaftCore::Impl::Receive(TimePoint aNow, const RaftMessage& aMessage)
 {
-  Begin(aNow);
+  SetNow(aNow);
   if (Role() == RaftRole::Stopped || aMessage.mTo != mSelf || aMessage.mFrom == mSelf) {
-    return Finish();
+    return CollectActions();
   }
   if (const auto* refusal = std::get_if<ReplicaRefusal>(&aMessage.mBody)) {
     Handle(aMessage, *refusal);
-    return Finish();
+    return CollectActions();
   }
   if (auto reason = ReasonToRefuse(aMessage)) {
     mRefusedPeers.push_back({aMessage.mFrom, *reason});
     Answer(aMessage, ReplicaRefusal{std::move(*reason)});
-    return Finish();
+    return CollectActions();
   }
   if (AdoptTerm(aMessage)) {
     std::visit([&](const auto& aBody) { Handle(aMessage, aBody); }, aMessage.mBody);
   }
-  return Finish();
+  return CollectActions();
 }
 
-RaftActions RaftCore::Node::Persisted(TimePoint aNow, EntryId aLast)
+RaftActions RaftCore::Impl::Persisted(TimePoint aNow, EntryId aLast)
 {
-  Begin(aNow);
+  SetNow(aNow);
   if (mLog.TermAt(aLast.mIndex) == aLast.mTerm) {
-    mPersisted = std::max(mPersisted, aLast.mIndex);
+    mPersistedIndex = std::max(mPersistedIndex, aLast.mIndex);
     MaybeCommit();
   }
-  return Finish();
+  return CollectActions();
 }
 
-void RaftCore::Node::Compact(std::shared_ptr<const Snapshot> aSnapshot)
+void RaftCore::Impl::Compact(std::shared_ptr<const Snapshot> aSnapshot)
 {
-  if (aSnapshot->mIndex > mLog.SnapshotId().mIndex && aSnapshot->mIndex <= mApplied) {
+  if (aSnapshot->mIndex > mLog.SnapshotId().mIndex && aSnapshot->mIndex <= mAppliedIndex) {
     mLog.Compact(std::move(aSnapshot));
   }
 }
 
-bool RaftCore::Node::SnapshotDue() const
+bool RaftCore::Impl::SnapshotDue() const
 {
-  return mApplied - mLog.SnapshotId().mIndex >= mSettings.mSnapshotEntries;
+  return mAppliedIndex - mLog.SnapshotId().mIndex >= mSettings.mSnapshotEntries;
 }
 
-bool RaftCore::Node::Confirmed(TimePoint aNow) const
+bool RaftCore::Impl::Confirmed(TimePoint aNow) const
 {
   if (Role() == RaftRole::Stopped) {
     return false;
@@ -114,19 +114,19 @@
   return contact && aNow - *contact <= mSettings.mConfirmWindow;
 }
 
-RaftActions RaftCore::Node::Finish()
+RaftActions RaftCore::Impl::CollectActions()
 {
   RaftActions actions;
-  FinishMessages(actions);
-  if (mApplied < mCommit) {
-    actions.emplace_back(ApplyAction{mLog.Range(mApplied + 1, mCommit)});
-    mApplied = mCommit;
+  CollectMessages(actions);
+  if (mAppliedIndex < mCommitIndex) {
+    actions.emplace_back(ApplyAction{mLog.Range(mAppliedIndex + 1, mCommitIndex)});
+    mAppliedIndex = mCommitIndex;
   }
   const RoleAction current{Role(), mHardState.mTerm, mLeader};
-  if (current.mRole != mReported.mRole || current.mTerm != mReported.mTerm ||
-      current.mLeader != mReported.mLeader) {
+  if (current.mRole != mReportedRole.mRole || current.mTerm != mReportedRole.mTerm ||
+      current.mLeader != mReportedRole.mLeader) {
     actions.emplace_back(current);
-    mReported = current;
+    mReportedRole = current;
   }
   for (PeerRefusedAction& refused : mRefusedPeers) {
     actions.emplace_back(std::move(refused));
@@ -139,11 +139,11 @@
   return actions;
 }
 
-void RaftCore::Node::FinishMessages(RaftActions& aActions)
+void RaftCore::Impl::CollectMessages(RaftActions& aActions)
 {
   std::vector<RaftMessage> messages = std::exchange(mMessages, {});
-  PersistAction persist = std::exchange(mPersist, {});
-  auto install = std::exchange(mInstall, nullptr);
+  PersistAction persist = std::exchange(mPersistAction, {});
+  auto install = std::exchange(mSnapshotToInstall, nullptr);
   if (IsEmpty(persist) && !install) {
     SendEach(std::move(messages), aActions);
     return;
@@ -166,40 +166,40 @@
     InstallSnapshotAction{std::move(install), mInstallKeepsSuffix, std::move(messages)});
 }
 
-void RaftCore::Node::Send(const ReplicaId& aTo, RaftBody aBody, StoreId aToStore)
+void RaftCore::Impl::Send(const ReplicaId& aTo, RaftBody aBody, StoreId aToStore)
 {
   mMessages.push_back(
-    {mSelf, aTo, mHardState.mTerm, mStore, mLog.Blank(), aToStore, std::move(aBody)});
+    {mSelf, aTo, mHardState.mTerm, mStore, mLog.IsEmpty(), aToStore, std::move(aBody)});
 }
 
-void RaftCore::Node::Answer(const RaftMessage& aRequest, RaftBody aBody)
+void RaftCore::Impl::Answer(const RaftMessage& aRequest, RaftBody aBody)
 {
   Send(aRequest.mFrom, std::move(aBody), aRequest.mFromStore);
 }
 
-void RaftCore::Node::AppendToLog(LogEntry aEntry)
+void RaftCore::Impl::AppendToLog(LogEntry aEntry)
 {
-  mPersist.mEntries.push_back(aEntry);
+  mPersistAction.mEntries.push_back(aEntry);
   mLog.Append(std::move(aEntry));
 }
 
-void RaftCore::Node::SetHardState(Term aTerm, ReplicaId aVotedFor)
+void RaftCore::Impl::SetHardState(Term aTerm, ReplicaId aVotedFor)
 {
   mHardState = {aTerm, std::move(aVotedFor)};
-  mPersist.mHardState = mHardState;
+  mPersistAction.mHardState = mHardState;
 }
 
-void RaftCore::Node::AdvanceCommit(LogIndex aCommit)
+void RaftCore::Impl::AdvanceCommit(LogIndex aCommit)
 {
-  if (aCommit > mCommit) {
-    mCommit = aCommit;
-    CheckSelf();
+  if (aCommit > mCommitIndex) {
+    mCommitIndex = aCommit;
+    CheckOwnIdentity();
   }
 }
 
-void RaftCore::Node::ResetElectionDeadline()
+void RaftCore::Impl::ResetElectionDeadline()
 {
-  const bool first = mNow - mStartedAt < kFirstElections;
+  const bool first = mNow - mStartedAt < kFirstElectionPeriod;
   const Milliseconds longest = first && mSettings.mFirstElection.count() > 0
                                  ? mSettings.mFirstElection
                                  : mSettings.mElectionMax;
@@ -209,11 +209,11 @@
     mNow + shortest + RuntimeClock::duration(static_cast<std::int64_t>(mRandom.Below(range + 1)));
 }
 
-void RaftCore::Node::BecomeFollower(Term aTerm, std::optional<ReplicaId> aLeader)
+void RaftCore::Impl::BecomeFollower(Term aTerm, std::optional<ReplicaId> aLeader)
 {
   if (aTerm > mHardState.mTerm) {
     SetHardState(aTerm, {});
-    mIncoming.reset();
+    mIncomingSnapshot.reset();
     mLeader.reset();
   }
   if (Role() != RaftRole::Follower) {
@@ -228,7 +228,7 @@
   }
 }
 
-void RaftCore::Node::StopSelf(std::string aReason)
+void RaftCore::Impl::Stop(std::string aReason)
 {
   if (mRole.Process(RoleEvent::Refused)) {
     mStopReason = std::move(aReason);
@@ -237,32 +237,32 @@
   }
 }
 
-void RaftCore::Node::CheckSelf()
+void RaftCore::Impl::CheckOwnIdentity()
 {
-  mSelfChecked = true;
-  const Membership& members = mLog.MembershipAt(mCommit);
+  mOwnIdentityChecked = true;
+  const Membership& members = mLog.MembershipAt(mCommitIndex);
   if (members.IsRemoved(mSelf)) {
-    StopSelf("identity " + mSelf + " was removed from the membership");
+    Stop("identity " + mSelf + " was removed from the membership");
     return;
   }
   const ReplicaInfo* info = members.Find(mSelf);
   if (info != nullptr && info->mStore != 0 && info->mStore != mStore) {
-    StopSelf("identity " + mSelf + " was promoted with another disk");
+    Stop("identity " + mSelf + " was promoted with another disk");
   }
 }
 
-bool RaftCore::Node::IsCandidateEligible() const
+bool RaftCore::Impl::IsCandidateEligible() const
 {
-  return !mLog.Blank() && mLog.LatestMembership().IsVoter(mSelf);
+  return !mLog.IsEmpty() && mLog.LatestMembership().IsVoter(mSelf);
 }
 
-LogIndex RaftCore::Node::MatchOf(const ReplicaId& aReplica) const
+LogIndex RaftCore::Impl::MatchOf(const ReplicaId& aReplica) const
 {
   if (aReplica == mSelf) {
-    return mPersisted;
+    return mPersistedIndex;
   }
   const auto found = mPeers.find(aReplica);
-  return found == mPeers.end() ? 0 : found->second.mMatch;
+  return found == mPeers.end() ? 0 : found->second.mMatchIndex;
 }
 
 } // namespace dandelionslip
--- a/lib/Control/RaftNode.h
+++ b/lib/Control/RaftCoreImpl.h
@@ -3,7 +3,7 @@
 
 #include "RaftLog.h"
 #include "RaftPeer.h"
-#include "RoleMachine.h"
+#include "RoleStateMachine.h"
 
 #include "dandelionslip/Control/RaftCore.h"
 
@@ -13,10 +13,10 @@
 namespace dandelionslip {
 
 /// State and steps behind RaftCore. Each public event function returns the actions it caused.
-class RaftCore::Node
+class RaftCore::Impl
 {
 public:
-  Node(RaftSettings aSettings, RecoveredState aState, Random aRandom, TimePoint aNow);
+  Impl(RaftSettings aSettings, RecoveredState aState, Random aRandom, TimePoint aNow);
 
   RaftActions Tick(TimePoint aNow);
   RaftActions Receive(TimePoint aNow, const RaftMessage& aMessage);
@@ -32,8 +32,8 @@
   const std::optional<ReplicaId>& Leader() const { return mLeader; }
   RaftRole Role() const { return mRole.Role(); }
   Term CurrentTerm() const { return mHardState.mTerm; }
-  LogIndex CommitIndex() const { return mCommit; }
-  LogIndex AppliedIndex() const { return mApplied; }
+  LogIndex CommitIndex() const { return mCommitIndex; }
+  LogIndex AppliedIndex() const { return mAppliedIndex; }
   const RaftLog& Log() const { return mLog; }
   LogIndex MatchOf(const ReplicaId& aReplica) const;
 
@@ -45,9 +45,9 @@
   };
 
   // Steps common to all events.
-  void Begin(TimePoint aNow) { mNow = aNow; }
-  RaftActions Finish();
-  void FinishMessages(RaftActions& aActions);
+  void SetNow(TimePoint aNow) { mNow = aNow; }
+  RaftActions CollectActions();
+  void CollectMessages(RaftActions& aActions);
   void Send(const ReplicaId& aTo, RaftBody aBody, StoreId aToStore = 0);
   void Answer(const RaftMessage& aRequest, RaftBody aBody);
   void AppendToLog(LogEntry aEntry);
@@ -55,20 +55,20 @@
   void AdvanceCommit(LogIndex aCommit);
   void ResetElectionDeadline();
   void BecomeFollower(Term aTerm, std::optional<ReplicaId> aLeader);
-  void StopSelf(std::string aReason);
-  void CheckSelf();
+  void Stop(std::string aReason);
+  void CheckOwnIdentity();
   bool IsCandidateEligible() const;
 
   // Checks before a message is handled.
   std::optional<std::string> ReasonToRefuse(const RaftMessage& aMessage) const;
   bool AdoptTerm(const RaftMessage& aMessage);
-  bool HeardFromLeader() const;
+  bool HasRecentLeaderContact() const;
 
   // Elections.
   void StartPreVote();
   void StartElection(bool aTransfer);
   void BecomeLeader();
-  bool LogIsUpToDate(LogIndex aLastIndex, Term aLastTerm) const;
+  bool IsCandidateLogUpToDate(LogIndex aLastIndex, Term aLastTerm) const;
   bool CountVote(const RaftMessage& aMessage);
   void Handle(const RaftMessage& aMessage, const PreVoteRequest& aRequest);
   void Handle(const RaftMessage& aMessage, const PreVoteAnswer& aAnswer);
@@ -79,26 +79,26 @@
 
   // Follower side of replication.
   void FollowLeader(const ReplicaId& aLeader);
-  bool EntriesAreSound(const AppendRequest& aRequest) const;
+  bool EntriesAreValid(const AppendRequest& aRequest) const;
   bool PreviousMatches(const AppendRequest& aRequest) const;
-  LogIndex HintFor(const AppendRequest& aRequest) const;
-  bool TakeEntries(const AppendRequest& aRequest);
-  void TakeConfirmation(const AppendRequest& aRequest);
+  LogIndex ConflictHint(const AppendRequest& aRequest) const;
+  bool AppendMissingEntries(const AppendRequest& aRequest);
+  void UpdateConfirmation(const AppendRequest& aRequest);
   void AnswerAppend(const RaftMessage& aMessage, const AppendRequest& aRequest, bool aSuccess,
                     LogIndex aMatch);
   void Handle(const RaftMessage& aMessage, const AppendRequest& aRequest);
   void Handle(const RaftMessage& aMessage, const SnapshotRequest& aRequest);
-  bool TakeChunk(const SnapshotRequest& aRequest);
-  void Install(const SnapshotRequest& aRequest);
+  bool AppendChunk(const SnapshotRequest& aRequest);
+  void InstallSnapshot(const SnapshotRequest& aRequest);
 
   // Leader side of replication.
   void Handle(const RaftMessage& aMessage, const AppendAnswer& aAnswer);
   void Handle(const RaftMessage& aMessage, const SnapshotAnswer& aAnswer);
   RaftPeer* PeerOf(const RaftMessage& aMessage);
   bool CheckStore(const RaftMessage& aMessage, RaftPeer& aPeer);
-  void NoteContact(RaftPeer& aPeer, std::int64_t aSentNs) const;
-  void TakeMatch(RaftPeer& aPeer, LogIndex aMatch);
-  void TakeMismatch(RaftPeer& aPeer, const AppendAnswer& aAnswer);
+  void RecordContact(RaftPeer& aPeer, std::int64_t aSentNs) const;
+  void RecordMatch(RaftPeer& aPeer, LogIndex aMatch);
+  void RecordMismatch(RaftPeer& aPeer, const AppendAnswer& aAnswer);
   void Replicate(const ReplicaId& aId, RaftPeer& aPeer);
   void SendAppend(const ReplicaId& aId, RaftPeer& aPeer, bool aWithEntries);
   void SendHeartbeat(const ReplicaId& aId, RaftPeer& aPeer);
@@ -114,8 +114,8 @@
   // Proposals and membership.
   Status CheckMayPropose(const char* aStep) const;
   EntryId ProposeEntry(EntryKind aKind, Bytes aPayload);
-  void SyncPeers();
-  Result<Membership> Changed(const MembershipChange& aChange) const;
+  void UpdatePeers();
+  Result<Membership> MembershipAfter(const MembershipChange& aChange) const;
   Status AddLearner(Membership& aMembers, const MembershipChange& aChange) const;
   Status Promote(Membership& aMembers, const MembershipChange& aChange) const;
   Status Remove(Membership& aMembers, const MembershipChange& aChange) const;
@@ -128,41 +128,41 @@
   TimePoint mNow;
   TimePoint mStartedAt;
 
-  RoleMachine mRole;
+  RoleStateMachine mRole;
   HardState mHardState;
   RaftLog mLog;
-  LogIndex mPersisted; ///< Own log is synced up to here.
-  LogIndex mCommit;
-  LogIndex mApplied;
+  LogIndex mPersistedIndex; ///< Own log is synced up to here.
+  LogIndex mCommitIndex;
+  LogIndex mAppliedIndex;
   std::optional<ReplicaId> mLeader;
   TimePoint mElectionDeadline;
-  bool mSelfChecked = false;
+  bool mOwnIdentityChecked = false;
 
   // Follower.
-  std::optional<TimePoint> mLeaderHeard;
+  std::optional<TimePoint> mLastLeaderContact;
   std::optional<TimePoint> mConfirmedAt; ///< Own clock, not after the leader's quorum contact.
-  std::optional<IncomingSnapshot> mIncoming;
+  std::optional<IncomingSnapshot> mIncomingSnapshot;
 
   // Candidate.
   std::set<ReplicaId> mVotes;
 
   // Leader.
   std::map<ReplicaId, RaftPeer> mPeers;
-  LogIndex mTermStart = 0; ///< Index of the no-op entry of this term.
+  LogIndex mTermStartIndex = 0; ///< Index of the no-op entry of this term.
   TimePoint mLeaderSince;
   TimePoint mHeartbeatDue;
   std::optional<ReplicaId> mTransferTarget;
   TimePoint mTransferDeadline;
-  bool mTransferSent = false;
+  bool mTimeoutNowSent = false;
 
   // Effects of the current event, turned into actions by Finish.
-  PersistAction mPersist;
-  std::shared_ptr<const Snapshot> mInstall;
+  PersistAction mPersistAction;
+  std::shared_ptr<const Snapshot> mSnapshotToInstall;
   bool mInstallKeepsSuffix = false;
   std::vector<RaftMessage> mMessages;
   std::vector<PeerRefusedAction> mRefusedPeers;
   std::optional<std::string> mStopReason;
-  RoleAction mReported;
+  RoleAction mReportedRole;
 };
 
 } // namespace dandelionslip
--- a/lib/Control/RaftElection.cpp
+++ b/lib/Control/RaftElection.cpp
@@ -1,12 +1,12 @@
 // Pre-vote, votes, terms and refused identities.
-#include "RaftNode.h"
+#include "RaftCoreImpl.h"
 
 namespace dandelionslip {
 
-std::optional<std::string> RaftCore::Node::ReasonToRefuse(const RaftMessage& aMessage) const
+std::optional<std::string> RaftCore::Impl::ReasonToRefuse(const RaftMessage& aMessage) const
 {
   // Only the committed membership counts: a change that is not committed may be taken back.
-  const Membership& members = mLog.MembershipAt(mCommit);
+  const Membership& members = mLog.MembershipAt(mCommitIndex);
   if (members.IsRemoved(aMessage.mFrom)) {
     return "identity " + aMessage.mFrom + " was removed from the membership";
   }
@@ -14,7 +14,7 @@
   if (info == nullptr || !info->mVoter) {
     return std::nullopt;
   }
-  if (aMessage.mFromBlank) {
+  if (aMessage.mFromEmptyLog) {
     return "identity " + aMessage.mFrom + " is a voter but its disk is empty";
   }
   if (info->mStore != 0 && info->mStore != aMessage.mFromStore) {
@@ -23,16 +23,16 @@
   return std::nullopt;
 }
 
-bool RaftCore::Node::HeardFromLeader() const
+bool RaftCore::Impl::HasRecentLeaderContact() const
 {
   if (Role() == RaftRole::Leader) {
     return true;
   }
-  return mLeader && mLeaderHeard && mNow - *mLeaderHeard < mSettings.mElectionMin;
+  return mLeader && mLastLeaderContact && mNow - *mLastLeaderContact < mSettings.mElectionMin;
 }
 
 // Compares the sender's term with the own one; false if the message must not be handled.
-bool RaftCore::Node::AdoptTerm(const RaftMessage& aMessage)
+bool RaftCore::Impl::AdoptTerm(const RaftMessage& aMessage)
 {
   const bool isPreVote = std::holds_alternative<PreVoteRequest>(aMessage.mBody);
   if (aMessage.mTerm == mHardState.mTerm || isPreVote) {
@@ -40,7 +40,7 @@
   }
   if (aMessage.mTerm > mHardState.mTerm) {
     const auto* vote = std::get_if<VoteRequest>(&aMessage.mBody);
-    if (vote != nullptr && !vote->mTransfer && HeardFromLeader()) {
+    if (vote != nullptr && !vote->mTransfer && HasRecentLeaderContact()) {
       return false;
     }
     BecomeFollower(aMessage.mTerm, std::nullopt);
@@ -57,13 +57,13 @@
   return false;
 }
 
-bool RaftCore::Node::LogIsUpToDate(LogIndex aLastIndex, Term aLastTerm) const
+bool RaftCore::Impl::IsCandidateLogUpToDate(LogIndex aLastIndex, Term aLastTerm) const
 {
   const Term own = mLog.LastTerm();
   return aLastTerm > own || (aLastTerm == own && aLastIndex >= mLog.LastIndex());
 }
 
-void RaftCore::Node::StartPreVote()
+void RaftCore::Impl::StartPreVote()
 {
   mRole.Process(RoleEvent::ElectionDue);
   mLeader.reset();
@@ -80,7 +80,7 @@
   }
 }
 
-void RaftCore::Node::StartElection(bool aTransfer)
+void RaftCore::Impl::StartElection(bool aTransfer)
 {
   mRole.Process(aTransfer ? RoleEvent::TransferAsked : RoleEvent::PreVoteWon);
   mLeader.reset();
@@ -98,27 +98,27 @@
   }
 }
 
-void RaftCore::Node::BecomeLeader()
+void RaftCore::Impl::BecomeLeader()
 {
   mRole.Process(RoleEvent::VoteWon);
   mLeader = mSelf;
   mLeaderSince = mNow;
   mHeartbeatDue = mNow + mSettings.mHeartbeat;
   mPeers.clear();
-  SyncPeers();
+  UpdatePeers();
   // Entries of earlier terms are committed only through an entry of the leader's own term.
-  mTermStart = ProposeEntry(EntryKind::NoOp, {}).mIndex;
+  mTermStartIndex = ProposeEntry(EntryKind::NoOp, {}).mIndex;
   for (auto& [id, peer] : mPeers) {
     SendHeartbeat(id, peer);
   }
 }
 
 // Counts a vote of a voter whose disk is the promoted one; true when that makes a majority.
-bool RaftCore::Node::CountVote(const RaftMessage& aMessage)
+bool RaftCore::Impl::CountVote(const RaftMessage& aMessage)
 {
   const Membership& members = mLog.LatestMembership();
   const ReplicaInfo* info = members.Find(aMessage.mFrom);
-  if (info == nullptr || !info->mVoter || aMessage.mFromBlank ||
+  if (info == nullptr || !info->mVoter || aMessage.mFromEmptyLog ||
       (info->mStore != 0 && info->mStore != aMessage.mFromStore)) {
     return false;
   }
@@ -126,14 +126,15 @@
   return mVotes.size() >= members.Quorum();
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const PreVoteRequest& aRequest)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const PreVoteRequest& aRequest)
 {
-  const bool granted = !mLog.Blank() && aRequest.mProposedTerm > mHardState.mTerm &&
-                       !HeardFromLeader() && LogIsUpToDate(aRequest.mLastIndex, aRequest.mLastTerm);
+  const bool granted = !mLog.IsEmpty() && aRequest.mProposedTerm > mHardState.mTerm &&
+                       !HasRecentLeaderContact() &&
+                       IsCandidateLogUpToDate(aRequest.mLastIndex, aRequest.mLastTerm);
   Answer(aMessage, PreVoteAnswer{aRequest.mProposedTerm, granted});
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const PreVoteAnswer& aAnswer)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const PreVoteAnswer& aAnswer)
 {
   const bool current = Role() == RaftRole::PreCandidate && aMessage.mToStore == mStore &&
                        aAnswer.mProposedTerm == mHardState.mTerm + 1;
@@ -142,13 +143,13 @@
   }
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const VoteRequest& aRequest)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const VoteRequest& aRequest)
 {
   // A learner votes too: it may not have received its promotion yet. The candidate counts only
   // the voters of its own membership.
   const bool free = mHardState.mVotedFor.empty() || mHardState.mVotedFor == aMessage.mFrom;
   const bool granted =
-    free && !mLog.Blank() && LogIsUpToDate(aRequest.mLastIndex, aRequest.mLastTerm);
+    free && !mLog.IsEmpty() && IsCandidateLogUpToDate(aRequest.mLastIndex, aRequest.mLastTerm);
   if (granted) {
     SetHardState(mHardState.mTerm, aMessage.mFrom);
     ResetElectionDeadline();
@@ -156,7 +157,7 @@
   Answer(aMessage, VoteAnswer{granted});
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const VoteAnswer& aAnswer)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const VoteAnswer& aAnswer)
 {
   const bool current = Role() == RaftRole::Candidate && aMessage.mToStore == mStore;
   if (current && aAnswer.mGranted && CountVote(aMessage)) {
@@ -164,7 +165,7 @@
   }
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const TimeoutNow& /*aRequest*/)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const TimeoutNow& /*aRequest*/)
 {
   if (Role() == RaftRole::Follower && mLeader == aMessage.mFrom && aMessage.mToStore == mStore &&
       IsCandidateEligible()) {
@@ -172,10 +173,10 @@
   }
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const ReplicaRefusal& aRefusal)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const ReplicaRefusal& aRefusal)
 {
   if (aMessage.mToStore == mStore) {
-    StopSelf("refused by " + aMessage.mFrom + ": " + aRefusal.mReason);
+    Stop("refused by " + aMessage.mFrom + ": " + aRefusal.mReason);
   }
 }
 
--- a/lib/Control/RaftFollower.cpp
+++ b/lib/Control/RaftFollower.cpp
@@ -1,5 +1,5 @@
 // Follower side of replication: entries, confirmation of reads, snapshots.
-#include "RaftNode.h"
+#include "RaftCoreImpl.h"
 
 namespace dandelionslip {
 
@@ -10,17 +10,17 @@
 
 } // namespace
 
-void RaftCore::Node::FollowLeader(const ReplicaId& aLeader)
+void RaftCore::Impl::FollowLeader(const ReplicaId& aLeader)
 {
   if (Role() != RaftRole::Follower || mLeader != aLeader) {
     BecomeFollower(mHardState.mTerm, aLeader);
   }
-  mLeaderHeard = mNow;
+  mLastLeaderContact = mNow;
   ResetElectionDeadline();
 }
 
 // Whether the entries follow each other, carry plausible terms and decodable memberships.
-bool RaftCore::Node::EntriesAreSound(const AppendRequest& aRequest) const
+bool RaftCore::Impl::EntriesAreValid(const AppendRequest& aRequest) const
 {
   LogIndex expected = aRequest.mPreviousIndex + 1;
   Term lowest = aRequest.mPreviousTerm;
@@ -36,7 +36,7 @@
   return true;
 }
 
-bool RaftCore::Node::PreviousMatches(const AppendRequest& aRequest) const
+bool RaftCore::Impl::PreviousMatches(const AppendRequest& aRequest) const
 {
   // Everything up to the snapshot is committed, so it equals the leader's log.
   return aRequest.mPreviousIndex < mLog.SnapshotId().mIndex ||
@@ -44,46 +44,46 @@
 }
 
 // Highest index below the refused one that may match: skips the whole conflicting term.
-LogIndex RaftCore::Node::HintFor(const AppendRequest& aRequest) const
+LogIndex RaftCore::Impl::ConflictHint(const AppendRequest& aRequest) const
 {
   if (aRequest.mPreviousIndex > mLog.LastIndex()) {
     return mLog.LastIndex();
   }
   const auto conflicting = mLog.TermAt(aRequest.mPreviousIndex);
   LogIndex hint = aRequest.mPreviousIndex;
-  while (hint > mCommit && mLog.TermAt(hint) == conflicting) {
+  while (hint > mCommitIndex && mLog.TermAt(hint) == conflicting) {
     --hint;
   }
   return hint;
 }
 
 // Adds what is missing; false if a committed entry would be replaced.
-bool RaftCore::Node::TakeEntries(const AppendRequest& aRequest)
+bool RaftCore::Impl::AppendMissingEntries(const AppendRequest& aRequest)
 {
   for (const LogEntry& entry : aRequest.mEntries) {
     const auto known = mLog.TermAt(entry.mIndex);
     if (entry.mIndex <= mLog.SnapshotId().mIndex || known == entry.mTerm) {
       continue;
     }
-    if (entry.mIndex <= mCommit) {
-      StopSelf("leader " + mLeader.value_or("") + " replaces committed entry " +
-               std::to_string(entry.mIndex));
+    if (entry.mIndex <= mCommitIndex) {
+      Stop("leader " + mLeader.value_or("") + " replaces committed entry " +
+           std::to_string(entry.mIndex));
       return false;
     }
     if (known) {
       mLog.TruncateFrom(entry.mIndex);
-      mPersist.mTruncateFrom = entry.mIndex;
-      mPersisted = std::min(mPersisted, entry.mIndex - 1);
+      mPersistAction.mTruncateFrom = entry.mIndex;
+      mPersistedIndex = std::min(mPersistedIndex, entry.mIndex - 1);
     }
     AppendToLog(entry);
   }
   return true;
 }
 
-void RaftCore::Node::TakeConfirmation(const AppendRequest& aRequest)
+void RaftCore::Impl::UpdateConfirmation(const AppendRequest& aRequest)
 {
   if (!aRequest.mQuorumAgeNs || !aRequest.mEcho || aRequest.mEcho->mSession != mSession ||
-      mCommit < aRequest.mCommit) {
+      mCommitIndex < aRequest.mCommitIndex) {
     return;
   }
   // The leader sent this message at least mEchoHeldNs after the stamp was taken here, so the sum
@@ -93,22 +93,22 @@
   mConfirmedAt = std::max(mConfirmedAt, std::optional(contact));
 }
 
-void RaftCore::Node::AnswerAppend(const RaftMessage& aMessage, const AppendRequest& aRequest,
+void RaftCore::Impl::AnswerAppend(const RaftMessage& aMessage, const AppendRequest& aRequest,
                                   bool aSuccess, LogIndex aMatch)
 {
   AppendAnswer answer;
   answer.mSuccess = aSuccess;
-  answer.mMatch = aMatch;
+  answer.mMatchIndex = aMatch;
   answer.mPreviousIndex = aRequest.mPreviousIndex;
-  answer.mHint = aSuccess ? aMatch : HintFor(aRequest);
+  answer.mHint = aSuccess ? aMatch : ConflictHint(aRequest);
   answer.mSentNs = aRequest.mSentNs;
   answer.mStamp = {mSession, mNow.time_since_epoch().count()};
   Answer(aMessage, answer);
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const AppendRequest& aRequest)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const AppendRequest& aRequest)
 {
-  if (Role() == RaftRole::Leader || !EntriesAreSound(aRequest)) {
+  if (Role() == RaftRole::Leader || !EntriesAreValid(aRequest)) {
     return;
   }
   FollowLeader(aMessage.mFrom);
@@ -119,16 +119,16 @@
     AnswerAppend(aMessage, aRequest, false, 0);
     return;
   }
-  if (!TakeEntries(aRequest)) {
+  if (!AppendMissingEntries(aRequest)) {
     return;
   }
   const LogIndex match = aRequest.mPreviousIndex + aRequest.mEntries.size();
-  AdvanceCommit(std::min(aRequest.mCommit, match));
-  TakeConfirmation(aRequest);
+  AdvanceCommit(std::min(aRequest.mCommitIndex, match));
+  UpdateConfirmation(aRequest);
   AnswerAppend(aMessage, aRequest, true, match);
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const SnapshotRequest& aRequest)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const SnapshotRequest& aRequest)
 {
   if (Role() == RaftRole::Leader || aRequest.mSize > kMaxSnapshotBytes) {
     return;
@@ -138,22 +138,22 @@
     Answer(aMessage, SnapshotAnswer{aRequest.mIndex, 0, false, aRequest.mSentNs});
     return;
   }
-  if (aRequest.mIndex > mCommit && TakeChunk(aRequest)) {
-    Install(aRequest);
+  if (aRequest.mIndex > mCommitIndex && AppendChunk(aRequest)) {
+    InstallSnapshot(aRequest);
   }
-  const std::uint64_t next = mIncoming ? mIncoming->mState.size() : 0;
+  const std::uint64_t next = mIncomingSnapshot ? mIncomingSnapshot->mState.size() : 0;
   Answer(aMessage,
-         SnapshotAnswer{aRequest.mIndex, next, aRequest.mIndex <= mCommit, aRequest.mSentNs});
+         SnapshotAnswer{aRequest.mIndex, next, aRequest.mIndex <= mCommitIndex, aRequest.mSentNs});
 }
 
 // Adds a chunk that continues the transfer; true when the state is complete.
-bool RaftCore::Node::TakeChunk(const SnapshotRequest& aRequest)
+bool RaftCore::Impl::AppendChunk(const SnapshotRequest& aRequest)
 {
   const EntryId id{aRequest.mIndex, aRequest.mLastTerm};
-  if (!mIncoming || mIncoming->mId != id) {
-    mIncoming = IncomingSnapshot{id, {}};
+  if (!mIncomingSnapshot || mIncomingSnapshot->mId != id) {
+    mIncomingSnapshot = IncomingSnapshot{id, {}};
   }
-  Bytes& state = mIncoming->mState;
+  Bytes& state = mIncomingSnapshot->mState;
   if (aRequest.mOffset != state.size() || aRequest.mData.size() > aRequest.mSize - state.size()) {
     return false;
   }
@@ -161,16 +161,18 @@
   return state.size() == aRequest.mSize;
 }
 
-void RaftCore::Node::Install(const SnapshotRequest& aRequest)
+void RaftCore::Impl::InstallSnapshot(const SnapshotRequest& aRequest)
 {
-  auto snapshot = std::make_shared<const Snapshot>(Snapshot{
-    aRequest.mIndex, aRequest.mLastTerm, aRequest.mMembership, std::move(mIncoming->mState)});
-  mIncoming.reset();
+  auto snapshot = std::make_shared<const Snapshot>(Snapshot{aRequest.mIndex, aRequest.mLastTerm,
+                                                            aRequest.mMembership,
+                                                            std::move(mIncomingSnapshot->mState)});
+  mIncomingSnapshot.reset();
   mInstallKeepsSuffix = mLog.TermAt(snapshot->mIndex) == snapshot->mTerm;
   mInstallKeepsSuffix ? mLog.Compact(snapshot) : mLog.Replace(snapshot);
-  mPersisted = mInstallKeepsSuffix ? std::max(mPersisted, snapshot->mIndex) : snapshot->mIndex;
-  mInstall = snapshot;
-  mApplied = snapshot->mIndex;
+  mPersistedIndex =
+    mInstallKeepsSuffix ? std::max(mPersistedIndex, snapshot->mIndex) : snapshot->mIndex;
+  mSnapshotToInstall = snapshot;
+  mAppliedIndex = snapshot->mIndex;
   AdvanceCommit(snapshot->mIndex);
 }
 
--- a/lib/Control/RaftLog.cpp
+++ b/lib/Control/RaftLog.cpp
@@ -50,7 +50,7 @@
 
 void RaftLog::Append(LogEntry aEntry)
 {
-  RememberMembership(aEntry);
+  IndexMembership(aEntry);
   mEntries.push_back(std::move(aEntry));
 }
 
@@ -82,7 +82,7 @@
   return std::prev(mMemberships.upper_bound(aIndex))->second;
 }
 
-void RaftLog::RememberMembership(const LogEntry& aEntry)
+void RaftLog::IndexMembership(const LogEntry& aEntry)
 {
   if (aEntry.mKind != EntryKind::Membership) {
     return;
--- a/lib/Control/RaftLog.h
+++ b/lib/Control/RaftLog.h
@@ -18,7 +18,7 @@
   RaftLog(std::shared_ptr<const Snapshot> aSnapshot, std::vector<LogEntry> aEntries);
 
   /// Whether there is neither an entry nor a snapshot.
-  bool Blank() const { return LastIndex() == 0; }
+  bool IsEmpty() const { return LastIndex() == 0; }
   /// The entry that the snapshot ends with; index 0 when there is none.
   EntryId SnapshotId() const { return mSnapshot ? mSnapshot->Id() : EntryId{}; }
   const std::shared_ptr<const Snapshot>& LastSnapshot() const { return mSnapshot; }
@@ -49,7 +49,7 @@
   const Membership& MembershipAt(LogIndex aIndex) const;
 
 private:
-  void RememberMembership(const LogEntry& aEntry);
+  void IndexMembership(const LogEntry& aEntry);
   const LogEntry& At(LogIndex aIndex) const;
 
   std::shared_ptr<const Snapshot> mSnapshot;
--- a/lib/Control/RaftMessage.cpp
+++ b/lib/Control/RaftMessage.cpp
@@ -27,7 +27,7 @@
   aVisitor.Field("to", aValue.mMessage.mTo);
   aVisitor.Field("term", aValue.mMessage.mTerm);
   aVisitor.Field("from_store", aValue.mMessage.mFromStore);
-  aVisitor.Field("from_blank", aValue.mMessage.mFromBlank);
+  aVisitor.Field("from_blank", aValue.mMessage.mFromEmptyLog);
   aVisitor.Field("to_store", aValue.mMessage.mToStore);
   aVisitor.Optional("from_address", aValue.mMessage.mFromAddress);
   aVisitor.Field("body", aValue.mBody);
@@ -65,7 +65,7 @@
   envelope.mMessage.mTo = aMessage.mTo;
   envelope.mMessage.mTerm = aMessage.mTerm;
   envelope.mMessage.mFromStore = aMessage.mFromStore;
-  envelope.mMessage.mFromBlank = aMessage.mFromBlank;
+  envelope.mMessage.mFromEmptyLog = aMessage.mFromEmptyLog;
   envelope.mMessage.mToStore = aMessage.mToStore;
   envelope.mMessage.mFromAddress = aMessage.mFromAddress;
   return ToCbor(envelope);
--- a/lib/Control/RaftPeer.h
+++ b/lib/Control/RaftPeer.h
@@ -1,7 +1,7 @@
 // What a leader knows about another replica.
 #pragma once
 
-#include "ReplicaMachine.h"
+#include "PeerStateMachine.h"
 
 #include "dandelionslip/Control/RaftMessage.h"
 #include "dandelionslip/Control/Snapshot.h"
@@ -17,20 +17,20 @@
 /// What a leader knows about another replica.
 struct RaftPeer
 {
-  ReplicaMachine mMachine;
-  LogIndex mMatch = 0;            ///< Durable and equal up to here.
-  LogIndex mNext = 1;             ///< Next entry to send.
+  PeerStateMachine mStateMachine;
+  LogIndex mMatchIndex = 0;       ///< Durable and equal up to here.
+  LogIndex mNextIndex = 1;        ///< Next entry to send.
   std::deque<LogIndex> mInFlight; ///< Last index of each unanswered append with entries.
 
   StoreId mStore = 0;                  ///< Zero until the first answer; no entries are sent before.
   std::vector<StoreId> mRetiredStores; ///< Earlier disks; their late answers are ignored.
 
-  std::optional<TimePoint> mContact; ///< Send time of the newest answered message.
-  std::optional<ClockStamp> mStamp;  ///< Newest stamp of the replica's clock.
+  std::optional<TimePoint> mLastContact; ///< Send time of the newest answered message.
+  std::optional<ClockStamp> mStamp;      ///< Newest stamp of the replica's clock.
   TimePoint mStampReceived;
 
   std::shared_ptr<const Snapshot> mSnapshot; ///< Being sent.
-  std::uint64_t mOffset = 0;                 ///< Start of the chunk under way.
+  std::uint64_t mChunkOffset = 0;            ///< Start of the chunk under way.
   TimePoint mChunkSent;
 };
 
--- a/lib/Control/RaftProposal.cpp
+++ b/lib/Control/RaftProposal.cpp
@@ -1,11 +1,11 @@
 // Proposals, membership changes and leadership transfer.
-#include "RaftNode.h"
+#include "RaftCoreImpl.h"
 
 #include <boost/outcome/try.hpp>
 
 namespace dandelionslip {
 
-Status RaftCore::Node::CheckMayPropose(const char* aStep) const
+Status RaftCore::Impl::CheckMayPropose(const char* aStep) const
 {
   if (Role() != RaftRole::Leader) {
     return Fail(ErrorCode::Unavailable, aStep, mLeader.value_or(""), "this replica is not leader");
@@ -16,7 +16,7 @@
   return Ok();
 }
 
-EntryId RaftCore::Node::ProposeEntry(EntryKind aKind, Bytes aPayload)
+EntryId RaftCore::Impl::ProposeEntry(EntryKind aKind, Bytes aPayload)
 {
   LogEntry entry{mLog.LastIndex() + 1, mHardState.mTerm, aKind, std::move(aPayload)};
   const EntryId id = entry.Id();
@@ -25,9 +25,9 @@
   return id;
 }
 
-Result<EntryId> RaftCore::Node::Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions)
+Result<EntryId> RaftCore::Impl::Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions)
 {
-  Begin(aNow);
+  SetNow(aNow);
   BOOST_OUTCOME_TRY(CheckMayPropose("raft.propose"));
   if (aPayload.size() > mSettings.mMaxPayloadBytes) {
     return Fail(ErrorCode::LimitExceeded, "raft.propose", mSelf,
@@ -35,44 +35,44 @@
                   std::to_string(mSettings.mMaxPayloadBytes) + " are accepted");
   }
   const EntryId id = ProposeEntry(EntryKind::Command, std::move(aPayload));
-  aActions = Finish();
+  aActions = CollectActions();
   return id;
 }
 
-Result<EntryId> RaftCore::Node::ProposeChange(TimePoint aNow, const MembershipChange& aChange,
+Result<EntryId> RaftCore::Impl::ProposeChange(TimePoint aNow, const MembershipChange& aChange,
                                               RaftActions& aActions)
 {
-  Begin(aNow);
+  SetNow(aNow);
   BOOST_OUTCOME_TRY(CheckMayPropose("raft.change"));
   if (!HasCommittedInTerm()) {
     return Fail(ErrorCode::Conflict, "raft.change", mSelf, "no entry of this term is committed");
   }
-  if (mLog.LatestMembershipIndex() > mCommit) {
+  if (mLog.LatestMembershipIndex() > mCommitIndex) {
     return Fail(ErrorCode::Conflict, "raft.change", mSelf,
                 "the change at entry " + std::to_string(mLog.LatestMembershipIndex()) +
                   " is not committed");
   }
-  BOOST_OUTCOME_TRY(const auto members, Changed(aChange));
+  BOOST_OUTCOME_TRY(const auto members, MembershipAfter(aChange));
   const EntryId id = ProposeEntry(EntryKind::Membership, ToCbor(members));
-  SyncPeers();
+  UpdatePeers();
   MaybeCommit();
-  aActions = Finish();
+  aActions = CollectActions();
   return id;
 }
 
 // Creates and drops peers so that they equal the newest membership.
-void RaftCore::Node::SyncPeers()
+void RaftCore::Impl::UpdatePeers()
 {
   const Membership& members = mLog.LatestMembership();
   std::erase_if(mPeers, [&](const auto& aItem) { return members.Find(aItem.first) == nullptr; });
   for (const auto& [id, info] : members.mReplicas) {
     if (id != mSelf && !mPeers.contains(id)) {
-      mPeers[id].mNext = mLog.LastIndex() + 1;
+      mPeers[id].mNextIndex = mLog.LastIndex() + 1;
     }
   }
 }
 
-Result<Membership> RaftCore::Node::Changed(const MembershipChange& aChange) const
+Result<Membership> RaftCore::Impl::MembershipAfter(const MembershipChange& aChange) const
 {
   Membership members = mLog.LatestMembership();
   if (members.IsRemoved(aChange.mReplica)) {
@@ -99,7 +99,7 @@
   return members;
 }
 
-Status RaftCore::Node::AddLearner(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Impl::AddLearner(Membership& aMembers, const MembershipChange& aChange) const
 {
   if (!IsReplicaId(aChange.mReplica)) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica,
@@ -113,25 +113,25 @@
   return Ok();
 }
 
-Status RaftCore::Node::Promote(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Impl::Promote(Membership& aMembers, const MembershipChange& aChange) const
 {
   ReplicaInfo& info = aMembers.mReplicas[aChange.mReplica];
   if (info.mVoter) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica, "already a voter");
   }
   const RaftPeer& peer = mPeers.at(aChange.mReplica);
-  const bool fresh = peer.mContact && mNow - *peer.mContact <= mSettings.mElectionMin;
-  if (!fresh || peer.mStore == 0 || peer.mMatch < mCommit) {
+  const bool fresh = peer.mLastContact && mNow - *peer.mLastContact <= mSettings.mElectionMin;
+  if (!fresh || peer.mStore == 0 || peer.mMatchIndex < mCommitIndex) {
     return Fail(ErrorCode::Conflict, "raft.change", aChange.mReplica,
-                "log is durable up to entry " + std::to_string(peer.mMatch) + ", needed " +
-                  std::to_string(mCommit) + (fresh ? "" : ", and no recent contact"));
+                "log is durable up to entry " + std::to_string(peer.mMatchIndex) + ", needed " +
+                  std::to_string(mCommitIndex) + (fresh ? "" : ", and no recent contact"));
   }
   info.mVoter = true;
   info.mStore = peer.mStore;
   return Ok();
 }
 
-Status RaftCore::Node::Remove(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Impl::Remove(Membership& aMembers, const MembershipChange& aChange) const
 {
   if (aChange.mReplica == mSelf) {
     return Fail(ErrorCode::InvalidInput, "raft.change", mSelf,
@@ -142,18 +142,19 @@
   return Ok();
 }
 
-Status RaftCore::Node::TransferLeadership(TimePoint aNow, const ReplicaId& aTarget,
+Status RaftCore::Impl::TransferLeadership(TimePoint aNow, const ReplicaId& aTarget,
                                           RaftActions& aActions)
 {
-  Begin(aNow);
+  SetNow(aNow);
   BOOST_OUTCOME_TRY(CheckMayPropose("raft.transfer"));
   const Membership& members = mLog.LatestMembership();
   const std::pair<const ReplicaId, RaftPeer>* best = nullptr;
   for (const auto& item : mPeers) {
     const bool wanted = aTarget.empty() || item.first == aTarget;
-    const bool usable = members.IsVoter(item.first) && item.second.mContact &&
-                        item.second.mMachine.State() != ReplicaState::Refused;
-    if (wanted && usable && (best == nullptr || item.second.mMatch > best->second.mMatch)) {
+    const bool usable = members.IsVoter(item.first) && item.second.mLastContact &&
+                        item.second.mStateMachine.State() != PeerState::Refused;
+    if (wanted && usable &&
+        (best == nullptr || item.second.mMatchIndex > best->second.mMatchIndex)) {
       best = &item;
     }
   }
@@ -162,20 +163,20 @@
   }
   mTransferTarget = best->first;
   mTransferDeadline = mNow + mSettings.mElectionMax;
-  mTransferSent = false;
+  mTimeoutNowSent = false;
   ContinueTransfer();
-  aActions = Finish();
+  aActions = CollectActions();
   return Ok();
 }
 
-void RaftCore::Node::ContinueTransfer()
+void RaftCore::Impl::ContinueTransfer()
 {
-  if (!mTransferTarget || mTransferSent) {
+  if (!mTransferTarget || mTimeoutNowSent) {
     return;
   }
   const RaftPeer& peer = mPeers.at(*mTransferTarget);
-  if (peer.mMatch == mLog.LastIndex()) {
-    mTransferSent = true;
+  if (peer.mMatchIndex == mLog.LastIndex()) {
+    mTimeoutNowSent = true;
     Send(*mTransferTarget, TimeoutNow{}, peer.mStore);
   }
 }
--- a/lib/Control/RaftReplication.cpp
+++ b/lib/Control/RaftReplication.cpp
@@ -1,27 +1,27 @@
 // Leader side of replication: appends, snapshots, commit, quorum contact.
-#include "RaftNode.h"
+#include "RaftCoreImpl.h"
 
 #include <algorithm>
 #include <functional>
 
 namespace dandelionslip {
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const AppendAnswer& aAnswer)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const AppendAnswer& aAnswer)
 {
   RaftPeer* peer = PeerOf(aMessage);
   if (peer == nullptr) {
     return;
   }
-  NoteContact(*peer, aAnswer.mSentNs);
+  RecordContact(*peer, aAnswer.mSentNs);
   const ClockStamp& stamp = aAnswer.mStamp;
   if (!peer->mStamp || peer->mStamp->mSession != stamp.mSession || peer->mStamp->mNs < stamp.mNs) {
     peer->mStamp = stamp;
     peer->mStampReceived = mNow;
   }
   if (aAnswer.mSuccess) {
-    TakeMatch(*peer, aAnswer.mMatch);
+    RecordMatch(*peer, aAnswer.mMatchIndex);
   } else {
-    TakeMismatch(*peer, aAnswer);
+    RecordMismatch(*peer, aAnswer);
   }
   MaybeCommit();
   if (Role() == RaftRole::Leader) {
@@ -30,36 +30,37 @@
   }
 }
 
-void RaftCore::Node::Handle(const RaftMessage& aMessage, const SnapshotAnswer& aAnswer)
+void RaftCore::Impl::Handle(const RaftMessage& aMessage, const SnapshotAnswer& aAnswer)
 {
   RaftPeer* peer = PeerOf(aMessage);
   if (peer == nullptr) {
     return;
   }
-  NoteContact(*peer, aAnswer.mSentNs);
-  const bool current =
-    peer->mMachine.State() == ReplicaState::Snapshot && peer->mSnapshot->mIndex == aAnswer.mIndex;
+  RecordContact(*peer, aAnswer.mSentNs);
+  const bool current = peer->mStateMachine.State() == PeerState::Snapshot &&
+                       peer->mSnapshot->mIndex == aAnswer.mIndex;
   if (!current) {
     return;
   }
   if (aAnswer.mInstalled) {
-    peer->mMachine.Process(ReplicaEvent::Installed);
+    peer->mStateMachine.Process(PeerEvent::Installed);
     peer->mSnapshot.reset();
-    TakeMatch(*peer, aAnswer.mIndex);
+    RecordMatch(*peer, aAnswer.mIndex);
     MaybeCommit();
     if (Role() == RaftRole::Leader) {
       Replicate(aMessage.mFrom, *peer);
     }
     return;
   }
-  if (aAnswer.mNextOffset != peer->mOffset) {
-    peer->mOffset = aAnswer.mNextOffset <= peer->mSnapshot->mState.size() ? aAnswer.mNextOffset : 0;
+  if (aAnswer.mNextOffset != peer->mChunkOffset) {
+    peer->mChunkOffset =
+      aAnswer.mNextOffset <= peer->mSnapshot->mState.size() ? aAnswer.mNextOffset : 0;
     SendChunk(aMessage.mFrom, *peer, true);
   }
 }
 
 // The peer that an answer comes from, or null if the answer must be ignored.
-RaftPeer* RaftCore::Node::PeerOf(const RaftMessage& aMessage)
+RaftPeer* RaftCore::Impl::PeerOf(const RaftMessage& aMessage)
 {
   const auto found = mPeers.find(aMessage.mFrom);
   const bool usable = Role() == RaftRole::Leader && aMessage.mToStore == mStore &&
@@ -67,17 +68,17 @@
   return usable ? &found->second : nullptr;
 }
 
-bool RaftCore::Node::CheckStore(const RaftMessage& aMessage, RaftPeer& aPeer)
+bool RaftCore::Impl::CheckStore(const RaftMessage& aMessage, RaftPeer& aPeer)
 {
   const ReplicaInfo* info = mLog.LatestMembership().Find(aMessage.mFrom);
   const StoreId store = aMessage.mFromStore;
-  if (info->mVoter && (aMessage.mFromBlank || (info->mStore != 0 && info->mStore != store))) {
-    if (aPeer.mMachine.Process(ReplicaEvent::Refused)) {
+  if (info->mVoter && (aMessage.mFromEmptyLog || (info->mStore != 0 && info->mStore != store))) {
+    if (aPeer.mStateMachine.Process(PeerEvent::Refused)) {
       mRefusedPeers.push_back({aMessage.mFrom, "the disk is not the one that was promoted"});
     }
     return false;
   }
-  if (aPeer.mMachine.State() == ReplicaState::Refused ||
+  if (aPeer.mStateMachine.State() == PeerState::Refused ||
       std::find(aPeer.mRetiredStores.begin(), aPeer.mRetiredStores.end(), store) !=
         aPeer.mRetiredStores.end()) {
     return false;
@@ -87,9 +88,9 @@
   }
   if (aPeer.mStore != 0) {
     aPeer.mRetiredStores.push_back(aPeer.mStore);
-    aPeer.mMachine.Process(ReplicaEvent::StoreChanged);
-    aPeer.mMatch = 0;
-    aPeer.mNext = mLog.LastIndex() + 1;
+    aPeer.mStateMachine.Process(PeerEvent::StoreChanged);
+    aPeer.mMatchIndex = 0;
+    aPeer.mNextIndex = mLog.LastIndex() + 1;
     aPeer.mInFlight.clear();
     aPeer.mSnapshot.reset();
   }
@@ -98,72 +99,72 @@
 }
 
 // The send time is used, because the peer may have moved on while its answer was under way.
-void RaftCore::Node::NoteContact(RaftPeer& aPeer, std::int64_t aSentNs) const
+void RaftCore::Impl::RecordContact(RaftPeer& aPeer, std::int64_t aSentNs) const
 {
   const TimePoint sent = std::min(TimePoint(RuntimeClock::duration(aSentNs)), mNow);
-  aPeer.mContact = std::max(aPeer.mContact, std::optional(sent));
+  aPeer.mLastContact = std::max(aPeer.mLastContact, std::optional(sent));
 }
 
-void RaftCore::Node::TakeMatch(RaftPeer& aPeer, LogIndex aMatch)
+void RaftCore::Impl::RecordMatch(RaftPeer& aPeer, LogIndex aMatch)
 {
-  if (aPeer.mMachine.State() == ReplicaState::Snapshot || aMatch > mLog.LastIndex()) {
+  if (aPeer.mStateMachine.State() == PeerState::Snapshot || aMatch > mLog.LastIndex()) {
     return;
   }
-  aPeer.mMatch = std::max(aPeer.mMatch, aMatch);
-  aPeer.mNext = std::max(aPeer.mNext, aPeer.mMatch + 1);
-  while (!aPeer.mInFlight.empty() && aPeer.mInFlight.front() <= aPeer.mMatch) {
+  aPeer.mMatchIndex = std::max(aPeer.mMatchIndex, aMatch);
+  aPeer.mNextIndex = std::max(aPeer.mNextIndex, aPeer.mMatchIndex + 1);
+  while (!aPeer.mInFlight.empty() && aPeer.mInFlight.front() <= aPeer.mMatchIndex) {
     aPeer.mInFlight.pop_front();
   }
-  if (aPeer.mMachine.Process(ReplicaEvent::Matched)) {
-    aPeer.mNext = aPeer.mMatch + 1;
+  if (aPeer.mStateMachine.Process(PeerEvent::Matched)) {
+    aPeer.mNextIndex = aPeer.mMatchIndex + 1;
     aPeer.mInFlight.clear();
   }
 }
 
-void RaftCore::Node::TakeMismatch(RaftPeer& aPeer, const AppendAnswer& aAnswer)
+void RaftCore::Impl::RecordMismatch(RaftPeer& aPeer, const AppendAnswer& aAnswer)
 {
-  const bool late = aAnswer.mPreviousIndex <= aPeer.mMatch;
-  if (late || aPeer.mMachine.State() == ReplicaState::Snapshot) {
+  const bool late = aAnswer.mPreviousIndex <= aPeer.mMatchIndex;
+  if (late || aPeer.mStateMachine.State() == PeerState::Snapshot) {
     return;
   }
-  aPeer.mMachine.Process(ReplicaEvent::Mismatched);
+  aPeer.mStateMachine.Process(PeerEvent::Mismatched);
   aPeer.mInFlight.clear();
   const LogIndex next = std::min(aAnswer.mPreviousIndex, aAnswer.mHint + 1);
-  aPeer.mNext = std::clamp(next, aPeer.mMatch + 1, mLog.LastIndex() + 1);
+  aPeer.mNextIndex = std::clamp(next, aPeer.mMatchIndex + 1, mLog.LastIndex() + 1);
 }
 
 // Sends what the peer can take now, after an answer or a new entry.
-void RaftCore::Node::Replicate(const ReplicaId& aId, RaftPeer& aPeer)
+void RaftCore::Impl::Replicate(const ReplicaId& aId, RaftPeer& aPeer)
 {
-  const ReplicaState state = aPeer.mMachine.State();
-  if (state == ReplicaState::Refused || state == ReplicaState::Snapshot || aPeer.mStore == 0) {
+  const PeerState state = aPeer.mStateMachine.State();
+  if (state == PeerState::Refused || state == PeerState::Snapshot || aPeer.mStore == 0) {
     return;
   }
-  if (aPeer.mNext <= mLog.SnapshotId().mIndex) {
+  if (aPeer.mNextIndex <= mLog.SnapshotId().mIndex) {
     StartSnapshot(aId, aPeer);
     return;
   }
-  if (state == ReplicaState::Probe) {
+  if (state == PeerState::Probe) {
     SendAppend(aId, aPeer, false);
     return;
   }
-  while (aPeer.mNext <= mLog.LastIndex() && aPeer.mInFlight.size() < mSettings.mMaxInFlight) {
+  while (aPeer.mNextIndex <= mLog.LastIndex() && aPeer.mInFlight.size() < mSettings.mMaxInFlight) {
     SendAppend(aId, aPeer, true);
   }
 }
 
-void RaftCore::Node::SendAppend(const ReplicaId& aId, RaftPeer& aPeer, bool aWithEntries)
+void RaftCore::Impl::SendAppend(const ReplicaId& aId, RaftPeer& aPeer, bool aWithEntries)
 {
   AppendRequest request;
-  request.mPreviousIndex = aPeer.mNext - 1;
+  request.mPreviousIndex = aPeer.mNextIndex - 1;
   request.mPreviousTerm = *mLog.TermAt(request.mPreviousIndex);
   if (aWithEntries) {
     request.mEntries =
-      mLog.Slice(aPeer.mNext, mSettings.mMaxAppendEntries, mSettings.mMaxAppendBytes);
-    aPeer.mNext += request.mEntries.size();
-    aPeer.mInFlight.push_back(aPeer.mNext - 1);
+      mLog.Slice(aPeer.mNextIndex, mSettings.mMaxAppendEntries, mSettings.mMaxAppendBytes);
+    aPeer.mNextIndex += request.mEntries.size();
+    aPeer.mInFlight.push_back(aPeer.mNextIndex - 1);
   }
-  request.mCommit = mCommit;
+  request.mCommitIndex = mCommitIndex;
   request.mSentNs = mNow.time_since_epoch().count();
   if (const auto contact = QuorumContact(); contact && HasCommittedInTerm()) {
     request.mQuorumAgeNs = (mNow - *contact).count();
@@ -175,31 +176,31 @@
   Send(aId, std::move(request), aPeer.mStore);
 }
 
-void RaftCore::Node::SendHeartbeat(const ReplicaId& aId, RaftPeer& aPeer)
+void RaftCore::Impl::SendHeartbeat(const ReplicaId& aId, RaftPeer& aPeer)
 {
-  switch (aPeer.mMachine.State()) {
-    case ReplicaState::Refused:
+  switch (aPeer.mStateMachine.State()) {
+    case PeerState::Refused:
       // The refusal is sent in answer to a message, once the membership is committed.
-      aPeer.mNext = mLog.LastIndex() + 1;
+      aPeer.mNextIndex = mLog.LastIndex() + 1;
       SendAppend(aId, aPeer, false);
       return;
-    case ReplicaState::Snapshot:
+    case PeerState::Snapshot:
       SendChunk(aId, aPeer, mNow - aPeer.mChunkSent >= mSettings.mElectionMin);
       return;
     default:
       break;
   }
-  if (aPeer.mNext <= mLog.SnapshotId().mIndex) {
+  if (aPeer.mNextIndex <= mLog.SnapshotId().mIndex) {
     if (aPeer.mStore != 0) {
       StartSnapshot(aId, aPeer);
       return;
     }
-    aPeer.mNext = mLog.LastIndex() + 1;
+    aPeer.mNextIndex = mLog.LastIndex() + 1;
   }
   SendAppend(aId, aPeer, false);
 }
 
-void RaftCore::Node::SendChunk(const ReplicaId& aId, RaftPeer& aPeer, bool aWithData)
+void RaftCore::Impl::SendChunk(const ReplicaId& aId, RaftPeer& aPeer, bool aWithData)
 {
   const Snapshot& snapshot = *aPeer.mSnapshot;
   SnapshotRequest request;
@@ -207,10 +208,10 @@
   request.mLastTerm = snapshot.mTerm;
   request.mMembership = snapshot.mMembership;
   request.mSize = snapshot.mState.size();
-  request.mOffset = aPeer.mOffset;
+  request.mOffset = aPeer.mChunkOffset;
   request.mSentNs = mNow.time_since_epoch().count();
   if (aWithData) {
-    const auto rest = std::span(snapshot.mState).subspan(aPeer.mOffset);
+    const auto rest = std::span(snapshot.mState).subspan(aPeer.mChunkOffset);
     const auto chunk = rest.first(std::min(rest.size(), mSettings.mSnapshotChunkBytes));
     request.mData.assign(chunk.begin(), chunk.end());
     aPeer.mChunkSent = mNow;
@@ -218,25 +219,25 @@
   Send(aId, std::move(request), aPeer.mStore);
 }
 
-void RaftCore::Node::StartSnapshot(const ReplicaId& aId, RaftPeer& aPeer)
+void RaftCore::Impl::StartSnapshot(const ReplicaId& aId, RaftPeer& aPeer)
 {
-  aPeer.mMachine.Process(ReplicaEvent::Compacted);
+  aPeer.mStateMachine.Process(PeerEvent::Compacted);
   aPeer.mSnapshot = mLog.LastSnapshot();
-  aPeer.mOffset = 0;
+  aPeer.mChunkOffset = 0;
   aPeer.mInFlight.clear();
   SendChunk(aId, aPeer, true);
 }
 
-void RaftCore::Node::BroadcastAppends()
+void RaftCore::Impl::BroadcastAppends()
 {
   for (auto& [id, peer] : mPeers) {
-    if (peer.mMachine.State() == ReplicaState::Replicate) {
+    if (peer.mStateMachine.State() == PeerState::Replicate) {
       Replicate(id, peer);
     }
   }
 }
 
-void RaftCore::Node::MaybeCommit()
+void RaftCore::Impl::MaybeCommit()
 {
   if (Role() != RaftRole::Leader) {
     return;
@@ -249,22 +250,22 @@
   }
   std::sort(durable.begin(), durable.end(), std::greater<>());
   const LogIndex reached = durable[mLog.LatestMembership().Quorum() - 1];
-  if (reached <= mCommit || mLog.TermAt(reached) != mHardState.mTerm) {
+  if (reached <= mCommitIndex || mLog.TermAt(reached) != mHardState.mTerm) {
     return;
   }
   AdvanceCommit(reached);
   for (auto& [id, peer] : mPeers) {
     // Followers learn the new commit index at once, so that they apply without waiting for the
     // next heartbeat.
-    const bool idle = peer.mMachine.State() == ReplicaState::Replicate && peer.mStore != 0 &&
-                      peer.mNext > mLog.LastIndex();
+    const bool idle = peer.mStateMachine.State() == PeerState::Replicate && peer.mStore != 0 &&
+                      peer.mNextIndex > mLog.LastIndex();
     if (idle) {
       SendAppend(id, peer, false);
     }
   }
 }
 
-std::optional<TimePoint> RaftCore::Node::QuorumContact() const
+std::optional<TimePoint> RaftCore::Impl::QuorumContact() const
 {
   std::vector<std::optional<TimePoint>> contacts;
   for (const auto& [id, info] : mLog.LatestMembership().mReplicas) {
@@ -272,19 +273,20 @@
       continue;
     }
     const auto peer = mPeers.find(id);
-    contacts.push_back(id == mSelf ? std::optional(mNow)
-                                   : (peer == mPeers.end() ? std::nullopt : peer->second.mContact));
+    contacts.push_back(id == mSelf
+                         ? std::optional(mNow)
+                         : (peer == mPeers.end() ? std::nullopt : peer->second.mLastContact));
   }
   std::sort(contacts.begin(), contacts.end(), std::greater<>());
   return contacts.empty() ? std::nullopt : contacts[mLog.LatestMembership().Quorum() - 1];
 }
 
-bool RaftCore::Node::HasCommittedInTerm() const
+bool RaftCore::Impl::HasCommittedInTerm() const
 {
-  return Role() == RaftRole::Leader && mCommit >= mTermStart;
+  return Role() == RaftRole::Leader && mCommitIndex >= mTermStartIndex;
 }
 
-void RaftCore::Node::TickLeader()
+void RaftCore::Impl::TickLeader()
 {
   const auto contact = QuorumContact();
   const TimePoint reached = contact ? std::max(*contact, mLeaderSince) : mLeaderSince;
--- a/lib/Control/RecordCodec.cpp
+++ b/lib/Control/RecordCodec.cpp
@@ -13,7 +13,7 @@
 constexpr unsigned kBitsPerByte = 8;
 
 template <typename T>
-void Put(Bytes& aOut, T aValue)
+void AppendLittleEndian(Bytes& aOut, T aValue)
 {
   for (std::size_t i = 0; i < sizeof(T); ++i) {
     aOut.push_back(static_cast<std::uint8_t>(aValue >> (i * kBitsPerByte)));
@@ -21,7 +21,7 @@
 }
 
 template <typename T>
-T Get(std::span<const std::uint8_t> aBytes)
+T ReadLittleEndian(std::span<const std::uint8_t> aBytes)
 {
   T value = 0;
   for (std::size_t i = 0; i < sizeof(T); ++i) {
@@ -30,7 +30,7 @@
   return value;
 }
 
-std::uint32_t LengthCheck(std::span<const std::uint8_t> aLength)
+std::uint32_t LengthChecksum(std::span<const std::uint8_t> aLength)
 {
   return static_cast<std::uint32_t>(Hash64(aLength));
 }
@@ -46,9 +46,9 @@
 {
   Bytes out;
   out.reserve(kRecordHeaderBytes + aPayload.size());
-  Put(out, static_cast<std::uint32_t>(aPayload.size()));
-  Put(out, LengthCheck(out));
-  Put(out, Hash64(aPayload, aPayload.size()));
+  AppendLittleEndian(out, static_cast<std::uint32_t>(aPayload.size()));
+  AppendLittleEndian(out, LengthChecksum(out));
+  AppendLittleEndian(out, Hash64(aPayload, aPayload.size()));
   out.insert(out.end(), aPayload.begin(), aPayload.end());
   return out;
 }
@@ -57,23 +57,24 @@
 {
   const auto rest = aFile.subspan(aOffset);
   if (rest.size() < kRecordHeaderBytes) {
-    return {RecordStatus::Cut, {}, aFile.size(), "record header is incomplete"};
+    return {RecordStatus::Incomplete, {}, aFile.size(), "record header is incomplete"};
   }
   // File systems may extend a file with zeros before a crash interrupts the write of its data.
   if (AllZero(rest)) {
-    return {RecordStatus::Cut, {}, aFile.size(), "only zeros up to the end"};
+    return {RecordStatus::Incomplete, {}, aFile.size(), "only zeros up to the end"};
   }
-  const auto length = Get<std::uint32_t>(rest);
-  if (Get<std::uint32_t>(rest.subspan(kLengthBytes)) != LengthCheck(rest.first(kLengthBytes)) ||
+  const auto length = ReadLittleEndian<std::uint32_t>(rest);
+  if (ReadLittleEndian<std::uint32_t>(rest.subspan(kLengthBytes)) !=
+        LengthChecksum(rest.first(kLengthBytes)) ||
       length > kMaxRecordBytes) {
-    return {RecordStatus::Damaged, {}, aOffset, "check of the record length fails"};
+    return {RecordStatus::Corrupt, {}, aOffset, "check of the record length fails"};
   }
   if (rest.size() - kRecordHeaderBytes < length) {
-    return {RecordStatus::Cut, {}, aFile.size(), "record is incomplete"};
+    return {RecordStatus::Incomplete, {}, aFile.size(), "record is incomplete"};
   }
   const auto payload = rest.subspan(kRecordHeaderBytes, length);
-  if (Get<std::uint64_t>(rest.subspan(2 * kLengthBytes)) != Hash64(payload, length)) {
-    return {RecordStatus::Damaged, {}, aOffset, "checksum of the record fails"};
+  if (ReadLittleEndian<std::uint64_t>(rest.subspan(2 * kLengthBytes)) != Hash64(payload, length)) {
+    return {RecordStatus::Corrupt, {}, aOffset, "checksum of the record fails"};
   }
   return {RecordStatus::Complete, payload, aOffset + kRecordHeaderBytes + length, {}};
 }
--- a/lib/Control/RecordCodec.h
+++ b/lib/Control/RecordCodec.h
@@ -19,17 +19,17 @@
 enum class RecordStatus
 {
   Complete,
-  Cut,     ///< The file ends inside the record, or holds only zeros from its start.
-  Damaged, ///< A check fails.
+  Incomplete, ///< The file ends inside the record, or holds only zeros from its start.
+  Corrupt,    ///< A check fails.
 };
 
 /// A record found in a file.
 struct RecordView
 {
-  RecordStatus mStatus = RecordStatus::Damaged;
+  RecordStatus mStatus = RecordStatus::Corrupt;
   std::span<const std::uint8_t> mPayload;
-  std::uint64_t mEnd = 0;    ///< Offset after the record.
-  std::string_view mProblem; ///< What is wrong, unless Complete.
+  std::uint64_t mEnd = 0;  ///< Offset after the record.
+  std::string_view mError; ///< What is wrong, unless Complete.
 };
 
 /// Frames a payload.
--- a/lib/Control/ReplicaKeeper.cpp
+++ b/lib/Control/ReplicaKeeper.cpp
@@ -25,19 +25,19 @@
 
 void ReplicaKeeper::OnHeard(const ReplicaId& aReplica, TimePoint aNow)
 {
-  mHeard[aReplica] = aNow;
+  mLastHeard[aReplica] = aNow;
 }
 
 void ReplicaKeeper::OnLeading(TimePoint aNow)
 {
-  mLeadingSince = aNow;
-  mHeard.clear();
+  mLeaderSince = aNow;
+  mLastHeard.clear();
 }
 
 Milliseconds ReplicaKeeper::SilenceOf(const ReplicaId& aReplica, TimePoint aNow) const
 {
-  const auto heard = mHeard.find(aReplica);
-  const TimePoint since = heard == mHeard.end() ? mLeadingSince : heard->second;
+  const auto heard = mLastHeard.find(aReplica);
+  const TimePoint since = heard == mLastHeard.end() ? mLeaderSince : heard->second;
   return std::chrono::duration_cast<Milliseconds>(aNow - since);
 }
 
@@ -61,7 +61,7 @@
                                                          TimePoint aNow) const
 {
   std::optional<ReplicaId> longestSilent;
-  Milliseconds longest = mSettings.mSilence;
+  Milliseconds longest = mSettings.mVoterSilence;
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
     if (!info.mVoter || id == aGroup.mSelf) {
       continue;
@@ -102,9 +102,9 @@
     return std::nullopt;
   }
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
-    const bool live =
-      !info.mVoter && SilenceOf(id, aNow) < mSettings.mSilence && !IsSuperseded(aGroup, id, aNow);
-    if (live && aGroup.mMatchOf(id) >= aGroup.mCommit) {
+    const bool live = !info.mVoter && SilenceOf(id, aNow) < mSettings.mVoterSilence &&
+                      !IsSuperseded(aGroup, id, aNow);
+    if (live && aGroup.mMatchIndexOf(id) >= aGroup.mCommitIndex) {
       return MembershipChange{MembershipChangeKind::Promote, id, {}};
     }
   }
--- a/lib/Control/RoleMachine.cpp
+++ b/lib/Control/RoleStateMachine.cpp
@@ -1,5 +1,5 @@
 // State machine of a replica's own role, on Boost.MSM.
-#include "RoleMachine.h"
+#include "RoleStateMachine.h"
 
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/state_machine_def.hpp>
@@ -78,25 +78,25 @@
 
 } // namespace
 
-struct RoleMachine::Impl
+struct RoleStateMachine::Impl
 {
   Machine mMachine;
 };
 
-RoleMachine::RoleMachine()
+RoleStateMachine::RoleStateMachine()
   : mImpl(std::make_unique<Impl>())
 {
   mImpl->mMachine.start();
 }
 
-RoleMachine::~RoleMachine() = default;
+RoleStateMachine::~RoleStateMachine() = default;
 
-RaftRole RoleMachine::Role() const
+RaftRole RoleStateMachine::Role() const
 {
   return mImpl->mMachine.mRole;
 }
 
-bool RoleMachine::Process(RoleEvent aEvent)
+bool RoleStateMachine::Process(RoleEvent aEvent)
 {
   return kProcessors.at(static_cast<std::size_t>(aEvent))(mImpl->mMachine);
 }
--- a/lib/Control/RoleMachine.h
+++ b/lib/Control/RoleStateMachine.h
@@ -18,13 +18,13 @@
 };
 
 /// State machine of a replica's own role.
-class RoleMachine
+class RoleStateMachine
 {
 public:
-  RoleMachine();
-  ~RoleMachine();
-  RoleMachine(const RoleMachine&) = delete;
-  RoleMachine& operator=(const RoleMachine&) = delete;
+  RoleStateMachine();
+  ~RoleStateMachine();
+  RoleStateMachine(const RoleStateMachine&) = delete;
+  RoleStateMachine& operator=(const RoleStateMachine&) = delete;
 
   RaftRole Role() const;
   /// Takes the transition for the event; false if the role has none.
--- a/lib/Control/SummaryReceiver.cpp
+++ b/lib/Control/SummaryReceiver.cpp
@@ -9,22 +9,23 @@
 
 namespace {
 
-void Note(RenewalOutcome aOutcome, const std::string& aName, const LeaseTable& aLeases,
-          SummaryAnswer& aAnswer)
+void RecordOutcome(RenewalOutcome aOutcome, const std::string& aName, const LeaseTable& aLeases,
+                   SummaryAnswer& aAnswer)
 {
   if (aOutcome == RenewalOutcome::Fenced) {
     aAnswer.mFenced.push_back(aName);
     return;
   }
-  if (aOutcome != RenewalOutcome::Accepted || !aLeases.IsShown(aName, aAnswer.mHeldRevision)) {
+  if (aOutcome != RenewalOutcome::Accepted ||
+      !aLeases.IsLiveInHeldView(aName, aAnswer.mHeldRevision)) {
     aAnswer.mRefused.push_back(aName);
   }
 }
 
 } // namespace
 
-SummaryAnswer SummaryReceiver::Take(const MemberSummary& aSummary, LeaseTable& aLeases,
-                                    std::uint64_t aHeldRevision, TimePoint aNow)
+SummaryAnswer SummaryReceiver::HandleSummary(const MemberSummary& aSummary, LeaseTable& aLeases,
+                                             std::uint64_t aHeldRevision, TimePoint aNow)
 {
   SummaryAnswer answer;
   answer.mTerm = aSummary.mTerm;
@@ -34,23 +35,23 @@
     return answer;
   }
   mSequence = aSummary.mSequence;
-  const std::set<std::string> renewed = TakeListed(aSummary, aLeases, aNow, answer);
+  const std::set<std::string> renewed = ApplyListed(aSummary, aLeases, aNow, answer);
   if (Digest() != aSummary.mDigest) {
     answer.mWholeWanted = true;
     return answer;
   }
   for (const auto& [name, known] : mNodes) {
     if (!renewed.contains(name)) {
-      Note(aLeases.Touch(name, known.mIncarnation, aNow), name, aLeases, answer);
+      RecordOutcome(aLeases.RenewUnchanged(name, known.mIncarnation, aNow), name, aLeases, answer);
     }
   }
   answer.mAccepted = true;
   return answer;
 }
 
-std::set<std::string> SummaryReceiver::TakeListed(const MemberSummary& aSummary,
-                                                  LeaseTable& aLeases, TimePoint aNow,
-                                                  SummaryAnswer& aAnswer)
+std::set<std::string> SummaryReceiver::ApplyListed(const MemberSummary& aSummary,
+                                                   LeaseTable& aLeases, TimePoint aNow,
+                                                   SummaryAnswer& aAnswer)
 {
   if (aSummary.mWhole) {
     mNodes.clear();
@@ -61,8 +62,8 @@
   std::set<std::string> renewed;
   for (const Announcement& announcement : aSummary.mChanged) {
     const Member& member = announcement.mMember;
-    Note(aLeases.Renew(announcement, aNow), member.mName, aLeases, aAnswer);
-    mNodes[member.mName] = Known{member.mIncarnation, DigestOf(announcement)};
+    RecordOutcome(aLeases.Renew(announcement, aNow), member.mName, aLeases, aAnswer);
+    mNodes[member.mName] = KnownNode{member.mIncarnation, DigestOf(announcement)};
     renewed.insert(member.mName);
   }
   return renewed;
--- a/lib/Control/ViewBuilder.cpp
+++ b/lib/Control/ViewBuilder.cpp
@@ -49,7 +49,7 @@
   mTerm = aTerm;
   mIssuedInTerm = false;
   mView = aNewest;
-  mPace.clear();
+  mStepTimings.clear();
 }
 
 std::vector<std::string> ViewBuilder::Unacknowledged(const Generation& aGeneration,
@@ -88,15 +88,15 @@
 {
   std::uint32_t last = NewestNumber(aService);
   if (aHighestAcked > last) {
-    last = aHighestAcked + kForgottenGap;
+    last = aHighestAcked + kForgottenGenerationGap;
   }
   const auto remainder = static_cast<std::uint32_t>(mTerm % kGenerationStride);
   const std::uint32_t next = last - last % kGenerationStride + remainder;
   return next > last ? next : next + kGenerationStride;
 }
 
-void ViewBuilder::Issue(ServiceView& aService, std::vector<WeightedMember> aMembers,
-                        std::uint32_t aHighestAcked) const
+void ViewBuilder::AddGeneration(ServiceView& aService, std::vector<WeightedMember> aMembers,
+                                std::uint32_t aHighestAcked) const
 {
   const std::uint32_t number = NextNumber(aService, aHighestAcked);
   aService.mGenerations.insert(aService.mGenerations.begin(),
@@ -116,33 +116,34 @@
       found != mView.mServices.end() && found->second.mServiceId == aEntry.mId) {
     service = found->second;
   }
-  Pace& pace = mPace[aName];
+  StepTiming& pace = mStepTimings[aName];
   if (pace.mServiceId != aEntry.mId) {
     // In a new term, the deposed leader may have stepped the weights just before.
-    pace = Pace{aEntry.mId, aNow, !service.mGenerations.empty()};
+    pace = StepTiming{aEntry.mId, aNow, !service.mGenerations.empty()};
   }
-  const bool stepDue = !pace.mStepped || aNow - pace.mLastStep >= mSettings.mStepInterval;
+  const bool stepDue = !pace.mHasStepped || aNow - pace.mLastStep >= mSettings.mStepInterval;
   const GenerationPlan plan(aName, aConfiguration, aLeases, aAgents);
   const std::uint32_t acked = HighestAcked(aAgents);
   if (!service.mGenerations.empty() && acked > NewestNumber(service)) {
-    Issue(service, std::vector(service.mGenerations.front().mMembers), acked);
+    AddGeneration(service, std::vector(service.mGenerations.front().mMembers), acked);
     return service;
   }
   const bool acknowledged =
     service.mGenerations.empty() ||
     Unacknowledged(service.mGenerations.front(), aConfiguration, aLeases).empty();
   if (acknowledged) {
-    if (auto next = plan.Planned(service, stepDue)) {
-      if (next->mStepped) {
+    if (auto next = plan.PlannedChange(service, stepDue)) {
+      if (next->mIsWeightStep) {
         pace.mLastStep = aNow;
-        pace.mStepped = true;
+        pace.mHasStepped = true;
       }
-      Issue(service, std::move(next->mMembers), acked);
+      AddGeneration(service, std::move(next->mMembers), acked);
     }
     return service;
   }
-  if (auto next = plan.Forced(service); next && HistoryHasRoom(service, aConfiguration, aLeases)) {
-    Issue(service, std::move(*next), acked);
+  if (auto next = plan.ForcedRemoval(service);
+      next && HistoryHasRoom(service, aConfiguration, aLeases)) {
+    AddGeneration(service, std::move(*next), acked);
   }
   return service;
 }
@@ -152,7 +153,7 @@
 {
   View next;
   next.mMembers = BuildMembers(aConfiguration, aLeases);
-  const auto agents = GroupAgents(aLeases);
+  const auto agents = AgentsByService(aLeases);
   static const AgentsOfService kNone;
   for (const auto& [name, entry] : aConfiguration.mServices) {
     const auto found = agents.find(name);
@@ -160,8 +161,9 @@
                                               found == agents.end() ? kNone : found->second,
                                               aLeases, aNow));
   }
-  std::erase_if(
-    mPace, [&](const auto& aItem) { return aConfiguration.FindService(aItem.first) == nullptr; });
+  std::erase_if(mStepTimings, [&](const auto& aItem) {
+    return aConfiguration.FindService(aItem.first) == nullptr;
+  });
   next.mRevision = mView.mRevision;
   if (mIssuedInTerm && next == mView) {
     return false;
--- a/unittests/Control/ConfigurationStoreTest.cpp
+++ b/unittests/Control/ConfigurationStoreTest.cpp
@@ -126,7 +126,7 @@
     store.Apply(1, first);
     store.Apply(2, DeleteCommand(2, "planner", 1));
     std::uint64_t index = 2;
-    for (std::uint64_t i = 0; i < kKeptAnswers; ++i) {
+    for (std::uint64_t i = 0; i < kMinKeptAnswers; ++i) {
       Command drain;
       drain.mPublicationId = PublicationId(1'000 + i);
       drain.mIssuedMs = 2'000 + kDayMs;
--- a/unittests/Control/ControlCodecTest.cpp
+++ b/unittests/Control/ControlCodecTest.cpp
@@ -192,7 +192,7 @@
       core.OnViewUpdate(aUpdate);
       const std::uint64_t revision = core.CurrentView().mRevision;
       CPPUNIT_ASSERT(revision >= SampleView().mRevision && revision >> 32U == 1);
-      CPPUNIT_ASSERT(core.HandedView().mRevision <= revision);
+      CPPUNIT_ASSERT(core.ServedView().mRevision <= revision);
     };
     const auto decode = [](const Bytes& aBytes) { return DecodeViewUpdate(aBytes, "test"); };
     Try(ViewUpdate{1, 3, next, std::nullopt}, decode, use);
--- a/unittests/Control/LeaseTableTest.cpp
+++ b/unittests/Control/LeaseTableTest.cpp
@@ -66,10 +66,10 @@
     LeaseTable table{MembershipSettings{}};
     table.Renew(AgentAnnouncement("a", 5), kTestStart);
     CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Renew(AgentAnnouncement("a", 4), kTestStart));
-    CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Touch("a", 4, kTestStart + 1s));
+    CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.RenewUnchanged("a", 4, kTestStart + 1s));
     CPPUNIT_ASSERT(RenewalOutcome::Accepted == table.Renew(AgentAnnouncement("a", 6), kTestStart));
     CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Renew(AgentAnnouncement("a", 5), kTestStart));
-    CPPUNIT_ASSERT(RenewalOutcome::Invalid == table.Touch("a", 7, kTestStart));
+    CPPUNIT_ASSERT(RenewalOutcome::Invalid == table.RenewUnchanged("a", 7, kTestStart));
     table.Expire(kTestStart + 3s);
     CPPUNIT_ASSERT(RenewalOutcome::Fenced ==
                    table.Renew(AgentAnnouncement("a", 5), kTestStart + 4s));
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Renew(AgentAnnouncement("a"), kTestStart + 1s));
     CPPUNIT_ASSERT(MemberState::Restarting == StateOf(table, "a"));
     table.Renew(AgentAnnouncement("a", 1, MemberState::Left), kTestStart + 2s);
-    CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Touch("a", 1, kTestStart + 3s));
+    CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.RenewUnchanged("a", 1, kTestStart + 3s));
     CPPUNIT_ASSERT(MemberState::Left == StateOf(table, "a"));
   }
 
@@ -104,7 +104,7 @@
                    table.Renew(AgentAnnouncement("a", 2), kTestStart + 1s));
     table.Renew(AgentAnnouncement("a", 3), kTestStart + 2s);
     table.Adopt(view, kTestStart + 2'200ms);
-    CPPUNIT_ASSERT(table.Find("a")->mHeard);
+    CPPUNIT_ASSERT(table.Find("a")->mHasAnnounced);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Expire(kTestStart + 4'500ms).size());
     CPPUNIT_ASSERT(MemberState::Restarting == StateOf(table, "b"));
   }
@@ -115,7 +115,7 @@
     LeaseTable table{MembershipSettings{}};
     table.Renew(AgentAnnouncement("a", 1, MemberState::Draining), kTestStart);
     table.Expire(kTestStart + 60s);
-    CPPUNIT_ASSERT(RenewalOutcome::Accepted == table.Touch("a", 1, kTestStart + 61s));
+    CPPUNIT_ASSERT(RenewalOutcome::Accepted == table.RenewUnchanged("a", 1, kTestStart + 61s));
     CPPUNIT_ASSERT(MemberState::Draining == StateOf(table, "a"));
   }
 
--- a/unittests/Control/MembershipCluster.cpp
+++ b/unittests/Control/MembershipCluster.cpp
@@ -64,7 +64,7 @@
   return Reachable(aFrom, aTo) && mRandom.Below(100) >= mLossPercent;
 }
 
-bool MembershipCluster::IsConfirmed(std::size_t aReplica) const
+bool MembershipCluster::IsReplicaConfirmed(std::size_t aReplica) const
 {
   return mNow - mReplicas[aReplica].mQuorumSeen <= kConfirmedFor;
 }
@@ -150,7 +150,7 @@
       service != before.mServices.end() && !service->second.mGenerations.empty()) {
     announcement.mAckedGeneration = service->second.mGenerations.front().mNumber;
   }
-  const bool confirmed = IsConfirmed(aNode.mReplica);
+  const bool confirmed = IsReplicaConfirmed(aNode.mReplica);
   const AnnouncementAnswer answer =
     Core(aNode.mReplica).OnAnnouncement(announcement, confirmed, mNow);
   CPPUNIT_ASSERT(confirmed || (!answer.mConfirmed && answer.mLease == 0ms));
--- a/unittests/Control/MembershipCluster.h
+++ b/unittests/Control/MembershipCluster.h
@@ -51,7 +51,7 @@
 
   MembershipCore& Core(std::size_t aReplica) { return *mReplicas[aReplica].mCore; }
   Node& NodeOf(const std::string& aName) { return mNodes.at(aName); }
-  bool IsConfirmed(std::size_t aReplica) const;
+  bool IsReplicaConfirmed(std::size_t aReplica) const;
   std::size_t Leader() const { return mLeader; }
   TimePoint Now() const { return mNow; }
 
--- a/unittests/Control/MembershipCoreTest.cpp
+++ b/unittests/Control/MembershipCoreTest.cpp
@@ -90,12 +90,12 @@
     leader.OnRoleChange({1, true, "r0", {"r0", "r1", "r2"}}, kTestStart);
     CPPUNIT_ASSERT(leader.OnAnnouncement(AgentAnnouncement("a"), true, kTestStart).mLease == 0ms);
     AttachedNodes nodes{MembershipSettings{}};
-    nodes.Take(AgentAnnouncement("a"), kTestStart);
-    nodes.NextSummary("r", 1, 4, kTestStart);
+    nodes.RecordAnnouncement(AgentAnnouncement("a"), kTestStart);
+    nodes.BuildSummary("r", 1, 4, kTestStart);
     SummaryAnswer answer{1, 1, true, 5, false, false, {}, {}};
-    nodes.TakeAnswer(answer, 4);
+    nodes.HandleAnswer(answer, 4);
     CPPUNIT_ASSERT(nodes.LeaseFor("a", 1, kTestStart) == 0ms);
-    nodes.TakeAnswer(answer, 5);
+    nodes.HandleAnswer(answer, 5);
     CPPUNIT_ASSERT(nodes.LeaseFor("a", 1, kTestStart) == 2'000ms);
   }
 
@@ -164,28 +164,29 @@
     AttachedNodes nodes(settings);
     LeaseTable leases(settings);
     SummaryReceiver receiver;
-    nodes.Take(AgentAnnouncement("a"), kTestStart);
-    nodes.Take(AgentAnnouncement("b"), kTestStart);
+    nodes.RecordAnnouncement(AgentAnnouncement("a"), kTestStart);
+    nodes.RecordAnnouncement(AgentAnnouncement("b"), kTestStart);
     leases.Renew(AgentAnnouncement("a"), kTestStart);
     leases.Renew(AgentAnnouncement("b"), kTestStart);
-    leases.MarkShown(1);
-    const auto first = nodes.NextSummary("r", 1, 1, kTestStart);
-    nodes.TakeAnswer(receiver.Take(first, leases, 1, kTestStart), 1);
-    CPPUNIT_ASSERT(nodes.NextSummary("r", 1, 0, kTestStart).mChanged.empty());
+    leases.MarkLiveInView(1);
+    const auto first = nodes.BuildSummary("r", 1, 1, kTestStart);
+    nodes.HandleAnswer(receiver.HandleSummary(first, leases, 1, kTestStart), 1);
+    CPPUNIT_ASSERT(nodes.BuildSummary("r", 1, 0, kTestStart).mChanged.empty());
     SummaryReceiver restarted;
     const TimePoint later = kTestStart + 250ms;
-    const auto answer = restarted.Take(nodes.NextSummary("r", 1, 0, later), leases, 1, later);
+    const auto answer =
+      restarted.HandleSummary(nodes.BuildSummary("r", 1, 0, later), leases, 1, later);
     CPPUNIT_ASSERT(answer.mWholeWanted && !answer.mAccepted);
-    nodes.TakeAnswer(answer, 1);
+    nodes.HandleAnswer(answer, 1);
     CPPUNIT_ASSERT(nodes.LeaseFor("a", 1, later) == 1'750ms);
-    const auto whole = nodes.NextSummary("r", 1, 0, later);
+    const auto whole = nodes.BuildSummary("r", 1, 0, later);
     CPPUNIT_ASSERT(whole.mWhole && whole.mChanged.size() == 2);
-    nodes.TakeAnswer(restarted.Take(whole, leases, 1, later), 1);
+    nodes.HandleAnswer(restarted.HandleSummary(whole, leases, 1, later), 1);
     CPPUNIT_ASSERT(nodes.LeaseFor("a", 1, later) == 2'000ms);
-    nodes.Take(AgentAnnouncement("a"), later + 600ms);
-    const auto last = nodes.NextSummary("r", 1, 0, later + 600ms);
+    nodes.RecordAnnouncement(AgentAnnouncement("a"), later + 600ms);
+    const auto last = nodes.BuildSummary("r", 1, 0, later + 600ms);
     CPPUNIT_ASSERT(last.mDetached == std::vector<std::string>{"b"} && last.mChanged.empty());
-    CPPUNIT_ASSERT(restarted.Take(last, leases, 1, later + 600ms).mAccepted);
+    CPPUNIT_ASSERT(restarted.HandleSummary(last, leases, 1, later + 600ms).mAccepted);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leases.Expire(later + 2'500ms).size());
   }
 
--- a/unittests/Control/ProposalTrackerTest.cpp
+++ b/unittests/Control/ProposalTrackerTest.cpp
@@ -24,7 +24,7 @@
     const std::vector<ProposalResult> expected{{{5, 1}, ProposalOutcome::NotApplied},
                                                {{5, 2}, ProposalOutcome::Applied}};
     CPPUNIT_ASSERT(tracker.Applied({5, 2, EntryKind::Command, {}}) == expected);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), tracker.Open());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), tracker.OpenCount());
   }
 
   // Guards against a certain answer when the entry at the index was never seen.
@@ -39,8 +39,8 @@
                                               {{7, 1}, ProposalOutcome::Unknown}};
     CPPUNIT_ASSERT(tracker.SnapshotInstalled(7) == covered);
     const std::vector<ProposalResult> left{{{8, 1}, ProposalOutcome::Unknown}};
-    CPPUNIT_ASSERT(tracker.Abandon() == left);
-    CPPUNIT_ASSERT(tracker.Abandon().empty());
+    CPPUNIT_ASSERT(tracker.AbandonAll() == left);
+    CPPUNIT_ASSERT(tracker.AbandonAll().empty());
   }
 };
 
--- a/unittests/Control/RaftCoreTest.cpp
+++ b/unittests/Control/RaftCoreTest.cpp
@@ -327,7 +327,7 @@
     const auto sent = replica.TakeSent();
     CPPUNIT_ASSERT_EQUAL(std::size_t(4), sent.size());
     for (const RaftMessage& message : sent) {
-      CPPUNIT_ASSERT(message.mFromBlank);
+      CPPUNIT_ASSERT(message.mFromEmptyLog);
       const auto* answer = std::get_if<AppendAnswer>(&message.mBody);
       CPPUNIT_ASSERT(answer == nullptr || !answer->mSuccess);
     }
@@ -403,7 +403,7 @@
     const TimePoint now(std::chrono::hours(1));
     const auto core = LeaderOfTermFour(state, now);
     RaftMessage answer = MessageTo(state, 4, AppendAnswer{true, 3, 2, 3, 0, {}});
-    answer.mFromBlank = true;
+    answer.mFromEmptyLog = true;
     const RaftActions actions = core->Receive(now, answer);
     CPPUNIT_ASSERT(std::none_of(actions.begin(), actions.end(), [](const RaftAction& aAction) {
       return std::holds_alternative<SendAction>(aAction);
--- a/unittests/Control/SimulatedReplica.cpp
+++ b/unittests/Control/SimulatedReplica.cpp
@@ -66,7 +66,7 @@
   mCore.reset();
   mStore.reset();
   mActions.clear();
-  mProposals.Abandon();
+  mProposals.AbandonAll();
   mPayloads.clear();
   mFiles.Restart(mRandom.Below(2) == 0 ? CrashMode::DropAll : CrashMode::Random, mRandom);
 }
