--- a/include/dandelionslip/Control/HardState.h
+++ b/include/dandelionslip/Control/HardState.h
@@ -1,4 +1,4 @@
-// Term and vote of a replica, durable before any message that depends on them.
+// Term and vote of a replica; synced before any message that depends on them is sent.
 #pragma once
 
 #include "dandelionslip/Control/ReplicaId.h"
--- a/include/dandelionslip/Control/JoinRequest.h
+++ b/include/dandelionslip/Control/JoinRequest.h
@@ -1,4 +1,4 @@
-// A replica's request to become part of the group.
+// A replica's request to join the Raft group.
 #pragma once
 
 #include "dandelionslip/Control/ReplicaId.h"
@@ -8,7 +8,8 @@
 
 namespace dandelionslip {
 
-/// Sent by every replica, again and again; for members it shows that they live at the address.
+/// Sent periodically by every replica. From a member of the group it shows that the member runs at
+/// the address.
 struct JoinRequest
 {
   ReplicaId mReplica;
--- a/include/dandelionslip/Control/LogEntry.h
+++ b/include/dandelionslip/Control/LogEntry.h
@@ -11,13 +11,13 @@
 enum class EntryKind
 {
   NoOp,       ///< Appended by a leader at the start of its term; carries nothing.
-  Command,    ///< Payload of the state machine.
+  Command,    ///< Payload is a command for the state machine.
   Membership, ///< Payload is the CBOR form of the resulting Membership.
 };
 
 std::span<const EnumName<EntryKind>> EnumNames(EntryKind);
 
-/// Index and term name an entry uniquely.
+/// Identifies an entry: no two different entries have the same index and term.
 struct EntryId
 {
   LogIndex mIndex = 0;
--- a/include/dandelionslip/Control/LogStore.h
+++ b/include/dandelionslip/Control/LogStore.h
@@ -22,7 +22,8 @@
   HardState mHardState;
   std::shared_ptr<const Snapshot> mSnapshot; ///< Null when none was taken.
   std::vector<LogEntry> mEntries;            ///< Entries after the snapshot.
-  std::optional<Error> mDroppedTail;         ///< Where an incomplete record was dropped; for logs.
+  /// Where an incomplete record was dropped; for log messages only.
+  std::optional<Error> mDroppedTail;
 
   /// Whether the disk holds no log at all, as on the first start of a replica.
   bool IsEmpty() const { return !mSnapshot && mEntries.empty(); }
@@ -45,7 +46,7 @@
 {
 public:
   /// Opens or creates the store. Drops an incomplete record at the end of the newest segment.
-  /// Damage before that gives ErrorCode::Corrupt with the segment's path and the offset.
+  /// Damage anywhere else gives ErrorCode::Corrupt with the file's path and the offset.
   static Result<std::unique_ptr<LogStore>> Open(FileLayer& aFiles, LogStoreSettings aSettings,
                                                 Random& aRandom);
   ~LogStore();
@@ -55,8 +56,8 @@
   /// What was found at Open, after Bootstrap if that was called. May be taken once.
   RecoveredState TakeRecovered();
 
-  /// Writes the first membership to a blank store, the same on every replica in it. It must be
-  /// called at most once in the life of a replica: never on a disk that replaces a lost one.
+  /// Writes the first membership to an empty store; it must be the same on every replica in it.
+  /// Call it at most once in the life of a replica, never on a disk that replaces a lost one.
   Status Bootstrap(const Membership& aMembership);
 
   /// Writes term and vote.
@@ -70,7 +71,7 @@
   /// Writes a snapshot received from the leader. Entries after it are kept if aKeepSuffix.
   Status InstallSnapshot(const Snapshot& aSnapshot, bool aKeepSuffix);
 
-  /// The first error of a write or sync, which stopped the store for good.
+  /// The first error of a write or sync; all changes after it fail.
   const std::optional<Error>& Failure() const { return mFailure; }
   LogIndex LastIndex() const { return mLastIndex; }
 
--- a/include/dandelionslip/Control/RaftAction.h
+++ b/include/dandelionslip/Control/RaftAction.h
@@ -24,9 +24,9 @@
 
 std::string_view ToString(RaftRole aRole);
 
-/// Write, in this order: hard state, truncation, entries. Once all are synced, send the messages,
-/// and call RaftCore::Persisted if there were entries; the actions it returns follow those that
-/// were returned earlier.
+/// Write the hard state, truncate the log, append the entries, in this order. Once all of it is
+/// synced, send mMessagesAfterSync and, if there were entries, call RaftCore::OnPersisted. The
+/// actions that OnPersisted returns are carried out after all that were returned earlier.
 struct PersistAction
 {
   std::optional<HardState> mHardState;
@@ -47,7 +47,7 @@
   std::vector<LogEntry> mEntries;
 };
 
-/// Store the snapshot, replace the state of the state machine, then send the messages.
+/// Store the snapshot, replace the state of the state machine, then send mMessagesAfterSync.
 struct InstallSnapshotAction
 {
   std::shared_ptr<const Snapshot> mSnapshot;
@@ -55,7 +55,7 @@
   std::vector<RaftMessage> mThenSend;
 };
 
-/// Role, term or known leader changed.
+/// The role, the term or the known leader changed.
 struct RoleAction
 {
   RaftRole mRole = RaftRole::Follower;
@@ -63,7 +63,7 @@
   std::optional<ReplicaId> mLeader;
 };
 
-/// A peer was refused; for logs and counters.
+/// A peer was refused. Only for logs and counters.
 struct PeerRefusedAction
 {
   ReplicaId mPeer;
--- a/include/dandelionslip/Control/RaftCore.h
+++ b/include/dandelionslip/Control/RaftCore.h
@@ -1,4 +1,4 @@
-// Decision core of the replicated log.
+// Raft for the control log, without I/O, clock or threads.
 #pragma once
 
 #include "dandelionslip/Control/LogStore.h"
@@ -11,14 +11,15 @@
 
 namespace dandelionslip {
 
-/// Times and bounds of the replicated log.
+/// Timeouts and limits of RaftCore.
 struct RaftSettings
 {
   Milliseconds mHeartbeat{100};
   Milliseconds mElectionMin{500};
   Milliseconds mElectionMax{1000};
-  /// Longest election timeout within the first second after a start, when a restart of the whole
-  /// group is likely; a leader that is there refuses the pre-vote. Zero uses the usual timeouts.
+  /// Longest election timeout within the first second after a start, when all replicas have
+  /// probably restarted and have no leader. If there is a leader, it and its followers refuse the
+  /// pre-vote. Zero: mElectionMax applies from the start.
   Milliseconds mFirstElection{0};
   Milliseconds mConfirmWindow{500}; ///< How long a quorum contact confirms reads.
   std::size_t mMaxAppendBytes = 64U << 10U;
@@ -29,7 +30,7 @@
   LogIndex mSnapshotEntries = 4096; ///< Applied entries after which a snapshot is due.
 };
 
-/// Raft with pre-vote, check-quorum, learners, single membership changes and snapshots.
+/// Raft with pre-vote, check-quorum, learners, single-server membership changes and snapshots.
 ///
 /// Each event returns actions. The runtime carries them out in the order of the returned list and
 /// in the order of the events: an action starts only after every earlier PersistAction and
@@ -42,21 +43,22 @@
   RaftCore(const RaftCore&) = delete;
   RaftCore& operator=(const RaftCore&) = delete;
 
-  /// Time has passed; call every 20 ms.
+  /// Handles timeouts; call every 20 ms.
   RaftActions Tick(TimePoint aNow);
-  /// A message arrived.
+  /// Handles a message from another replica.
   RaftActions Receive(TimePoint aNow, const RaftMessage& aMessage);
   /// The entries up to this one are synced to the local disk.
   RaftActions Persisted(TimePoint aNow, EntryId aLast);
 
-  /// Appends a command. On success the outcome is open until an ApplyAction brings the entry with
-  /// the returned index: equal term means applied, another term means certainly not applied. Every
-  /// error means that the command was certainly not appended: Unavailable (not the leader, or a
-  /// leadership transfer is running) or LimitExceeded (payload too large).
+  /// Appends a command. On success the outcome is open until an ApplyAction contains the entry with
+  /// the returned index: if that entry has the returned term, the command is applied, otherwise it
+  /// never will be. An error means that the command was not appended: Unavailable (not the leader,
+  /// or a leadership transfer is running) or LimitExceeded (payload too large).
   Result<EntryId> Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions);
-  /// Appends a membership change under the same rules. Further errors: Conflict (another change is
-  /// open, or this term has no committed entry yet, or the learner's log is not durable up to the
-  /// commit index), InvalidInput (the change does not fit the membership), NotFound.
+  /// Appends a membership change under the same rules. Further errors: Conflict (the previous
+  /// change is not committed, this term has no committed entry yet, or the learner's log is not
+  /// durable up to the commit index), InvalidInput (the change does not fit the membership),
+  /// NotFound (the replica is not in the membership).
   Result<EntryId> ProposeChange(TimePoint aNow, const MembershipChange& aChange,
                                 RaftActions& aActions);
   /// Hands leadership to an up-to-date voter before a planned stop; any voter when aTarget is
@@ -67,11 +69,12 @@
   /// Builds a snapshot of the applied entries. Call it only when every ApplyAction returned so far
   /// is carried out; aState is the state machine's state at that time.
   Snapshot MakeSnapshot(Bytes aState) const;
-  /// A snapshot of applied entries is stored; drops the entries it covers.
+  /// Drops the entries that a snapshot covers. Call it once the snapshot is stored.
   void Compact(std::shared_ptr<const Snapshot> aSnapshot);
 
-  /// Whether a quorum contact of the leader, no older than mConfirmWindow, has confirmed that this
-  /// replica follows it and has applied all that was committed at that time.
+  /// Whether reads from this replica are current: the leader that it follows had a quorum contact
+  /// (see AppendRequest::mQuorumAgeNs) within the last mConfirmWindow, and this replica has applied
+  /// all that was committed at that time.
   bool Confirmed(TimePoint aNow) const;
   /// The leader of the current term, if known.
   std::optional<ReplicaId> Leader() const;
@@ -86,7 +89,8 @@
   const Membership& Members() const;
   /// The newest committed membership.
   const Membership& CommittedMembers() const;
-  /// Leader only: the index up to which a replica's log is known to be durable and equal.
+  /// Index up to which a replica's log is known to be durable and equal to the log of
+  /// this replica. 0 for other replicas unless this one leads.
   LogIndex MatchOf(const ReplicaId& aReplica) const;
 
 private:
--- a/include/dandelionslip/Control/RaftMessage.h
+++ b/include/dandelionslip/Control/RaftMessage.h
@@ -11,7 +11,8 @@
 
 namespace dandelionslip {
 
-/// Asks whether a vote would be given, without changing the term of the receiver.
+/// Asks whether the receiver would vote for the sender in mProposedTerm. The receiver's term stays
+/// as it is.
 struct PreVoteRequest
 {
   Term mProposedTerm = 0;
@@ -49,7 +50,8 @@
 {
   LogIndex mLastIndex = 0;
   Term mLastTerm = 0;
-  bool mTransfer = false; ///< The leader asked for this election, so its lease does not count.
+  /// The leader asked for this election: a recent message from it is no reason to refuse.
+  bool mTransfer = false;
 
   bool operator==(const VoteRequest&) const = default;
 };
@@ -75,8 +77,8 @@
   aVisitor.Field("granted", aValue.mGranted);
 }
 
-/// A reading of the sender's clock that the receiver returns unchanged. The session keeps readings
-/// of an earlier process apart.
+/// A reading of the sender's clock that the receiver returns unchanged. The session identifies the
+/// process that took the reading: readings of different processes cannot be compared.
 struct ClockStamp
 {
   std::uint64_t mSession = 0;
@@ -92,18 +94,19 @@
   aVisitor.Field("ns", aValue.mNs);
 }
 
-/// Log entries and heartbeat of the leader.
+/// Log entries from the leader; a heartbeat if there are none.
 struct AppendRequest
 {
   LogIndex mPreviousIndex = 0;
   Term mPreviousTerm = 0;
   std::vector<LogEntry> mEntries;
   LogIndex mCommitIndex = 0;
-  std::int64_t mSentNs = 0; ///< Leader's clock, returned in the answer.
-  /// Nanoseconds since the leader's last quorum contact; absent before the leader has committed an
-  /// entry of its term.
+  std::int64_t mSentNs = 0; ///< Leader's clock; returned in the answer.
+  /// Nanoseconds since the leader's last quorum contact: the latest time at which a majority of the
+  /// voters is known to have followed it. Absent before the leader has committed an entry of its
+  /// term.
   std::optional<std::int64_t> mQuorumAgeNs;
-  /// Latest stamp received from this follower, and how long the leader has held it.
+  /// Latest clock stamp received from this follower, and how long ago the leader received it.
   std::optional<ClockStamp> mEcho;
   std::int64_t mEchoHeldNs = 0;
 
@@ -126,10 +129,11 @@
 struct AppendAnswer
 {
   bool mSuccess = false;
-  LogIndex mMatchIndex = 0;    ///< On success: the log is durable and equal up to here.
-  LogIndex mPreviousIndex = 0; ///< Of the request.
+  /// On success: the log is durable and equal to the leader's up to here.
+  LogIndex mMatchIndex = 0;
+  LogIndex mPreviousIndex = 0; ///< Copied from the request.
   LogIndex mHint = 0;          ///< On failure: highest index that may match.
-  std::int64_t mSentNs = 0;    ///< Of the request.
+  std::int64_t mSentNs = 0;    ///< Copied from the request.
   ClockStamp mStamp;           ///< Follower's clock.
 
   bool operator==(const AppendAnswer&) const = default;
@@ -152,7 +156,7 @@
   LogIndex mIndex = 0;
   Term mLastTerm = 0; ///< Term of the entry at mIndex.
   Membership mMembership;
-  std::uint64_t mSize = 0; ///< Of the whole state, in bytes.
+  std::uint64_t mSize = 0; ///< Size of the whole state in bytes.
   std::uint64_t mOffset = 0;
   Bytes mData;
   std::int64_t mSentNs = 0;
@@ -176,7 +180,7 @@
 {
   LogIndex mIndex = 0;
   std::uint64_t mNextOffset = 0;
-  bool mInstalled = false; ///< The log is durable up to mIndex.
+  bool mInstalled = false; ///< The log is durable and committed up to mIndex.
   std::int64_t mSentNs = 0;
 
   bool operator==(const SnapshotAnswer&) const = default;
@@ -202,7 +206,7 @@
 {
 }
 
-/// Tells a replica that its identity must not take part; it stops.
+/// Tells the receiver that it must not take part under its identity; it stops.
 struct ReplicaRefusal
 {
   std::string mReason;
@@ -227,11 +231,11 @@
   ReplicaId mTo;
   Term mTerm = 0;
   StoreId mFromStore = 0;
-  bool mFromEmptyLog = false; ///< The sender holds no log.
+  bool mFromEmptyLog = false; ///< The sender has neither entries nor a snapshot.
   StoreId mToStore = 0;       ///< Receiver's store as known to the sender; zero when unknown.
   RaftBody mBody;
-  /// Endpoint of the sender, filled in by its runtime: a learner without a log does not know the
-  /// members yet and could not answer otherwise.
+  /// Endpoint of the sender, filled in by its runtime. A learner without a log needs it to answer,
+  /// because it does not know the members yet.
   std::string mFromAddress = {};
 
   bool operator==(const RaftMessage&) const = default;
--- a/include/dandelionslip/Control/ReplicaId.h
+++ b/include/dandelionslip/Control/ReplicaId.h
@@ -12,8 +12,9 @@
 /// UUID in lower-case text form, written to the data directory at first start. Empty means none.
 using ReplicaId = std::string;
 
-/// Random number drawn when a data directory is created. It tells two disks apart that claim the
-/// same ReplicaId. Zero means not known.
+/// Random number that identifies a data directory, drawn when the directory is created. It tells
+/// two directories apart that claim the same ReplicaId, as after the loss of a disk. Zero means not
+/// known.
 using StoreId = std::uint64_t;
 
 /// Position in the replicated log; the first entry has index 1.
--- a/include/dandelionslip/Control/Snapshot.h
+++ b/include/dandelionslip/Control/Snapshot.h
@@ -1,4 +1,4 @@
-// State of the state machine after an applied entry.
+// Snapshot of the state machine after an applied entry.
 #pragma once
 
 #include "dandelionslip/Control/LogEntry.h"
--- a/lib/Control/LogStoreLoad.cpp
+++ b/lib/Control/LogStoreLoad.cpp
@@ -293,8 +293,8 @@
 
 Status LogStore::DropCoveredEntries()
 {
-  // Another term at the snapshot's index, or a log that ends before it, is left behind by an
-  // install that was interrupted after its snapshot was written.
+  // An installation that was interrupted after it wrote its snapshot leaves a log that ends before
+  // the snapshot's index or has another term there.
   const bool interrupted =
     mLastIndex < mSnapshotId.mIndex || SegmentTermAt(mSnapshotId.mIndex) != mSnapshotId.mTerm;
   if (!mSegments.empty() && interrupted) {
--- a/lib/Control/PeerStateMachine.cpp
+++ b/lib/Control/PeerStateMachine.cpp
@@ -1,4 +1,4 @@
-// State machine of a leader's knowledge about another replica, on Boost.MSM.
+// State machine of a leader's replication to one peer, on Boost.MSM.
 #include "PeerStateMachine.h"
 
 #include <boost/msm/back/state_machine.hpp>
--- a/lib/Control/PeerStateMachine.h
+++ b/lib/Control/PeerStateMachine.h
@@ -1,4 +1,4 @@
-// State machine of a leader's knowledge about another replica.
+// State machine of a leader's replication to one peer.
 #pragma once
 
 #include <memory>
@@ -7,10 +7,10 @@
 
 enum class PeerState
 {
-  Probe,     ///< The leader looks for the last matching entry.
+  Probe,     ///< The leader searches for the last matching entry.
   Replicate, ///< Entries are sent without waiting for each answer.
-  Snapshot,  ///< The entries it needs are compacted; a snapshot is being sent.
-  Refused,   ///< Its disk is not the one that was promoted.
+  Snapshot,  ///< The entries that the peer needs are compacted; a snapshot is being sent.
+  Refused,   ///< The peer's data directory is not the one that was promoted.
 };
 
 enum class PeerEvent
@@ -23,7 +23,7 @@
   Refused,
 };
 
-/// State machine of a leader's knowledge about another replica.
+/// State machine of a leader's replication to one peer.
 class PeerStateMachine
 {
 public:
--- a/lib/Control/RaftCore.cpp
+++ b/lib/Control/RaftCore.cpp
@@ -1,4 +1,4 @@
-// Public face of the decision core.
+// Forwards the public interface to RaftCore::Impl.
 #include "dandelionslip/Control/RaftCore.h"
 
 #include "RaftCoreImpl.h"
--- a/lib/Control/RaftCoreImpl.cpp
+++ b/lib/Control/RaftCoreImpl.cpp
@@ -1,4 +1,4 @@
-// Events of the core and the actions built from their effects.
+// Events of RaftCore and the actions that result from them.
 #include "RaftCoreImpl.h"
 
 namespace dandelionslip {
@@ -23,7 +23,7 @@
   }
 }
 
-// How long after the start the first election timeout applies.
+// How long after the start RaftSettings::mFirstElectionTimeout applies.
 constexpr Milliseconds kFirstElectionPeriod{1'000};
 
 } // namespace
@@ -149,7 +149,8 @@
     return;
   }
   if (!persist.mHardState && !install) {
-    // A leader's own copy counts only after Persisted, so its entries may leave before the sync.
+    // A leader counts its own copy only after OnPersisted, so it may send entries before they are
+    // synced.
     const auto split = std::stable_partition(messages.begin(), messages.end(), IsFromLeader);
     SendEach({messages.begin(), split}, aActions);
     messages.erase(messages.begin(), split);
--- a/lib/Control/RaftCoreImpl.h
+++ b/lib/Control/RaftCoreImpl.h
@@ -1,4 +1,4 @@
-// State and steps behind RaftCore.
+// Implementation of RaftCore.
 #pragma once
 
 #include "RaftLog.h"
@@ -12,7 +12,7 @@
 
 namespace dandelionslip {
 
-/// State and steps behind RaftCore. Each public event function returns the actions it caused.
+/// Implementation of RaftCore. Each public event function returns the actions it caused.
 class RaftCore::Impl
 {
 public:
@@ -44,7 +44,7 @@
     Bytes mState;
   };
 
-  // Steps common to all events.
+  // Common to all events.
   void SetNow(TimePoint aNow) { mNow = aNow; }
   RaftActions CollectActions();
   void CollectMessages(RaftActions& aActions);
@@ -124,14 +124,14 @@
   const ReplicaId mSelf;
   const StoreId mStore;
   Random mRandom;
-  const std::uint64_t mSession; ///< Tells clock stamps of this process from earlier ones.
+  const std::uint64_t mSession; ///< Of this process's clock stamps; see ClockStamp.
   TimePoint mNow;
   TimePoint mStartedAt;
 
   RoleStateMachine mRole;
   HardState mHardState;
   RaftLog mLog;
-  LogIndex mPersistedIndex; ///< Own log is synced up to here.
+  LogIndex mPersistedIndex; ///< The local log is synced up to here.
   LogIndex mCommitIndex;
   LogIndex mAppliedIndex;
   std::optional<ReplicaId> mLeader;
@@ -140,7 +140,8 @@
 
   // Follower.
   std::optional<TimePoint> mLastLeaderContact;
-  std::optional<TimePoint> mConfirmedAt; ///< Own clock, not after the leader's quorum contact.
+  std::optional<TimePoint> mConfirmedAt; ///< Local clock; never later than the newest quorum
+                                         ///< contact that the leader reported.
   std::optional<IncomingSnapshot> mIncomingSnapshot;
 
   // Candidate.
@@ -155,7 +156,7 @@
   TimePoint mTransferDeadline;
   bool mTimeoutNowSent = false;
 
-  // Effects of the current event, turned into actions by Finish.
+  // Effects of the current event; CollectActions turns them into actions.
   PersistAction mPersistAction;
   std::shared_ptr<const Snapshot> mSnapshotToInstall;
   bool mInstallKeepsSuffix = false;
--- a/lib/Control/RaftElection.cpp
+++ b/lib/Control/RaftElection.cpp
@@ -5,7 +5,7 @@
 
 std::optional<std::string> RaftCore::Impl::ReasonToRefuse(const RaftMessage& aMessage) const
 {
-  // Only the committed membership counts: a change that is not committed may be taken back.
+  // Only the committed membership counts: an uncommitted change may still be replaced.
   const Membership& members = mLog.MembershipAt(mCommitIndex);
   if (members.IsRemoved(aMessage.mFrom)) {
     return "identity " + aMessage.mFrom + " was removed from the membership";
@@ -31,7 +31,7 @@
   return mLeader && mLastLeaderContact && mNow - *mLastLeaderContact < mSettings.mElectionMin;
 }
 
-// Compares the sender's term with the own one; false if the message must not be handled.
+// Adopts the sender's term if it is newer. Returns false if the message must not be handled.
 bool RaftCore::Impl::AdoptTerm(const RaftMessage& aMessage)
 {
   const bool isPreVote = std::holds_alternative<PreVoteRequest>(aMessage.mBody);
@@ -46,7 +46,7 @@
     BecomeFollower(aMessage.mTerm, std::nullopt);
     return true;
   }
-  // A sender with an older term learns the newer one from the answer.
+  // The answer tells a sender with an older term the current one.
   if (const auto* append = std::get_if<AppendRequest>(&aMessage.mBody)) {
     AnswerAppend(aMessage, *append, false, 0);
   } else if (const auto* snapshot = std::get_if<SnapshotRequest>(&aMessage.mBody)) {
@@ -113,7 +113,8 @@
   }
 }
 
-// Counts a vote of a voter whose disk is the promoted one; true when that makes a majority.
+// Counts the vote if it comes from a voter with the data directory that was promoted. Returns
+// whether the votes now form a majority.
 bool RaftCore::Impl::CountVote(const RaftMessage& aMessage)
 {
   const Membership& members = mLog.LatestMembership();
@@ -145,8 +146,8 @@
 
 void RaftCore::Impl::Handle(const RaftMessage& aMessage, const VoteRequest& aRequest)
 {
-  // A learner votes too: it may not have received its promotion yet. The candidate counts only
-  // the voters of its own membership.
+  // A learner votes too, because it may have been promoted without having received the promotion.
+  // The candidate counts only the voters of its own membership.
   const bool free = mHardState.mVotedFor.empty() || mHardState.mVotedFor == aMessage.mFrom;
   const bool granted =
     free && !mLog.IsEmpty() && IsCandidateLogUpToDate(aRequest.mLastIndex, aRequest.mLastTerm);
--- a/lib/Control/RaftFollower.cpp
+++ b/lib/Control/RaftFollower.cpp
@@ -1,4 +1,4 @@
-// Follower side of replication: entries, confirmation of reads, snapshots.
+// Follower side of replication: entries, quorum contact for reads, snapshots.
 #include "RaftCoreImpl.h"
 
 namespace dandelionslip {
@@ -19,7 +19,8 @@
   ResetElectionDeadline();
 }
 
-// Whether the entries follow each other, carry plausible terms and decodable memberships.
+// Whether the indexes are consecutive, the terms neither fall nor exceed the current one, and the
+// memberships can be decoded.
 bool RaftCore::Impl::EntriesAreValid(const AppendRequest& aRequest) const
 {
   LogIndex expected = aRequest.mPreviousIndex + 1;
@@ -43,7 +44,8 @@
          mLog.TermAt(aRequest.mPreviousIndex) == aRequest.mPreviousTerm;
 }
 
-// Highest index below the refused one that may match: skips the whole conflicting term.
+// Highest index that may match the leader's log. Skips all uncommitted entries of the conflicting
+// term.
 LogIndex RaftCore::Impl::ConflictHint(const AppendRequest& aRequest) const
 {
   if (aRequest.mPreviousIndex > mLog.LastIndex()) {
@@ -57,7 +59,8 @@
   return hint;
 }
 
-// Adds what is missing; false if a committed entry would be replaced.
+// Appends missing entries and replaces conflicting ones. Returns false, and stops the replica, if a
+// committed entry would be replaced.
 bool RaftCore::Impl::AppendMissingEntries(const AppendRequest& aRequest)
 {
   for (const LogEntry& entry : aRequest.mEntries) {
@@ -86,8 +89,8 @@
       mCommitIndex < aRequest.mCommitIndex) {
     return;
   }
-  // The leader sent this message at least mEchoHeldNs after the stamp was taken here, so the sum
-  // is not after the quorum contact, whatever the delay of the message was.
+  // The leader sent this message at least mEchoHeldNs after this replica took the stamp. The result
+  // is therefore never later than the quorum contact, however long the message took.
   const TimePoint contact(
     RuntimeClock::duration(aRequest.mEcho->mNs + aRequest.mEchoHeldNs - *aRequest.mQuorumAgeNs));
   mConfirmedAt = std::max(mConfirmedAt, std::optional(contact));
@@ -112,8 +115,8 @@
     return;
   }
   FollowLeader(aMessage.mFrom);
-  // Entries meant for an earlier disk must not reach this one: the leader decides by the store
-  // whether the replica may take part.
+  // Entries addressed to a lost data directory must not be stored in the new one: the leader
+  // decides by the store id whether the replica may take part.
   const bool addressed = aMessage.mToStore == mStore || aRequest.mEntries.empty();
   if (!addressed || !PreviousMatches(aRequest)) {
     AnswerAppend(aMessage, aRequest, false, 0);
@@ -146,7 +149,7 @@
          SnapshotAnswer{aRequest.mIndex, next, aRequest.mIndex <= mCommitIndex, aRequest.mSentNs});
 }
 
-// Adds a chunk that continues the transfer; true when the state is complete.
+// Appends the chunk if it continues the transfer. Returns whether the state is complete.
 bool RaftCore::Impl::AppendChunk(const SnapshotRequest& aRequest)
 {
   const EntryId id{aRequest.mIndex, aRequest.mLastTerm};
--- a/lib/Control/RaftLog.cpp
+++ b/lib/Control/RaftLog.cpp
@@ -1,4 +1,4 @@
-// Entries after the snapshot in memory, with the memberships they hold.
+// The log in memory: the entries after the snapshot and the memberships among them.
 #include "RaftLog.h"
 
 namespace dandelionslip {
--- a/lib/Control/RaftLog.h
+++ b/lib/Control/RaftLog.h
@@ -1,4 +1,4 @@
-// Entries after the snapshot in memory, with the memberships they hold.
+// The log in memory: the entries after the snapshot and the memberships among them.
 #pragma once
 
 #include "dandelionslip/Control/Snapshot.h"
@@ -11,7 +11,7 @@
 
 namespace dandelionslip {
 
-/// Entries after the snapshot in memory, with the memberships they hold.
+/// The log in memory: the entries after the snapshot and the memberships among them.
 class RaftLog
 {
 public:
@@ -27,7 +27,7 @@
   /// Term of an entry that is in the log or ends the snapshot; 0 for index 0.
   std::optional<Term> TermAt(LogIndex aIndex) const;
 
-  /// Copies entries from aFirst on; at least one, then up to both bounds.
+  /// Copies entries starting with aFirst: at least one, and more while both limits allow it.
   std::vector<LogEntry> Slice(LogIndex aFirst, std::size_t aMaxEntries,
                               std::size_t aMaxBytes) const;
   /// Copies the entries from aFirst to aLast, both included.
@@ -37,9 +37,9 @@
   void Append(LogEntry aEntry);
   /// Removes the entry with this index and all later ones.
   void TruncateFrom(LogIndex aFirst);
-  /// Drops the entries that the snapshot covers and keeps later ones.
+  /// Takes a newer snapshot; drops the entries that it covers and keeps later ones.
   void Compact(std::shared_ptr<const Snapshot> aSnapshot);
-  /// Drops all entries.
+  /// Takes a snapshot and drops all entries.
   void Replace(std::shared_ptr<const Snapshot> aSnapshot);
 
   /// The newest membership and the index of its entry.
@@ -54,7 +54,7 @@
 
   std::shared_ptr<const Snapshot> mSnapshot;
   std::deque<LogEntry> mEntries;
-  /// By index of the entry; the first one is that of the snapshot.
+  /// By index of the entry. The first one is the snapshot's, at the snapshot's index.
   std::map<LogIndex, Membership> mMemberships;
 };
 
--- a/lib/Control/RaftMessage.cpp
+++ b/lib/Control/RaftMessage.cpp
@@ -1,4 +1,4 @@
-// CBOR form of the messages between replicas.
+// CBOR encoding of the messages between replicas.
 #include "dandelionslip/Control/RaftMessage.h"
 
 #include <array>
--- a/lib/Control/RaftPeer.h
+++ b/lib/Control/RaftPeer.h
@@ -18,19 +18,20 @@
 struct RaftPeer
 {
   PeerStateMachine mStateMachine;
-  LogIndex mMatchIndex = 0;       ///< Durable and equal up to here.
+  LogIndex mMatchIndex = 0;       ///< The peer's log is durable and equal up to here.
   LogIndex mNextIndex = 1;        ///< Next entry to send.
   std::deque<LogIndex> mInFlight; ///< Last index of each unanswered append with entries.
 
-  StoreId mStore = 0;                  ///< Zero until the first answer; no entries are sent before.
-  std::vector<StoreId> mRetiredStores; ///< Earlier disks; their late answers are ignored.
+  StoreId mStore = 0; ///< Zero until the first answer; no entries are sent before.
+  /// Store ids of lost data directories; late answers from them are ignored.
+  std::vector<StoreId> mRetiredStores;
 
   std::optional<TimePoint> mLastContact; ///< Send time of the newest answered message.
-  std::optional<ClockStamp> mStamp;      ///< Newest stamp of the replica's clock.
+  std::optional<ClockStamp> mStamp;      ///< Newest stamp of the peer's clock.
   TimePoint mStampReceived;
 
-  std::shared_ptr<const Snapshot> mSnapshot; ///< Being sent.
-  std::uint64_t mChunkOffset = 0;            ///< Start of the chunk under way.
+  std::shared_ptr<const Snapshot> mSnapshot; ///< Snapshot that is being sent.
+  std::uint64_t mChunkOffset = 0;            ///< Offset of the chunk that is being sent.
   TimePoint mChunkSent;
 };
 
--- a/lib/Control/RaftProposal.cpp
+++ b/lib/Control/RaftProposal.cpp
@@ -60,7 +60,7 @@
   return id;
 }
 
-// Creates and drops peers so that they equal the newest membership.
+// Adds and removes peers to match the newest membership.
 void RaftCore::Impl::UpdatePeers()
 {
   const Membership& members = mLog.LatestMembership();
--- a/lib/Control/RaftReplication.cpp
+++ b/lib/Control/RaftReplication.cpp
@@ -37,8 +37,8 @@
     return;
   }
   RecordContact(*peer, aAnswer.mSentNs);
-  const bool current = peer->mStateMachine.State() == PeerState::Snapshot &&
-                       peer->mSnapshot->mIndex == aAnswer.mIndex;
+  const bool current =
+    peer->mStateMachine.State() == PeerState::Snapshot && peer->mSnapshot->mIndex == aAnswer.mIndex;
   if (!current) {
     return;
   }
@@ -98,7 +98,8 @@
   return true;
 }
 
-// The send time is used, because the peer may have moved on while its answer was under way.
+// Counts from the time at which the answered message was sent: while its answer was under way, the
+// peer may have started to follow another leader.
 void RaftCore::Impl::RecordContact(RaftPeer& aPeer, std::int64_t aSentNs) const
 {
   const TimePoint sent = std::min(TimePoint(RuntimeClock::duration(aSentNs)), mNow);
@@ -133,7 +134,7 @@
   aPeer.mNextIndex = std::clamp(next, aPeer.mMatchIndex + 1, mLog.LastIndex() + 1);
 }
 
-// Sends what the peer can take now, after an answer or a new entry.
+// Sends the next messages to a peer after an answer or a new entry.
 void RaftCore::Impl::Replicate(const ReplicaId& aId, RaftPeer& aPeer)
 {
   const PeerState state = aPeer.mStateMachine.State();
@@ -180,7 +181,8 @@
 {
   switch (aPeer.mStateMachine.State()) {
     case PeerState::Refused:
-      // The refusal is sent in answer to a message, once the membership is committed.
+      // The refusal is sent in answer to a message of the peer, once the membership is committed;
+      // the heartbeat makes the peer send one.
       aPeer.mNextIndex = mLog.LastIndex() + 1;
       SendAppend(aId, aPeer, false);
       return;
@@ -255,7 +257,7 @@
   }
   AdvanceCommit(reached);
   for (auto& [id, peer] : mPeers) {
-    // Followers learn the new commit index at once, so that they apply without waiting for the
+    // Tells idle followers the new commit index at once, so that they apply without waiting for the
     // next heartbeat.
     const bool idle = peer.mStateMachine.State() == PeerState::Replicate && peer.mStore != 0 &&
                       peer.mNextIndex > mLog.LastIndex();
--- a/lib/Control/RecordCodec.cpp
+++ b/lib/Control/RecordCodec.cpp
@@ -1,4 +1,4 @@
-// Framing of records in segments and small files.
+// Encoding of records in segments and small files.
 #include "RecordCodec.h"
 
 #include "dandelionslip/Support/Hash.h"
@@ -59,7 +59,8 @@
   if (rest.size() < kRecordHeaderBytes) {
     return {RecordStatus::Incomplete, {}, aFile.size(), "record header is incomplete"};
   }
-  // File systems may extend a file with zeros before a crash interrupts the write of its data.
+  // After a crash, a file may end in zeros: some file systems extend the file before they write the
+  // data.
   if (AllZero(rest)) {
     return {RecordStatus::Incomplete, {}, aFile.size(), "only zeros up to the end"};
   }
--- a/lib/Control/RecordCodec.h
+++ b/lib/Control/RecordCodec.h
@@ -1,4 +1,5 @@
-// Framing of one record in a file: length, check of the length, checksum, payload.
+// Encoding of one record in a file: length, checksum of the length, checksum of the payload,
+// payload.
 #pragma once
 
 #include "dandelionslip/Support/Json.h"
@@ -9,8 +10,9 @@
 
 namespace dandelionslip {
 
-/// Bytes before the payload: length (4), check of the length (4), checksum (8), little-endian. The
-/// length has its own check, so that a damaged length is not mistaken for a record cut at the end.
+/// Bytes before the payload: length (4), checksum of the length (4), checksum of the payload (8),
+/// all little-endian. The length has its own checksum, so that a corrupt length is not mistaken for
+/// an incomplete record at the end of the file.
 inline constexpr std::size_t kRecordHeaderBytes = 16;
 
 /// Largest payload of a record.
@@ -19,20 +21,21 @@
 enum class RecordStatus
 {
   Complete,
-  Incomplete, ///< The file ends inside the record, or holds only zeros from its start.
-  Corrupt,    ///< A check fails.
+  Incomplete, ///< The file ends inside the record, or holds only zeros from the start of the
+              ///< record.
+  Corrupt,    ///< A checksum does not match, or the length is above kMaxRecordBytes.
 };
 
-/// A record found in a file.
+/// Result of reading a record.
 struct RecordView
 {
   RecordStatus mStatus = RecordStatus::Corrupt;
   std::span<const std::uint8_t> mPayload;
   std::uint64_t mEnd = 0;  ///< Offset after the record.
-  std::string_view mError; ///< What is wrong, unless Complete.
+  std::string_view mError; ///< Why the record is not Complete; empty if it is.
 };
 
-/// Frames a payload.
+/// Returns the record with this payload.
 Bytes EncodeRecord(std::span<const std::uint8_t> aPayload);
 
 /// Reads the record that starts at aOffset, which must lie before the end of aFile.
