--- a/include/dandelionslip/Control/LogEntry.h
+++ b/include/dandelionslip/Control/LogEntry.h
@@ -12,7 +12,7 @@
 {
   NoOp,       ///< Appended by a leader at the start of its term; carries nothing.
   Command,    ///< Payload is a command for the state machine.
-  Membership, ///< Payload is the CBOR form of the resulting Membership.
+  Membership, ///< Payload is the resulting RaftMembership in CBOR.
 };
 
 std::span<const EnumName<EntryKind>> EnumNames(EntryKind);
--- a/include/dandelionslip/Control/RaftAction.h
+++ b/include/dandelionslip/Control/RaftAction.h
@@ -32,7 +32,7 @@
   std::optional<HardState> mHardState;
   std::optional<LogIndex> mTruncateFrom;
   std::vector<LogEntry> mEntries;
-  std::vector<RaftMessage> mThenSend;
+  std::vector<RaftMessage> mMessagesAfterSync;
 };
 
 /// Send a message; it may be lost.
@@ -52,11 +52,11 @@
 {
   std::shared_ptr<const Snapshot> mSnapshot;
   bool mKeepSuffix = false; ///< Entries after the snapshot stay in the log.
-  std::vector<RaftMessage> mThenSend;
+  std::vector<RaftMessage> mMessagesAfterSync;
 };
 
 /// The role, the term or the known leader changed.
-struct RoleAction
+struct RoleChangedAction
 {
   RaftRole mRole = RaftRole::Follower;
   Term mTerm = 0;
@@ -77,7 +77,7 @@
 };
 
 using RaftAction = std::variant<PersistAction, SendAction, ApplyAction, InstallSnapshotAction,
-                                RoleAction, PeerRefusedAction, StopAction>;
+                                RoleChangedAction, PeerRefusedAction, StopAction>;
 using RaftActions = std::vector<RaftAction>;
 
 } // namespace dandelionslip
--- a/lib/Control/RaftCore.cpp
+++ b/lib/Control/RaftCore.cpp
@@ -22,9 +22,9 @@
   return mImpl->Receive(aNow, aMessage);
 }
 
-RaftActions RaftCore::Persisted(TimePoint aNow, EntryId aLast)
+RaftActions RaftCore::OnPersisted(TimePoint aNow, EntryId aLast)
 {
-  return mImpl->Persisted(aNow, aLast);
+  return mImpl->OnPersisted(aNow, aLast);
 }
 
 Result<EntryId> RaftCore::Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions)
@@ -32,7 +32,7 @@
   return mImpl->Propose(aNow, std::move(aPayload), aActions);
 }
 
-Result<EntryId> RaftCore::ProposeChange(TimePoint aNow, const MembershipChange& aChange,
+Result<EntryId> RaftCore::ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
                                         RaftActions& aActions)
 {
   return mImpl->ProposeChange(aNow, aChange, aActions);
@@ -100,19 +100,19 @@
   return mImpl->Log().TermAt(aIndex);
 }
 
-const Membership& RaftCore::Members() const
+const RaftMembership& RaftCore::Members() const
 {
   return mImpl->Log().LatestMembership();
 }
 
-const Membership& RaftCore::CommittedMembers() const
+const RaftMembership& RaftCore::CommittedMembers() const
 {
   return mImpl->Log().MembershipAt(mImpl->CommitIndex());
 }
 
-LogIndex RaftCore::MatchOf(const ReplicaId& aReplica) const
+LogIndex RaftCore::MatchIndexOf(const ReplicaId& aReplica) const
 {
-  return mImpl->MatchOf(aReplica);
+  return mImpl->MatchIndexOf(aReplica);
 }
 
 } // namespace dandelionslip
--- a/lib/Control/RaftCoreImpl.cpp
+++ b/lib/Control/RaftCoreImpl.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-// How long after the start RaftSettings::mFirstElectionTimeout applies.
+// How long after the start RaftSettings::mFirstElection applies.
 constexpr Milliseconds kFirstElectionPeriod{1'000};
 
 } // namespace
@@ -80,7 +80,7 @@
   return CollectActions();
 }
 
-RaftActions RaftCore::Impl::Persisted(TimePoint aNow, EntryId aLast)
+RaftActions RaftCore::Impl::OnPersisted(TimePoint aNow, EntryId aLast)
 {
   SetNow(aNow);
   if (mLog.TermAt(aLast.mIndex) == aLast.mTerm) {
@@ -122,7 +122,7 @@
     actions.emplace_back(ApplyAction{mLog.Range(mAppliedIndex + 1, mCommitIndex)});
     mAppliedIndex = mCommitIndex;
   }
-  const RoleAction current{Role(), mHardState.mTerm, mLeader};
+  const RoleChangedAction current{Role(), mHardState.mTerm, mLeader};
   if (current.mRole != mReportedRole.mRole || current.mTerm != mReportedRole.mTerm ||
       current.mLeader != mReportedRole.mLeader) {
     actions.emplace_back(current);
@@ -156,7 +156,7 @@
     messages.erase(messages.begin(), split);
   }
   if (!install) {
-    persist.mThenSend = std::move(messages);
+    persist.mMessagesAfterSync = std::move(messages);
     aActions.emplace_back(std::move(persist));
     return;
   }
@@ -241,7 +241,7 @@
 void RaftCore::Impl::CheckOwnIdentity()
 {
   mOwnIdentityChecked = true;
-  const Membership& members = mLog.MembershipAt(mCommitIndex);
+  const RaftMembership& members = mLog.MembershipAt(mCommitIndex);
   if (members.IsRemoved(mSelf)) {
     Stop("identity " + mSelf + " was removed from the membership");
     return;
@@ -257,7 +257,7 @@
   return !mLog.IsEmpty() && mLog.LatestMembership().IsVoter(mSelf);
 }
 
-LogIndex RaftCore::Impl::MatchOf(const ReplicaId& aReplica) const
+LogIndex RaftCore::Impl::MatchIndexOf(const ReplicaId& aReplica) const
 {
   if (aReplica == mSelf) {
     return mPersistedIndex;
--- a/lib/Control/RaftElection.cpp
+++ b/lib/Control/RaftElection.cpp
@@ -6,7 +6,7 @@
 std::optional<std::string> RaftCore::Impl::ReasonToRefuse(const RaftMessage& aMessage) const
 {
   // Only the committed membership counts: an uncommitted change may still be replaced.
-  const Membership& members = mLog.MembershipAt(mCommitIndex);
+  const RaftMembership& members = mLog.MembershipAt(mCommitIndex);
   if (members.IsRemoved(aMessage.mFrom)) {
     return "identity " + aMessage.mFrom + " was removed from the membership";
   }
@@ -117,7 +117,7 @@
 // whether the votes now form a majority.
 bool RaftCore::Impl::CountVote(const RaftMessage& aMessage)
 {
-  const Membership& members = mLog.LatestMembership();
+  const RaftMembership& members = mLog.LatestMembership();
   const ReplicaInfo* info = members.Find(aMessage.mFrom);
   if (info == nullptr || !info->mVoter || aMessage.mFromEmptyLog ||
       (info->mStore != 0 && info->mStore != aMessage.mFromStore)) {
--- a/lib/Control/RaftProposal.cpp
+++ b/lib/Control/RaftProposal.cpp
@@ -39,7 +39,7 @@
   return id;
 }
 
-Result<EntryId> RaftCore::Impl::ProposeChange(TimePoint aNow, const MembershipChange& aChange,
+Result<EntryId> RaftCore::Impl::ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
                                               RaftActions& aActions)
 {
   SetNow(aNow);
@@ -63,7 +63,7 @@
 // Adds and removes peers to match the newest membership.
 void RaftCore::Impl::UpdatePeers()
 {
-  const Membership& members = mLog.LatestMembership();
+  const RaftMembership& members = mLog.LatestMembership();
   std::erase_if(mPeers, [&](const auto& aItem) { return members.Find(aItem.first) == nullptr; });
   for (const auto& [id, info] : members.mReplicas) {
     if (id != mSelf && !mPeers.contains(id)) {
@@ -72,26 +72,26 @@
   }
 }
 
-Result<Membership> RaftCore::Impl::MembershipAfter(const MembershipChange& aChange) const
+Result<RaftMembership> RaftCore::Impl::MembershipAfter(const RaftMembershipChange& aChange) const
 {
-  Membership members = mLog.LatestMembership();
+  RaftMembership members = mLog.LatestMembership();
   if (members.IsRemoved(aChange.mReplica)) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica,
                 "the identity was removed for good");
   }
   const bool present = members.Find(aChange.mReplica) != nullptr;
-  if (!present && aChange.mKind != MembershipChangeKind::AddLearner) {
+  if (!present && aChange.mKind != RaftMembershipChangeKind::AddLearner) {
     return Fail(ErrorCode::NotFound, "raft.change", aChange.mReplica, "not in the membership");
   }
   Status changed = Ok();
   switch (aChange.mKind) {
-    case MembershipChangeKind::AddLearner:
+    case RaftMembershipChangeKind::AddLearner:
       changed = AddLearner(members, aChange);
       break;
-    case MembershipChangeKind::Promote:
+    case RaftMembershipChangeKind::Promote:
       changed = Promote(members, aChange);
       break;
-    case MembershipChangeKind::Remove:
+    case RaftMembershipChangeKind::Remove:
       changed = Remove(members, aChange);
       break;
   }
@@ -99,7 +99,8 @@
   return members;
 }
 
-Status RaftCore::Impl::AddLearner(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Impl::AddLearner(RaftMembership& aMembers,
+                                  const RaftMembershipChange& aChange) const
 {
   if (!IsReplicaId(aChange.mReplica)) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica,
@@ -113,7 +114,7 @@
   return Ok();
 }
 
-Status RaftCore::Impl::Promote(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Impl::Promote(RaftMembership& aMembers, const RaftMembershipChange& aChange) const
 {
   ReplicaInfo& info = aMembers.mReplicas[aChange.mReplica];
   if (info.mVoter) {
@@ -131,7 +132,7 @@
   return Ok();
 }
 
-Status RaftCore::Impl::Remove(Membership& aMembers, const MembershipChange& aChange) const
+Status RaftCore::Impl::Remove(RaftMembership& aMembers, const RaftMembershipChange& aChange) const
 {
   if (aChange.mReplica == mSelf) {
     return Fail(ErrorCode::InvalidInput, "raft.change", mSelf,
@@ -147,7 +148,7 @@
 {
   SetNow(aNow);
   BOOST_OUTCOME_TRY(CheckMayPropose("raft.transfer"));
-  const Membership& members = mLog.LatestMembership();
+  const RaftMembership& members = mLog.LatestMembership();
   const std::pair<const ReplicaId, RaftPeer>* best = nullptr;
   for (const auto& item : mPeers) {
     const bool wanted = aTarget.empty() || item.first == aTarget;
--- a/lib/Control/RaftReplication.cpp
+++ b/lib/Control/RaftReplication.cpp
@@ -247,7 +247,7 @@
   std::vector<LogIndex> durable;
   for (const auto& [id, info] : mLog.LatestMembership().mReplicas) {
     if (info.mVoter) {
-      durable.push_back(MatchOf(id));
+      durable.push_back(MatchIndexOf(id));
     }
   }
   std::sort(durable.begin(), durable.end(), std::greater<>());
