--- a/include/dandelionslip/Control/AttachedDigest.h
+++ b/include/dandelionslip/Control/AttachedDigest.h
@@ -1,4 +1,4 @@
-// Digest by which a replica and the leader agree on the attached nodes.
+// Digest by which the leader checks that it knows all attached nodes of a replica.
 #pragma once
 
 #include "dandelionslip/Model/Announcement.h"
@@ -7,11 +7,11 @@
 
 namespace dandelionslip {
 
-/// Identifies an announcement in a summary; the view revision does not count, because it changes on
-/// every node with every view and the leader does not need it.
+/// Hash of an announcement without its view revision. The leader does not need the revision, and it
+/// changes on every node with every view.
 std::uint64_t DigestOf(const Announcement& aAnnouncement);
 
-/// Digest over a set of attached nodes, which are added in order of their names.
+/// Digest over a set of attached nodes, which must be added in the order of their names.
 class AttachedDigest
 {
 public:
--- a/include/dandelionslip/Control/AttachedNodes.h
+++ b/include/dandelionslip/Control/AttachedNodes.h
@@ -11,29 +11,31 @@
 
 namespace dandelionslip {
 
-/// Collects announcements and reports them to the leader. Not thread-safe.
+/// Collects the announcements of attached nodes and builds summaries of them for the leader. Not
+/// thread-safe.
 ///
-/// A lease is granted only on the strength of a summary that the leader has acknowledged: the
-/// leader counts the lease from the summary's arrival, so a node never holds a lease longer than
-/// the leader believes, even when the link to the leader is cut between two summaries.
+/// A node gets a lease only after the leader has acknowledged a summary that covers the node. The
+/// lease starts when that summary was built; the leader counts from its arrival, which is later. So
+/// a node's lease never outlasts the leader's record of it, even if the link to the leader breaks
+/// between two summaries.
 class AttachedNodes
 {
 public:
   explicit AttachedNodes(const MembershipSettings& aSettings);
 
-  /// Takes an announcement; Fenced when this replica has seen a higher incarnation.
+  /// Stores an announcement. Fenced: a higher incarnation is known, or the leader fenced this one.
   RenewalOutcome RecordAnnouncement(const Announcement& aAnnouncement, TimePoint aNow);
 
   /// Builds the next summary for the leader of aTerm; the first one of a term is whole.
   MemberSummary BuildSummary(const std::string& aReplica, std::uint64_t aTerm,
                              std::uint64_t aViewRevision, TimePoint aNow);
 
-  /// Takes the leader's answer to a summary. aViewRevision is the view that this replica hands out;
-  /// when it is older than the one the answer rests on, the answer renews no lease, because a node
-  /// that was lost in between would get a lease together with buckets that it no longer owns.
+  /// Handles the leader's answer to a summary. aViewRevision is the view that this replica serves
+  /// to nodes. If it is older than the answer's held revision, no lease is renewed: a node that was
+  /// lost in between would get a lease together with buckets that it no longer owns.
   void HandleAnswer(const SummaryAnswer& aAnswer, std::uint64_t aViewRevision);
 
-  /// What remains at aNow of the lease that the leader has acknowledged for this incarnation.
+  /// Remaining time at aNow of the lease that the leader has acknowledged for this incarnation.
   Milliseconds LeaseFor(const std::string& aName, std::uint64_t aIncarnation, TimePoint aNow) const;
 
   /// Whether the leader has fenced this incarnation or this replica knows a higher one.
@@ -51,8 +53,9 @@
     Announcement mAnnouncement;
     std::uint64_t mDigest = 0;
     TimePoint mLastAnnounced;
-    std::uint64_t mAckedDigest = 0;       ///< Of the announcement that the leader has.
-    std::optional<TimePoint> mLeaseStart; ///< When the acknowledged summary was built.
+    std::uint64_t mAckedDigest = 0; ///< Of the announcement that the leader has.
+    /// When the last summary that renewed the lease was built.
+    std::optional<TimePoint> mLeaseStart;
   };
 
   struct SentNode
--- a/include/dandelionslip/Control/ConfigurationStore.h
+++ b/include/dandelionslip/Control/ConfigurationStore.h
@@ -1,4 +1,4 @@
-// The replicated state machine of operators' commands.
+// The replicated state machine: applies operators' commands to the configuration.
 #pragma once
 
 #include "dandelionslip/Control/StoreState.h"
@@ -13,8 +13,8 @@
 class ConfigurationStore
 {
 public:
-  /// Applies the command of log entry aIndex, whole or not at all. A known publication id gets its
-  /// first answer. An entry at or below the last applied index changes nothing.
+  /// Applies the command of log entry aIndex, whole or not at all. A publication id whose answer is
+  /// kept gets that answer again. An entry at or below the last applied index changes nothing.
   CommandAnswer Apply(std::uint64_t aIndex, const Command& aCommand);
 
   /// The configuration in force; its revision is the index of the last entry that changed it.
--- a/include/dandelionslip/Control/LeaseTable.h
+++ b/include/dandelionslip/Control/LeaseTable.h
@@ -10,13 +10,13 @@
 
 namespace dandelionslip {
 
-/// What became of an announcement.
+/// Result of an announcement or renewal.
 enum class RenewalOutcome
 {
   Accepted,
   Fenced,  ///< A higher incarnation exists, or this incarnation has left; the process must stop.
   Full,    ///< The table has no room for another member.
-  Invalid, ///< The announcement breaks a rule, or a touched member is unknown.
+  Invalid, ///< The announcement breaks a rule, or the member to renew is unknown.
 };
 
 /// Checks the rules of an announcement; errors name the key. A node that breaks them gets no lease.
@@ -25,11 +25,12 @@
 /// One node with its lease.
 struct LeaseEntry
 {
-  Announcement mAnnouncement;                      ///< mMember.mState is the state in force.
-  MemberState mAnnouncedState = MemberState::Cold; ///< State before the lease ended.
-  TimePoint
-    mDeadline; ///< When the member is lost; for a lost or left member, when it is forgotten.
-  /// First view of this leader that shows the member with this incarnation as live; 0 for none.
+  Announcement mAnnouncement; ///< mMember.mState is the current state.
+  /// Last announced state; kept while the member is lost.
+  MemberState mAnnouncedState = MemberState::Cold;
+  /// When the member will be lost; for a lost or left member, when it will be forgotten.
+  TimePoint mDeadline;
+  /// Revision of this leader's first view that shows this incarnation as live; 0 for none.
   std::uint64_t mLiveSinceRevision = 0;
   bool mHasAnnounced = false; ///< False while the entry comes only from an adopted view.
 };
@@ -54,15 +55,15 @@
   /// Drops members that were lost or left long ago and that no generation of aView names.
   void Forget(const View& aView, TimePoint aNow);
 
-  /// Takes over the members of a view and gives each one full lease with margin from aNow, so that
-  /// a new leader declares no member lost early.
+  /// Adds the members of a view, each with a full lease plus margin from aNow, so that a new leader
+  /// declares no member lost early.
   void Adopt(const View& aView, TimePoint aNow);
 
-  /// Notes that the view with this revision shows all members that are live now.
+  /// Records that the view with this revision shows all members that are live now.
   void MarkLiveInView(std::uint64_t aRevision);
 
   /// Whether a view up to the held revision shows the member as live. Only then may it get a lease:
-  /// the next leader knows that view and gives the member a full lease before it is lost.
+  /// the next leader knows that view and gives the member a full lease before it declares it lost.
   bool IsLiveInHeldView(const std::string& aName, std::uint64_t aHeldRevision) const;
 
   /// The entry with this name, or null.
--- a/include/dandelionslip/Control/MemberSummary.h
+++ b/include/dandelionslip/Control/MemberSummary.h
@@ -25,7 +25,7 @@
   bool mWhole = false;         ///< mChanged lists every attached node.
   std::vector<Announcement> mChanged;
   std::vector<std::string> mDetached;
-  std::uint64_t mDigest = 0; ///< Over all attached nodes after this summary.
+  std::uint64_t mDigest = 0; ///< AttachedDigest of all attached nodes after this summary.
   std::uint64_t mViewRevision = 0;
   std::optional<View> mView; ///< Present when the leader asked for it.
 
@@ -50,13 +50,16 @@
 struct SummaryAnswer
 {
   std::uint64_t mTerm = 0;
-  std::uint64_t mSequence = 0;      ///< Of the summary that is answered.
-  bool mAccepted = false;           ///< All attached nodes but those in the two lists were renewed.
-  std::uint64_t mHeldRevision = 0;  ///< Newest view revision that a quorum holds.
-  bool mWholeWanted = false;        ///< The digest differs; the next summary must be whole.
-  bool mViewWanted = false;         ///< The replica holds a newer view than a starting leader.
+  std::uint64_t mSequence = 0; ///< Of the summary that is answered.
+  bool mAccepted = false; ///< All attached nodes except those in mFenced and mRefused were renewed.
+  std::uint64_t mHeldRevision = 0; ///< Newest view revision that a quorum stores.
+  bool mWholeWanted = false;       ///< The digest differs; the next summary must be whole.
+  /// The next summary must carry the replica's view, which is newer than the new leader's.
+  bool mViewWanted = false;
   std::vector<std::string> mFenced; ///< A higher incarnation exists; these must stop.
-  std::vector<std::string> mRefused; ///< No lease: no held view shows them, or no room.
+  /// Got no lease: the announcement is invalid, the table is full, or no held view shows them as
+  /// live.
+  std::vector<std::string> mRefused;
 
   bool operator==(const SummaryAnswer&) const = default;
 };
--- a/include/dandelionslip/Control/MembershipCore.h
+++ b/include/dandelionslip/Control/MembershipCore.h
@@ -1,4 +1,4 @@
-// The membership part of one control replica as a pure decision core.
+// Leases and views of balancers and agents on one control replica, without I/O, clock or threads.
 #pragma once
 
 #include "dandelionslip/Control/AttachedNodes.h"
@@ -15,7 +15,7 @@
 
 namespace dandelionslip {
 
-/// What the Raft core says about leadership.
+/// Leadership as RaftCore reports it.
 struct RoleChange
 {
   std::uint64_t mTerm = 0;
@@ -40,14 +40,18 @@
 
 using MembershipAction = std::variant<SendSummary, SendViewUpdate>;
 
-/// Takes typed events and returns typed answers and actions. Has no socket, thread, clock or random
-/// source. Not thread-safe.
+/// Handles announcements, summaries and views on one control replica: a follower reports its
+/// attached nodes to the leader, the leader renews their leases and issues views. Takes events and
+/// returns answers and actions; has no socket, thread, clock or random source. Not thread-safe.
+///
+/// A view revision is held once a quorum of voters is known to store it. Nodes get held views only,
+/// so that the next leader knows every view on which a node has acted.
 class MembershipCore
 {
 public:
   MembershipCore(std::string aReplica, const MembershipSettings& aSettings);
 
-  /// An announcement from an attached node. aConfirmed comes from the Raft core: the leader this
+  /// An announcement from an attached node. aConfirmed is RaftCore::Confirmed: the leader that this
   /// replica follows reached a quorum within the last 500 ms and this replica has applied that
   /// leader's commit index. Without it the answer carries neither lease nor state.
   AnnouncementAnswer OnAnnouncement(const Announcement& aAnnouncement, bool aConfirmed,
@@ -59,8 +63,8 @@
   /// The leader's answer to this replica's newest summary.
   void OnSummaryAnswer(const SummaryAnswer& aAnswer);
 
-  /// A view from the leader. A lower revision, or the view of a leader that this replica does not
-  /// follow, is not taken.
+  /// A view from the leader. A lower revision, or a view from a leader that this replica does not
+  /// follow, is ignored.
   ViewUpdateAnswer OnViewUpdate(const ViewUpdate& aUpdate);
 
   /// A replica's answer to a view update.
@@ -75,31 +79,30 @@
   /// A new term, leader or set of voters.
   void OnRoleChange(const RoleChange& aChange, TimePoint aNow);
 
-  /// Lets time pass; called every 20 ms.
+  /// Handles timeouts; call every 20 ms.
   std::vector<MembershipAction> OnTick(TimePoint aNow);
 
   const ConfigurationStore& Store() const { return mStore; }
   /// The newest view that this replica holds.
   const View& CurrentView() const { return mViews.Newest(); }
 
-  /// The view that nodes get: the newest one known to be held by a quorum, so that the next leader
-  /// knows every view that a node has ever acted on.
+  /// The view that nodes get: the newest held one.
   const View& ServedView() const { return mServedViews.Newest(); }
   const LeaseTable& Leases() const { return mLeases; }
 
-  /// Whether this replica leads and has heard the views of a quorum, so that it issues views.
+  /// Whether this replica leads, knows the views of a quorum and therefore issues views.
   bool IssuesViews() const { return mIssuing; }
 
 private:
   struct Peer
   {
     SummaryReceiver mReceiver;
-    bool mViewKnown = false;         ///< Its view is known and not newer than ours.
+    bool mViewKnown = false; ///< Its view is known and not newer than the one of this replica.
     std::uint64_t mViewRevision = 0; ///< Newest revision it is known to hold.
     TimePoint mLastSummaryAt;
     TimePoint mViewSentAt;
     std::uint64_t mViewRevisionSent = 0;
-    std::uint64_t mHeldRevisionSent = 0; ///< Held revision that it was last told.
+    std::uint64_t mHeldRevisionSent = 0; ///< Held revision of the last update sent.
   };
 
   void AddNewerState(const Announcement& aAnnouncement, AnnouncementAnswer& aAnswer) const;
@@ -126,7 +129,7 @@
   RevisionHistory<Configuration, ConfigurationDifference> mConfigurations;
   RevisionHistory<View, ViewDifference> mViews;
   RevisionHistory<View, ViewDifference> mServedViews;
-  std::uint64_t mHeldRevision = 0; ///< Newest revision known to be held by a quorum.
+  std::uint64_t mHeldRevision = 0; ///< Newest held revision that this replica knows of.
   AttachedNodes mAttached;
   LeaseTable mLeases;
   ViewBuilder mBuilder;
--- a/include/dandelionslip/Control/MembershipSettings.h
+++ b/include/dandelionslip/Control/MembershipSettings.h
@@ -12,12 +12,13 @@
 struct MembershipSettings
 {
   Milliseconds mLease{2'000};
-  Milliseconds mLeaseMargin{500}; ///< Added before a member is declared lost.
+  Milliseconds mLeaseMargin{500}; ///< Added to the lease before a member is declared lost.
   Milliseconds mRestartGrace{10'000};
   Milliseconds mSummaryInterval{250};
-  Milliseconds mSummaryTimeout{1'000}; ///< Pause before an unanswered summary is given up.
-  Milliseconds mViewInterval{100};     ///< Shortest time between two looks at the view.
-  Milliseconds mViewResend{250};       ///< Pause before an unacknowledged view is sent again.
+  /// Time after which an unanswered summary is replaced by the next.
+  Milliseconds mSummaryTimeout{1'000};
+  Milliseconds mViewInterval{100}; ///< Shortest time between two updates of the view.
+  Milliseconds mViewResend{250};   ///< Time after which an unacknowledged view is sent again.
   /// A replica counts a node as attached this long after its last announcement: one and a half
   /// announcement intervals of 500 ms.
   Milliseconds mAttachWindow{750};
@@ -27,8 +28,9 @@
   std::size_t mMaxMembers = 8'192; ///< About twice the 3,720 nodes and servers of the target size.
 };
 
-/// Views that a leader issues beyond the newest one that a quorum holds. Nodes do not get these, so
-/// a leader that is cut off stops there and the chain of differences stays short.
+/// Most views that a leader issues beyond the newest held one (see MembershipCore). Nodes do not
+/// get these views. With the limit, a leader without a quorum stops issuing, and the chain of
+/// differences stays short.
 inline constexpr std::uint64_t kMaxUnheldViews = 16;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/PosixFileSystem.h
+++ b/include/dandelionslip/Control/PosixFileSystem.h
@@ -1,11 +1,11 @@
-// FileSystem on the operating system's files.
+// FileSystem on POSIX files.
 #pragma once
 
 #include "dandelionslip/Control/FileSystem.h"
 
 namespace dandelionslip {
 
-/// FileSystem on the operating system's files.
+/// FileSystem on POSIX files.
 class PosixFileSystem : public FileSystem
 {
 public:
--- a/include/dandelionslip/Control/ProposalTracker.h
+++ b/include/dandelionslip/Control/ProposalTracker.h
@@ -23,13 +23,13 @@
   bool operator==(const ProposalResult&) const = default;
 };
 
-/// Maps applied entries back to open proposals. Not thread-safe.
+/// Decides open proposals by the entries that are applied. Not thread-safe.
 class ProposalTracker
 {
 public:
   /// Starts to wait for an entry returned by RaftCore::Propose.
   void Track(EntryId aEntry);
-  /// An entry was applied; returns the proposals that this decides.
+  /// An entry was applied. Returns the outcomes that this decides.
   std::vector<ProposalResult> OnApplied(const LogEntry& aEntry);
   /// A snapshot replaced all entries up to aIndex; their outcomes are unknown.
   std::vector<ProposalResult> OnSnapshotInstalled(LogIndex aIndex);
--- a/include/dandelionslip/Control/RaftMembership.h
+++ b/include/dandelionslip/Control/RaftMembership.h
@@ -1,4 +1,4 @@
-// The replicas of the control log.
+// Members of the Raft group of the control replicas.
 #pragma once
 
 #include "dandelionslip/Control/ReplicaId.h"
@@ -15,8 +15,8 @@
 {
   std::string mAddress; ///< Numeric address and port of the replica's control listener.
   bool mVoter = false;  ///< False for a learner.
-  /// Disk that was promoted. Zero for the voters of the first membership, whose disks are
-  /// initialised by Bootstrap.
+  /// Data directory that was promoted. Zero for the voters of the first membership, whose
+  /// directories are initialised by LogStore::Bootstrap.
   StoreId mStore = 0;
 
   bool operator==(const ReplicaInfo&) const = default;
--- a/include/dandelionslip/Control/ReplicaRepairPlanner.h
+++ b/include/dandelionslip/Control/ReplicaRepairPlanner.h
@@ -11,44 +11,47 @@
 
 namespace dandelionslip {
 
-/// Settings of the replacement of replicas.
+/// Settings of ReplicaRepairPlanner.
 struct ReplicaRepairSettings
 {
-  std::size_t mTargetVoters = 5; ///< Twice the disks that may be lost at once, plus one.
-  /// A voter that is silent for longer may be replaced by a learner. It is longer than a process
-  /// takes to restart and shorter than the time until the next loss must be survived.
+  std::size_t mTargetVoters = 5; ///< Twice the number of disks that may be lost at once, plus one.
+  /// A voter that sends nothing for longer than this may be replaced by a learner. It must be
+  /// longer than a process takes to restart and shorter than the time until the next loss must be
+  /// survived.
   Milliseconds mVoterSilence{2'000};
-  Milliseconds mJoinLifetime{2'000};    ///< Age at which an unrepeated join request lapses.
-  Milliseconds mLearnerSilence{30'000}; ///< A silent learner is removed after this time.
-  std::size_t mMaxReplicas = 16;        ///< Voters and learners.
+  Milliseconds mJoinLifetime{2'000}; ///< A join request expires after this time.
+  /// A learner that sends nothing for longer than this is removed.
+  Milliseconds mLearnerSilence{30'000};
+  std::size_t mMaxReplicas = 16; ///< Voters and learners.
 };
 
-/// What the leader knows of its group when it decides.
+/// What the leader knows of the Raft group.
 struct ReplicaGroup
 {
   const RaftMembership& mMembers; ///< The newest membership in the log.
   ReplicaId mSelf;
   LogIndex mCommitIndex = 0;
-  std::function<LogIndex(const ReplicaId&)> mMatchIndexOf; ///< Durable and equal up to this index.
+  std::function<LogIndex(const ReplicaId&)> mMatchIndexOf; ///< See RaftCore::MatchIndexOf.
 };
 
-/// Keeps the number of voters at the target while disks are lost and VMs are replaced. A replica
-/// that lost its disk comes back under a new identity at its old address; it is promoted before the
-/// old identity is removed, so that at no time fewer disks hold a committed entry. Used by the
-/// leader only. Not thread-safe.
+/// Plans the membership changes that keep the number of voters at the target while disks are lost
+/// and VMs are replaced. A replica that lost its disk comes back under a new identity at its old
+/// address; it is promoted before the old identity is removed, so that at no time fewer disks hold
+/// a committed entry. Used by the leader only. Not thread-safe.
 class ReplicaRepairPlanner
 {
 public:
   explicit ReplicaRepairPlanner(const ReplicaRepairSettings& aSettings);
 
-  /// A replica asked to join, or repeated that. The newest identity at an address replaces others.
+  /// A replica asked to join, or repeated its request. A request replaces those of other identities
+  /// at the same address.
   void OnJoinRequest(const ReplicaId& aReplica, const std::string& aAddress, TimePoint aNow);
   /// A message of a replica arrived.
   void OnMessageFrom(const ReplicaId& aReplica, TimePoint aNow);
   /// This replica became the leader; silence is counted from now on.
   void OnBecameLeader(TimePoint aNow);
 
-  /// The next change to propose, if any. Only one change may be open at a time.
+  /// The next change to propose, if any. Call it only when the previous change is committed.
   std::optional<RaftMembershipChange> Next(const ReplicaGroup& aGroup, TimePoint aNow) const;
 
 private:
--- a/include/dandelionslip/Control/StoreState.h
+++ b/include/dandelionslip/Control/StoreState.h
@@ -1,4 +1,4 @@
-// The serialized state of the configuration store.
+// The state of the configuration store, as snapshots contain it.
 #pragma once
 
 #include "dandelionslip/Model/Command.h"
@@ -9,25 +9,25 @@
 
 namespace dandelionslip {
 
-/// Answers kept regardless of age.
+/// Number of the newest answers, which are kept regardless of their age.
 inline constexpr std::size_t kMinKeptAnswers = 4096;
 
 /// Answers younger than this, by the issue times in the log, are kept regardless of their number.
 inline constexpr std::int64_t kAnswerRetentionMs = 24LL * 60 * 60 * 1000;
 
-/// Answers kept at most. More than 200 times the 280 changes a day of the target size; beyond it,
-/// commands are answered not_applied, so that replicas' memory stays bounded.
+/// Most answers that are kept: more than 200 times the 280 changes a day of the target size. Beyond
+/// it, commands are answered with not_applied, so that the replicas' memory stays bounded.
 inline constexpr std::size_t kMaxAnswers = 65'536;
 
-/// Bounds of the configuration, at several times the target size of 710 addresses, 6 data centres
-/// and 3,300 upstreams.
+/// Limits of the configuration: several times the target size of 710 addresses, 6 data centres and
+/// 3,300 upstreams.
 inline constexpr std::size_t kMaxServices = 2'048;
 inline constexpr std::size_t kMaxAddressesPerService = 64;
 inline constexpr std::size_t kMaxDataCentres = 64;
 inline constexpr std::size_t kMaxDrained = 16'384;
 inline constexpr std::size_t kMaxOperatorLength = 128;
 
-/// An answer with what its retention depends on.
+/// An answer with the values that decide how long it is kept.
 struct KeptAnswer
 {
   std::string mPublicationId;
--- a/include/dandelionslip/Control/SummaryReceiver.h
+++ b/include/dandelionslip/Control/SummaryReceiver.h
@@ -14,9 +14,9 @@
 class SummaryReceiver
 {
 public:
-  /// Renews the nodes that the summary covers; those that no view up to aHeldRevision shows get no
-  /// lease yet. When the digest does not match, only the listed
-  /// announcements are renewed and a whole summary is requested.
+  /// Renews the nodes that the summary covers. Those that no view up to aHeldRevision shows as live
+  /// get no lease yet. If the digest does not match, only the nodes that the summary lists are
+  /// renewed, and a whole summary is requested.
   SummaryAnswer HandleSummary(const MemberSummary& aSummary, LeaseTable& aLeases,
                               std::uint64_t aHeldRevision, TimePoint aNow);
 
--- a/include/dandelionslip/Control/ViewBuilder.h
+++ b/include/dandelionslip/Control/ViewBuilder.h
@@ -10,46 +10,46 @@
 
 namespace dandelionslip {
 
-/// Lowest weight of a member that takes part in a generation: 1% of kFullWeight. A factor of 1.25
-/// still moves it by whole units.
+/// Lowest weight of a member in a generation: 1% of kFullWeight, so that a step by a factor of 1.25
+/// still changes it by whole units.
 inline constexpr std::uint32_t kMinWeight = kFullWeight / 100;
 
 /// Weight with which a member joins a generation that others already serve: 5% of kFullWeight, the
 /// default cold limit of connections.
 inline constexpr std::uint32_t kJoinWeight = kFullWeight / 20;
 
-/// A weight that differs from its target by less than this part of itself (3%) is left alone: noise
-/// of the estimate then moves no buckets, and bucket rounding (0.7% with 1,024 buckets and 7
-/// members) still fits into the steady imbalance target of 1.05.
+/// A weight that differs from its target by less than this part of itself (3%) stays as it is, so
+/// that noise in the estimate moves no buckets. Together with the rounding to whole buckets (0.7%
+/// with 1,024 buckets and 7 members) this stays within the steady imbalance target of 1.05.
 inline constexpr std::uint32_t kDeadBandPermille = 30;
 
 /// A leader uses only generation numbers that equal its term modulo this stride. Two leaders that
-/// do not know each other's generations therefore never give one number to two assignments, unless
-/// 16 leaders in a row fail without passing on a view. A 32-bit number lasts for 268 million
-/// generations of a service, eight years at one a second.
+/// do not know each other's generations therefore never give the same number to two assignments,
+/// unless 16 leaders in a row fail before another replica has a view of theirs. A 32-bit number
+/// lasts for 268 million generations of a service, eight years at one a second.
 inline constexpr std::uint32_t kGenerationStride = 16;
 
-/// Numbers skipped beyond an acknowledged generation that control has forgotten. Agents may hold
-/// kMaxGenerations newer ones.
+/// Numbers skipped after an acknowledged generation that no control replica knows any more: agents
+/// may hold kMaxGenerations newer ones.
 inline constexpr std::uint32_t kForgottenGenerationGap = 4 * kGenerationStride;
 
 /// The lease entries of one service's agents, ordered by name.
 using AgentsOfService = std::vector<const LeaseEntry*>;
 
-/// Issues views in one leader term after another. Not thread-safe.
+/// Builds the views that a leader issues; used for one leader term after another. Not thread-safe.
 ///
 /// A planned change (join, drain, leave, weight step) waits until every live member of the newest
 /// generation has acknowledged it. A change forced by a loss or by a data centre that is out does
 /// not wait, because the buckets of that member have no live owner; it only removes members. It is
-/// still held back when the last generation that all live members have acknowledged would drop out
-/// of the kMaxGenerations that a view holds: agents could then no longer find where a flow is.
+/// delayed only if the last generation that all live members have acknowledged would drop out of
+/// the kMaxGenerations that a view holds: agents could then no longer find out where a flow is.
 class ViewBuilder
 {
 public:
   explicit ViewBuilder(const MembershipSettings& aSettings);
 
-  /// Begins a leader term from the newest view known. The next Update issues a new revision even
-  /// when nothing changed, because it has to replace views of the old term.
+  /// Begins a leader term from the newest view known. The next Update issues a new revision even if
+  /// nothing changed, because it has to replace views of earlier terms.
   void StartTerm(std::uint64_t aTerm, const View& aNewest);
 
   /// Brings the view up to date; returns whether a new revision was issued.
--- a/include/dandelionslip/Control/ViewUpdate.h
+++ b/include/dandelionslip/Control/ViewUpdate.h
@@ -8,12 +8,12 @@
 
 namespace dandelionslip {
 
-/// Carries the leader's newest view, as a difference where the replica's revision is known, or
-/// neither when only the held revision is news.
+/// Carries the leader's newest view, as a difference if the leader has one from the replica's
+/// revision. Carries neither if only the held revision is new.
 struct ViewUpdate
 {
   std::uint64_t mTerm = 0;
-  std::uint64_t mHeldRevision = 0; ///< Newest revision that a quorum holds.
+  std::uint64_t mHeldRevision = 0; ///< Newest view revision that a quorum stores.
   std::optional<View> mView;
   std::optional<ViewDifference> mDifference;
 
@@ -29,7 +29,7 @@
   aVisitor.Optional("difference", aValue.mDifference);
 }
 
-/// What the replica holds after a view update, whether or not it took the update.
+/// The replica's view revision after a view update, whether or not it applied the update.
 struct ViewUpdateAnswer
 {
   std::string mReplica;
--- a/lib/Control/AttachedNodes.cpp
+++ b/lib/Control/AttachedNodes.cpp
@@ -53,7 +53,7 @@
     }
     return silent;
   });
-  // A leader sends no summaries that would empty the set.
+  // A leader sends no summaries, whose acknowledgements would empty the set.
   if (mDetached.size() > mSettings.mMaxMembers) {
     mDetached.clear();
     mNextIsWhole = true;
@@ -134,7 +134,8 @@
       node->second.mLeaseStart = mSentAt;
     }
   }
-  // What was detached after the summary was built is not acknowledged yet.
+  // Keeps the nodes that were detached after the summary was built: the leader does not know of
+  // them yet.
   std::erase_if(mDetached, [&](const std::string& aName) { return !mSentNodes.contains(aName); });
 }
 
--- a/lib/Control/CommandRules.cpp
+++ b/lib/Control/CommandRules.cpp
@@ -34,8 +34,8 @@
   return "services[" + std::to_string(aPosition) + "]";
 }
 
-// CheckServiceSpec covers the rules between keys; the round trip through the decoder covers the
-// range of each key.
+// CheckServiceSpec checks the rules between keys. Encoding and decoding the spec checks the range
+// of each key.
 Result<void> CheckSpec(const ServiceSpec& aSpec, const std::string& aSource)
 {
   if (auto check = CheckServiceSpec(aSpec, aSource); !check) {
--- a/lib/Control/CommandRules.h
+++ b/lib/Control/CommandRules.h
@@ -16,8 +16,9 @@
 std::variant<Configuration, CommandAnswer> Evaluate(const StoreState& aState, std::uint64_t aIndex,
                                                     const Command& aCommand);
 
-/// Checks the rules that hold for every configuration: valid and equally named services, no address
-/// in two services, bounded sizes. Errors name the service or key.
+/// Checks the rules for every configuration: each service is valid and has the name of its key, no
+/// address is in two services, and the sizes are within their limits. Errors name the service or
+/// key.
 Result<void> CheckConfiguration(const Configuration& aConfiguration);
 
 } // namespace dandelionslip
--- a/lib/Control/ConfigurationStore.cpp
+++ b/lib/Control/ConfigurationStore.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::int64_t kMaxIssueSkewMs = 5LL * 60 * 1000;
 
-// Writers of deleted services are kept so that a lost race against a deletion names the winner;
-// the oldest ones go first.
+// Removes the oldest writers of deleted services beyond kMaxServices. The others are kept, so that
+// an operator whose change conflicts with a deletion is told who deleted the service.
 void PruneWriters(StoreState& aState)
 {
   while (aState.mServiceWriters.size() > kMaxServices) {
--- a/lib/Control/ControlMessages.cpp
+++ b/lib/Control/ControlMessages.cpp
@@ -1,4 +1,4 @@
-// Bounded decoding of the messages between control replicas.
+// Decoding of summaries and view updates with limits on their size.
 #include "dandelionslip/Control/MemberSummary.h"
 #include "dandelionslip/Control/ViewUpdate.h"
 
--- a/lib/Control/GenerationPlan.cpp
+++ b/lib/Control/GenerationPlan.cpp
@@ -1,4 +1,4 @@
-// Eligibility, forced removal, and bounded weight steps.
+// Eligible members, forced removals and limited weight steps.
 #include "GenerationPlan.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
   return distance * kPermille < std::uint64_t{aCurrent} * kDeadBandPermille;
 }
 
-// At most a factor of 1.25 in either direction.
+// Moves a weight towards its target by at most a factor of 1.25.
 std::uint32_t BoundedStep(std::uint32_t aCurrent, std::uint32_t aTarget)
 {
   const std::uint64_t current = std::max(aCurrent, kMinWeight);
@@ -75,7 +75,8 @@
          mConfiguration.IsDataCentreOut(entry->mAnnouncement.mMember.mDataCentre);
 }
 
-// Weights are relative, so a low start would change nothing where nobody else serves.
+// Eligible members with their announced weights, which they get at once if no other member serves:
+// weights are relative, so low ones would change nothing.
 std::vector<WeightedMember> GenerationPlan::AnnouncedWeights() const
 {
   std::vector<WeightedMember> members;
@@ -96,7 +97,7 @@
     return aMember.mWeight;
   }
   const std::uint32_t target = AnnouncedWeight(entry);
-  // A member in cold start never gets more than its ramp share, so its weight falls at once.
+  // A cold member must not get more than its ramp allows, so its weight falls at once.
   if (state == MemberState::Cold && target < aMember.mWeight) {
     return target;
   }
--- a/lib/Control/GenerationPlan.h
+++ b/lib/Control/GenerationPlan.h
@@ -12,7 +12,7 @@
 /// The agents that announce themselves for each service.
 std::map<std::string, AgentsOfService> AgentsByService(const LeaseTable& aLeases);
 
-/// Plans the next generation of one service; does not look at acknowledgements.
+/// Plans the next generation of one service, regardless of acknowledgements.
 class GenerationPlan
 {
 public:
@@ -25,11 +25,13 @@
   GenerationPlan(const std::string& aService, const Configuration& aConfiguration,
                  const LeaseTable& aLeases, const AgentsOfService& aAgents);
 
-  /// All changes that are due; joins and weight steps only with aStepDue. Empty when nothing
-  /// changes, or when no member is eligible: the owners then keep their buckets and flows.
+  /// The next generation with all changes that are due; joins and weight steps only with aStepDue.
+  /// Empty if nothing changes or no member is eligible: the owners then keep their buckets and
+  /// flows.
   std::optional<Step> PlannedChange(const ServiceView& aService, bool aStepDue) const;
 
-  /// Only the removal of members whose buckets have no live owner.
+  /// The next generation with only those members removed whose buckets have no live owner, or with
+  /// all eligible members if none is left. Empty if nobody is removed or nobody is eligible.
   std::optional<std::vector<WeightedMember>> ForcedRemoval(const ServiceView& aService) const;
 
 private:
--- a/lib/Control/LeaseTable.cpp
+++ b/lib/Control/LeaseTable.cpp
@@ -18,7 +18,7 @@
 }
 
 // A planned stop is final for an incarnation. An announcement that was sent before the stop and
-// arrives after it, through another replica, must not take it back.
+// arrives after it, through another replica, must not revert it.
 bool RevertsPlannedStop(MemberState aBefore, MemberState aNow)
 {
   if (aBefore == MemberState::Left) {
@@ -118,7 +118,8 @@
   if (same) {
     entry.mAnnouncement.mAckedGeneration = std::max(acked, aAnnouncement.mAckedGeneration);
   }
-  // The new process of a restarted member learns from the view which peer holds its state.
+  // Keeps the backup: the new process of a restarted member learns from the view which agent keeps
+  // its state.
   if (member.mBackup.empty() && member.mState == MemberState::Cold) {
     entry.mAnnouncement.mMember.mBackup = before.mBackup;
   }
--- a/lib/Control/MembershipCore.cpp
+++ b/lib/Control/MembershipCore.cpp
@@ -1,4 +1,4 @@
-// Events and decisions of the membership core.
+// Handling of announcements, summaries and views.
 #include "dandelionslip/Control/MembershipCore.h"
 
 #include <algorithm>
@@ -17,7 +17,8 @@
   if (aHeld >= aHistory.Newest().mRevision) {
     return;
   }
-  // A node without state gets the whole state even where a difference from nothing is kept.
+  // A node without state (revision 0) gets the whole state, even if a difference from revision 0 is
+  // kept.
   if (aHeld > 0) {
     aDifference = aHistory.DifferenceFrom(aHeld);
   }
@@ -140,7 +141,8 @@
 
 void MembershipCore::ApplyViewUpdate(const ViewUpdate& aUpdate)
 {
-  // A revision beyond the sender's term would keep out the views of later leaders.
+  // A revision beyond the sender's term would be higher than the revisions of later leaders, whose
+  // views would then be ignored.
   const auto allowed = [&](std::uint64_t aRevision) {
     return aRevision >> kTermShift <= aUpdate.mTerm;
   };
@@ -149,8 +151,8 @@
     return;
   }
   if (aUpdate.mDifference && allowed(aUpdate.mDifference->mTo)) {
-    // After a mismatch the answer tells the leader the held revision, and it sends a matching
-    // update.
+    // If the difference does not fit, the answer tells the leader this replica's revision, and the
+    // leader sends an update that fits.
     std::ignore = mViews.Apply(*aUpdate.mDifference);
   }
 }
@@ -236,9 +238,9 @@
   }
   mIssuing = true;
   mFirstIssueTime = aNow;
-  // Without a view from before, the first generation would go to the agents that happen to
-  // announce themselves first. All live ones do so within one lease. Without services there are no
-  // generations.
+  // If no earlier view is known, waits until all live agents have announced themselves, which they
+  // do within one lease. Otherwise the first generation would contain only those that happen to be
+  // first. Without services there are no generations to wait for.
   if (CurrentView().mRevision == 0 && !mStore.Current().mServices.empty()) {
     mFirstIssueTime += mSettings.mLease + mSettings.mLeaseMargin;
   }
--- a/lib/Control/PosixFileSystem.cpp
+++ b/lib/Control/PosixFileSystem.cpp
@@ -1,4 +1,4 @@
-// FileSystem on the operating system's files.
+// FileSystem on POSIX files.
 #include "dandelionslip/Control/PosixFileSystem.h"
 
 #include <algorithm>
--- a/lib/Control/ReplicaRepairPlanner.cpp
+++ b/lib/Control/ReplicaRepairPlanner.cpp
@@ -41,8 +41,9 @@
   return std::chrono::duration_cast<Milliseconds>(aNow - since);
 }
 
-// Two replicas cannot share an address: the later identity shows that the earlier one's disk is
-// gone. The earlier one is silent by then, because its process has ended.
+// Whether another replica asked to join from this replica's address. Two replicas cannot share an
+// address, so the later identity shows that the disk of the earlier one is gone and its process has
+// ended.
 bool ReplicaRepairPlanner::IsSuperseded(const ReplicaGroup& aGroup, const ReplicaId& aReplica,
                                         TimePoint aNow) const
 {
@@ -134,7 +135,8 @@
 {
   using Step = std::optional<RaftMembershipChange> (ReplicaRepairPlanner::*)(const ReplicaGroup&,
                                                                              TimePoint) const;
-  // A surplus voter goes first: while it counts, one more loss can stop the group.
+  // Removes a surplus voter first: while it counts for the quorum, one more loss can stop the
+  // group.
   static constexpr std::array<Step, 3> kSteps{&ReplicaRepairPlanner::RemoveReplica,
                                               &ReplicaRepairPlanner::PromoteLearner,
                                               &ReplicaRepairPlanner::AddJoining};
--- a/lib/Control/ViewBuilder.cpp
+++ b/lib/Control/ViewBuilder.cpp
@@ -11,8 +11,8 @@
 
 constexpr unsigned kTermShift = 32;
 
-// The last generation that all live members have acknowledged must stay in the view, or agents can
-// no longer find where a flow is.
+// Whether a new generation can be added without dropping the last one that all live members have
+// acknowledged. Without that one, agents could no longer find out where a flow is.
 bool HistoryHasRoom(const ServiceView& aService, const Configuration& aConfiguration,
                     const LeaseTable& aLeases)
 {
@@ -118,7 +118,7 @@
   }
   StepTiming& pace = mStepTimings[aName];
   if (pace.mServiceId != aEntry.mId) {
-    // In a new term, the deposed leader may have stepped the weights just before.
+    // The previous leader may have stepped the weights just before this term.
     pace = StepTiming{aEntry.mId, aNow, !service.mGenerations.empty()};
   }
   const bool stepDue = !pace.mHasStepped || aNow - pace.mLastStep >= mSettings.mStepInterval;
