--- a/include/dandelionslip/Control/ReplicaRepairPlanner.h
+++ b/include/dandelionslip/Control/ReplicaRepairPlanner.h
@@ -18,10 +18,10 @@
   /// A voter that sends nothing for longer than this may be replaced by a learner. It must be
   /// longer than a process takes to restart and shorter than the time until the next loss must be
   /// survived.
-  Milliseconds mVoterSilence{2'000};
+  Milliseconds mVoterTimeout{2'000};
   Milliseconds mJoinLifetime{2'000}; ///< A join request expires after this time.
   /// A learner that sends nothing for longer than this is removed.
-  Milliseconds mLearnerSilence{30'000};
+  Milliseconds mLearnerTimeout{30'000};
   std::size_t mMaxReplicas = 16; ///< Voters and learners.
 };
 
@@ -48,7 +48,7 @@
   void OnJoinRequest(const ReplicaId& aReplica, const std::string& aAddress, TimePoint aNow);
   /// A message of a replica arrived.
   void OnMessageFrom(const ReplicaId& aReplica, TimePoint aNow);
-  /// This replica became the leader; silence is counted from now on.
+  /// This replica became the leader. Replicas have the full timeouts from now on to send a message.
   void OnBecameLeader(TimePoint aNow);
 
   /// The next change to propose, if any. Call it only when the previous change is committed.
@@ -61,7 +61,7 @@
     TimePoint mAt;
   };
 
-  Milliseconds SilenceOf(const ReplicaId& aReplica, TimePoint aNow) const;
+  Milliseconds TimeSinceLastMessage(const ReplicaId& aReplica, TimePoint aNow) const;
   bool IsSuperseded(const ReplicaGroup& aGroup, const ReplicaId& aReplica, TimePoint aNow) const;
   std::optional<ReplicaId> ReplaceableVoter(const ReplicaGroup& aGroup, TimePoint aNow) const;
   std::optional<RaftMembershipChange> AddJoining(const ReplicaGroup& aGroup, TimePoint aNow) const;
@@ -72,7 +72,7 @@
 
   ReplicaRepairSettings mSettings;
   TimePoint mLeaderSince;
-  std::map<ReplicaId, TimePoint> mLastHeard;
+  std::map<ReplicaId, TimePoint> mLastMessage;
   std::map<ReplicaId, JoinRecord> mJoining; ///< At most one identity for each address.
 };
 
--- a/lib/Control/ConfigurationStore.cpp
+++ b/lib/Control/ConfigurationStore.cpp
@@ -145,9 +145,9 @@
 void ConfigurationStore::EvictAnswers()
 {
   std::size_t evicted = 0;
-  const std::int64_t youngest = mState.mLogTimeMs - kAnswerRetentionMs;
+  const std::int64_t oldestKept = mState.mLogTimeMs - kAnswerRetentionMs;
   while (mState.mAnswers.size() - evicted > kMinKeptAnswers &&
-         mState.mAnswers[evicted].mIssuedMs < youngest) {
+         mState.mAnswers[evicted].mIssuedMs < oldestKept) {
     const KeptAnswer& kept = mState.mAnswers[evicted];
     mState.mExpiredThroughMs = std::max(mState.mExpiredThroughMs, kept.mIssuedMs);
     mAnswerById.erase(kept.mPublicationId);
--- a/lib/Control/RaftElection.cpp
+++ b/lib/Control/RaftElection.cpp
@@ -82,7 +82,7 @@
 
 void RaftCore::Impl::StartElection(bool aTransfer)
 {
-  mRole.Process(aTransfer ? RoleEvent::TransferAsked : RoleEvent::PreVoteWon);
+  mRole.Process(aTransfer ? RoleEvent::TransferRequested : RoleEvent::PreVoteWon);
   mLeader.reset();
   ResetElectionDeadline();
   SetHardState(mHardState.mTerm + 1, mSelf);
--- a/lib/Control/ReplicaRepairPlanner.cpp
+++ b/lib/Control/ReplicaRepairPlanner.cpp
@@ -25,19 +25,20 @@
 
 void ReplicaRepairPlanner::OnMessageFrom(const ReplicaId& aReplica, TimePoint aNow)
 {
-  mLastHeard[aReplica] = aNow;
+  mLastMessage[aReplica] = aNow;
 }
 
 void ReplicaRepairPlanner::OnBecameLeader(TimePoint aNow)
 {
   mLeaderSince = aNow;
-  mLastHeard.clear();
+  mLastMessage.clear();
 }
 
-Milliseconds ReplicaRepairPlanner::SilenceOf(const ReplicaId& aReplica, TimePoint aNow) const
+Milliseconds ReplicaRepairPlanner::TimeSinceLastMessage(const ReplicaId& aReplica,
+                                                        TimePoint aNow) const
 {
-  const auto heard = mLastHeard.find(aReplica);
-  const TimePoint since = heard == mLastHeard.end() ? mLeaderSince : heard->second;
+  const auto heard = mLastMessage.find(aReplica);
+  const TimePoint since = heard == mLastMessage.end() ? mLeaderSince : heard->second;
   return std::chrono::duration_cast<Milliseconds>(aNow - since);
 }
 
@@ -61,8 +62,8 @@
 std::optional<ReplicaId> ReplicaRepairPlanner::ReplaceableVoter(const ReplicaGroup& aGroup,
                                                                 TimePoint aNow) const
 {
-  std::optional<ReplicaId> longestSilent;
-  Milliseconds longest = mSettings.mVoterSilence;
+  std::optional<ReplicaId> longestIdle;
+  Milliseconds longest = mSettings.mVoterTimeout;
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
     if (!info.mVoter || id == aGroup.mSelf) {
       continue;
@@ -70,12 +71,12 @@
     if (IsSuperseded(aGroup, id, aNow)) {
       return id;
     }
-    if (const Milliseconds silence = SilenceOf(id, aNow); silence > longest) {
-      longest = silence;
-      longestSilent = id;
+    if (const Milliseconds idle = TimeSinceLastMessage(id, aNow); idle > longest) {
+      longest = idle;
+      longestIdle = id;
     }
   }
-  return longestSilent;
+  return longestIdle;
 }
 
 std::optional<RaftMembershipChange> ReplicaRepairPlanner::AddJoining(const ReplicaGroup& aGroup,
@@ -103,7 +104,7 @@
     return std::nullopt;
   }
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
-    const bool live = !info.mVoter && SilenceOf(id, aNow) < mSettings.mVoterSilence &&
+    const bool live = !info.mVoter && TimeSinceLastMessage(id, aNow) < mSettings.mVoterTimeout &&
                       !IsSuperseded(aGroup, id, aNow);
     if (live && aGroup.mMatchIndexOf(id) >= aGroup.mCommitIndex) {
       return RaftMembershipChange{RaftMembershipChangeKind::Promote, id, {}};
@@ -122,7 +123,7 @@
   }
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
     const bool gone =
-      IsSuperseded(aGroup, id, aNow) || SilenceOf(id, aNow) > mSettings.mLearnerSilence;
+      IsSuperseded(aGroup, id, aNow) || TimeSinceLastMessage(id, aNow) > mSettings.mLearnerTimeout;
     if (!info.mVoter && id != aGroup.mSelf && gone) {
       return RaftMembershipChange{RaftMembershipChangeKind::Remove, id, {}};
     }
--- a/lib/Control/RoleStateMachine.cpp
+++ b/lib/Control/RoleStateMachine.cpp
@@ -41,7 +41,7 @@
                          _row<PreCandidate, On<RoleEvent::ElectionDue>, PreCandidate>,
                          _row<Candidate, On<RoleEvent::ElectionDue>, PreCandidate>,
                          _row<PreCandidate, On<RoleEvent::PreVoteWon>, Candidate>,
-                         _row<Follower, On<RoleEvent::TransferAsked>, Candidate>,
+                         _row<Follower, On<RoleEvent::TransferRequested>, Candidate>,
                          _row<Candidate, On<RoleEvent::VoteWon>, Leader>,
                          _row<PreCandidate, On<RoleEvent::StepDown>, Follower>,
                          _row<Candidate, On<RoleEvent::StepDown>, Follower>,
@@ -72,7 +72,7 @@
 // One processor for each event, in the order of RoleEvent.
 constexpr std::array kProcessors{
   &ProcessOn<RoleEvent::ElectionDue>, &ProcessOn<RoleEvent::PreVoteWon>,
-  &ProcessOn<RoleEvent::VoteWon>,     &ProcessOn<RoleEvent::TransferAsked>,
+  &ProcessOn<RoleEvent::VoteWon>,     &ProcessOn<RoleEvent::TransferRequested>,
   &ProcessOn<RoleEvent::StepDown>,    &ProcessOn<RoleEvent::Refused>,
 };
 
--- a/lib/Control/RoleStateMachine.h
+++ b/lib/Control/RoleStateMachine.h
@@ -9,12 +9,12 @@
 
 enum class RoleEvent
 {
-  ElectionDue,   ///< No message from a leader arrived for one election timeout.
-  PreVoteWon,    ///< A majority would vote for this replica.
-  VoteWon,       ///< A majority voted for this replica.
-  TransferAsked, ///< The leader transfers leadership to this replica.
-  StepDown,      ///< A newer term or a leader appeared, or the quorum contact was lost.
-  Refused,       ///< This replica must not take part under its identity.
+  ElectionDue,       ///< No message from a leader arrived for one election timeout.
+  PreVoteWon,        ///< A majority would vote for this replica.
+  VoteWon,           ///< A majority voted for this replica.
+  TransferRequested, ///< The leader transfers leadership to this replica.
+  StepDown,          ///< A newer term or a leader appeared, or the quorum contact was lost.
+  Refused,           ///< This replica must not take part under its identity.
 };
 
 /// State machine of a replica's own role.
--- a/lib/Control/ViewBuilder.cpp
+++ b/lib/Control/ViewBuilder.cpp
@@ -125,6 +125,8 @@
   const GenerationPlan plan(aName, aConfiguration, aLeases, aAgents);
   const std::uint32_t acked = HighestAcked(aAgents);
   if (!service.mGenerations.empty() && acked > NewestNumber(service)) {
+    // Agents know a newer generation than this replica: issues the same members under a higher
+    // number.
     AddGeneration(service, std::vector(service.mGenerations.front().mMembers), acked);
     return service;
   }
--- a/unittests/Control/ConfigurationStoreTest.cpp
+++ b/unittests/Control/ConfigurationStoreTest.cpp
@@ -12,18 +12,18 @@
 class ConfigurationStoreTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ConfigurationStoreTest);
-  CPPUNIT_TEST(LoserOfARaceLearnsTheWinner);
+  CPPUNIT_TEST(ConflictNamesTheWinningPublication);
   CPPUNIT_TEST(ResendsGetTheFirstAnswer);
-  CPPUNIT_TEST(EvictedAnswersExpire);
+  CPPUNIT_TEST(PublicationsWithEvictedAnswersExpire);
   CPPUNIT_TEST(AnswersOfADayAreKept);
   CPPUNIT_TEST(PublicationsAreAtomic);
   CPPUNIT_TEST(AddressesBelongToOneService);
   CPPUNIT_TEST(InvalidSpecsAreRefused);
-  CPPUNIT_TEST(RedeclarationGivesANewId);
-  CPPUNIT_TEST(DataCentresAndDrainsChange);
+  CPPUNIT_TEST(RecreatedServiceGetsANewId);
+  CPPUNIT_TEST(DataCentreAndDrainChangesAreApplied);
   CPPUNIT_TEST(BadSnapshotsAreRefused);
   CPPUNIT_TEST(IssueTimesAreChecked);
-  CPPUNIT_TEST(HighestRouteTableStaysInForce);
+  CPPUNIT_TEST(OlderRouteTablesAreIgnored);
   CPPUNIT_TEST(InvalidRouteTablesAreRefused);
   CPPUNIT_TEST_SUITE_END();
 
@@ -50,9 +50,9 @@
     return command;
   }
 
-  // Guards against an older route table, or another one under the version in force, that replaces
-  // what was acknowledged, and against a refusal of such a late copy.
-  void HighestRouteTableStaysInForce()
+  // Guards against an older route table, or another one with the same version, that replaces an
+  // acknowledged table, and against a refusal of such a late copy.
+  void OlderRouteTablesAreIgnored()
   {
     ConfigurationStore store;
     ExpectOutcome(CommandOutcome::Applied, store.Apply(3, RouteCommand(1, 7, "seven")));
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("nine"), restored.RouteDocument());
   }
 
-  // Guards against a route to an unknown service that gets into force.
+  // Guards against a route to an unknown service that is applied.
   void InvalidRouteTablesAreRefused()
   {
     ConfigurationStore store;
@@ -77,8 +77,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, store.Current().mRoutes.mVersion);
   }
 
-  // Guards against two operators who both believe that their version is in force.
-  void LoserOfARaceLearnsTheWinner()
+  // Guards against two operators who publish the same version and are both told that theirs was
+  // applied.
+  void ConflictNamesTheWinningPublication()
   {
     ConfigurationStore store;
     ExpectOutcome(CommandOutcome::Applied,
@@ -119,7 +120,7 @@
   }
 
   // Guards against an old publication that is applied again once its answer is gone.
-  void EvictedAnswersExpire()
+  void PublicationsWithEvictedAnswersExpire()
   {
     ConfigurationStore store;
     const Command first = PublishCommand(1, TestSpec("planner", 1, "192.0.2.1:80"), 1'000);
@@ -179,7 +180,7 @@
     CPPUNIT_ASSERT(before == store.Current());
   }
 
-  // Guards against packets that reach another service because two services share an address (I2).
+  // Guards against packets that reach the wrong service because two services share an address.
   void AddressesBelongToOneService()
   {
     ConfigurationStore store;
@@ -194,7 +195,7 @@
     CPPUNIT_ASSERT_EQUAL(ServiceId{3}, store.Current().FindService("render")->mId);
   }
 
-  // Guards against specs in force that a validated file could not have held.
+  // Guards against specs that are applied although the check of a service file would reject them.
   void InvalidSpecsAreRefused()
   {
     ConfigurationStore store;
@@ -218,8 +219,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, store.Current().mRevision);
   }
 
-  // Guards against traffic of a deleted service that is taken for its successor's (I2).
-  void RedeclarationGivesANewId()
+  // Guards against traffic of a deleted service that is taken for traffic of a new service with the
+  // same name.
+  void RecreatedServiceGetsANewId()
   {
     ConfigurationStore store;
     store.Apply(1, PublishCommand(1, TestSpec("planner", 1, "192.0.2.1:80")));
@@ -232,7 +234,7 @@
   }
 
   // Guards against an outdated return of a data centre that overrides a newer removal.
-  void DataCentresAndDrainsChange()
+  void DataCentreAndDrainChangesAreApplied()
   {
     ConfigurationStore store;
     Command command;
--- a/unittests/Control/ControlCodecTest.cpp
+++ b/unittests/Control/ControlCodecTest.cpp
@@ -1,4 +1,4 @@
-// Tests of control messages with damaged bytes.
+// Decodes control messages with damaged bytes.
 #include "ControlFixtures.h"
 
 #include "dandelionslip/Control/MembershipCore.h"
@@ -71,10 +71,11 @@
   CPPUNIT_TEST(OversizedMessagesAreRefused);
   CPPUNIT_TEST_SUITE_END();
 
-  // Decodes damaged forms of aSample, checks that what is accepted is accepted whole, and hands it
-  // to aUse. Both verdicts must occur, or the damage proves nothing.
+  // Decodes damaged forms of aSample. What is accepted must survive another encoding and decoding,
+  // and is passed to aUse. Some forms must be accepted and some rejected, or the test proves
+  // nothing.
   template <typename T, typename D, typename U>
-  static void Try(const T& aSample, D aDecode, U aUse)
+  static void CheckDamagedForms(const T& aSample, D aDecode, U aUse)
   {
     const Bytes bytes = ToCbor(aSample);
     CPPUNIT_ASSERT(aDecode(bytes).value() == aSample);
@@ -99,7 +100,7 @@
     return FromCbor<T>(aBytes, "test");
   }
 
-  // Guards against a damaged command that stops a replica or leaves a state that cannot be
+  // Guards against a damaged command that crashes a replica or leaves a state that cannot be
   // restored.
   void DamagedCommandsAreHandled()
   {
@@ -108,7 +109,7 @@
     command.mServices.push_back({"quotes", 0, TestSpec("quotes", 1, "192.0.2.3:80")});
     command.mDataCentre = DataCentreChange{"klang-a", true, 0};
     command.mDrain = DrainChange{"planner-1", true};
-    Try(command, Decode<Command>, [](const Command& aCommand) {
+    CheckDamagedForms(command, Decode<Command>, [](const Command& aCommand) {
       ConfigurationStore store;
       store.Apply(1, PublishCommand(9, TestSpec("render", 1, "192.0.2.2:80")));
       store.Apply(2, aCommand);
@@ -118,7 +119,7 @@
     });
   }
 
-  // Guards against a damaged answer that takes a node's state back or stops the node.
+  // Guards against a damaged answer that reverts a node's state or crashes the node.
   void DamagedAnswersAreHandled()
   {
     AnnouncementAnswer answer;
@@ -129,7 +130,7 @@
       ConfigurationDifference{1, 2, {}, {"render"}, {}, {}, {}, {}, {}};
     answer.mView = SampleView();
     answer.mViewDifference = DifferenceBetween(View{}, SampleView());
-    Try(answer, Decode<AnnouncementAnswer>, [](const AnnouncementAnswer& aAnswer) {
+    CheckDamagedForms(answer, Decode<AnnouncementAnswer>, [](const AnnouncementAnswer& aAnswer) {
       NodeState node;
       std::ignore = node.Apply(aAnswer);
       const std::uint64_t revision = node.CurrentView().mRevision;
@@ -138,7 +139,7 @@
     });
   }
 
-  // Guards against a damaged announcement that stops a replica.
+  // Guards against a damaged announcement that crashes a replica.
   void DamagedAnnouncementsAreHandled()
   {
     Announcement announcement = AgentAnnouncement("a", 7, MemberState::Restarting);
@@ -147,7 +148,7 @@
     MembershipCore core("r0", MembershipSettings{});
     core.OnRoleChange({1, true, "r0", {"r0"}}, kTestStart);
     TimePoint now = kTestStart;
-    Try(announcement, Decode<Announcement>, [&](const Announcement& aAnnouncement) {
+    CheckDamagedForms(announcement, Decode<Announcement>, [&](const Announcement& aAnnouncement) {
       now += std::chrono::milliseconds(100);
       core.OnAnnouncement(aAnnouncement, true, now);
       core.OnTick(now);
@@ -156,10 +157,10 @@
     CPPUNIT_ASSERT(core.CurrentView().FindMember("a") != nullptr);
   }
 
-  // Guards against a damaged summary or view of a replica that stops the leader.
+  // Guards against a damaged summary or view from a replica that crashes the leader.
   void DamagedSummariesAreHandled()
   {
-    Try(
+    CheckDamagedForms(
       SampleSummary(), [](const Bytes& aBytes) { return DecodeMemberSummary(aBytes, "test"); },
       [](const MemberSummary& aSummary) {
         MembershipCore core("r0", MembershipSettings{});
@@ -169,7 +170,7 @@
         CPPUNIT_ASSERT(core.CurrentView().mRevision >> 32U <= 2);
       });
     SummaryAnswer answer{2, 1, true, 5, false, true, {"a"}, {"b"}};
-    Try(answer, Decode<SummaryAnswer>, [](const SummaryAnswer& aAnswer) {
+    CheckDamagedForms(answer, Decode<SummaryAnswer>, [](const SummaryAnswer& aAnswer) {
       MembershipCore core("r1", MembershipSettings{});
       core.OnRoleChange({2, false, "r0", {"r0", "r1"}}, kTestStart);
       core.OnAnnouncement(AgentAnnouncement("a"), true, kTestStart);
@@ -195,29 +196,30 @@
       CPPUNIT_ASSERT(core.ServedView().mRevision <= revision);
     };
     const auto decode = [](const Bytes& aBytes) { return DecodeViewUpdate(aBytes, "test"); };
-    Try(ViewUpdate{1, 3, next, std::nullopt}, decode, use);
-    Try(ViewUpdate{1, next.mRevision, std::nullopt, DifferenceBetween(SampleView(), next)}, decode,
-        use);
-    Try(SampleView(), Decode<View>, [](const View&) {});
+    CheckDamagedForms(ViewUpdate{1, 3, next, std::nullopt}, decode, use);
+    CheckDamagedForms(
+      ViewUpdate{1, next.mRevision, std::nullopt, DifferenceBetween(SampleView(), next)}, decode,
+      use);
+    CheckDamagedForms(SampleView(), Decode<View>, [](const View&) {});
     ConfigurationDifference difference{1, 2, {}, {"render"}, {}, {"x"}, {{"n", true}}, {"m"}, {}};
     difference.mServices = PlannerConfiguration().mServices;
     difference.mDataCentres["klang-a"] = {true, 4};
-    Try(difference, Decode<ConfigurationDifference>,
-        [](const ConfigurationDifference& aDifference) {
-          Configuration configuration = PlannerConfiguration();
-          std::ignore = ApplyDifference(configuration, aDifference);
-          CPPUNIT_ASSERT(configuration.mRevision >= 1);
-        });
+    CheckDamagedForms(difference, Decode<ConfigurationDifference>,
+                      [](const ConfigurationDifference& aDifference) {
+                        Configuration configuration = PlannerConfiguration();
+                        std::ignore = ApplyDifference(configuration, aDifference);
+                        CPPUNIT_ASSERT(configuration.mRevision >= 1);
+                      });
   }
 
-  // Guards against a damaged snapshot that is taken over in part.
+  // Guards against a damaged snapshot that is restored in part.
   void DamagedSnapshotsAreHandled()
   {
     ConfigurationStore store;
     store.Apply(1, PublishCommand(1, TestSpec("planner", 1, "192.0.2.1:80")));
     store.Apply(2, PublishCommand(2, TestSpec("planner", 1, "192.0.2.2:80")));
     const auto state = FromJson<StoreState>(store.Snapshot(), "test");
-    Try(state.value(), Decode<StoreState>, [](const StoreState& aState) {
+    CheckDamagedForms(state.value(), Decode<StoreState>, [](const StoreState& aState) {
       ConfigurationStore restored;
       if (restored.Restore(ToJson(aState))) {
         CPPUNIT_ASSERT(restored.Snapshot() == ToJson(aState));
--- a/unittests/Control/DifferenceTest.cpp
+++ b/unittests/Control/DifferenceTest.cpp
@@ -66,13 +66,13 @@
 class DifferenceTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DifferenceTest);
-  CPPUNIT_TEST(ViewDifferencesGiveTheWholeView);
-  CPPUNIT_TEST(ConfigurationDifferencesGiveTheWholeConfiguration);
+  CPPUNIT_TEST(ViewDifferencesReproduceTheView);
+  CPPUNIT_TEST(ConfigurationDifferencesReproduceTheConfiguration);
   CPPUNIT_TEST(MismatchedDifferencesAreRefused);
-  CPPUNIT_TEST(NodesNeverGoBack);
+  CPPUNIT_TEST(NodesNeverRevertToOlderState);
   CPPUNIT_TEST_SUITE_END();
 
-  // Random changes; a reader follows by differences from whatever revision it holds.
+  // Makes random changes; a reader applies differences from the revision that it has.
   template <typename State, typename Difference>
   static void Follow(std::uint64_t aSeed)
   {
@@ -101,15 +101,15 @@
   }
 
   // Guards against a node whose view drifts from the leader's.
-  void ViewDifferencesGiveTheWholeView()
+  void ViewDifferencesReproduceTheView()
   {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
       Follow<View, ViewDifference>(seed);
     }
   }
 
-  // Guards against a node whose configuration drifts from the replicated one (I10).
-  void ConfigurationDifferencesGiveTheWholeConfiguration()
+  // Guards against a node whose configuration drifts from the replicated one.
+  void ConfigurationDifferencesReproduceTheConfiguration()
   {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
       Follow<Configuration, ConfigurationDifference>(seed);
@@ -133,9 +133,9 @@
     CPPUNIT_ASSERT(before == view);
   }
 
-  // Guards against a configuration or view that reverts on a node (I10), and against state taken
+  // Guards against a configuration or view that reverts on a node, and against state taken
   // from an isolated control VM.
-  void NodesNeverGoBack()
+  void NodesNeverRevertToOlderState()
   {
     NodeState node;
     AnnouncementAnswer answer;
--- a/unittests/Control/FakeFileSystem.cpp
+++ b/unittests/Control/FakeFileSystem.cpp
@@ -35,10 +35,10 @@
   mSyncedNames = mNames;
   mOpen.clear();
   mCrashed = false;
-  Disarm();
+  CancelFaults();
 }
 
-void FakeFileSystem::Disarm()
+void FakeFileSystem::CancelFaults()
 {
   mCrashAt = std::numeric_limits<std::size_t>::max();
   mFailSyncAt = mCrashAt;
@@ -77,7 +77,7 @@
   return mNames.at(aPath)->mData;
 }
 
-Status FakeFileSystem::Step(const std::string& aPath)
+Status FakeFileSystem::CountOperation(const std::string& aPath)
 {
   mCrashed = mCrashed || mOperations >= mCrashAt;
   ++mOperations;
@@ -87,9 +87,9 @@
   return Ok();
 }
 
-Status FakeFileSystem::StepSync(const std::string& aPath)
+Status FakeFileSystem::CountSync(const std::string& aPath)
 {
-  BOOST_OUTCOME_TRY(Step(aPath));
+  BOOST_OUTCOME_TRY(CountOperation(aPath));
   if (mSyncs++ == mFailSyncAt) {
     return Fail(ErrorCode::Io, "fake", aPath, "simulated sync failure");
   }
@@ -98,7 +98,7 @@
 
 Result<FileHandle> FakeFileSystem::Open(const std::string& aPath, OpenMode aMode)
 {
-  BOOST_OUTCOME_TRY(Step(aPath));
+  BOOST_OUTCOME_TRY(CountOperation(aPath));
   if (aMode == OpenMode::Create) {
     mNames[aPath] = std::make_shared<File>();
   }
@@ -112,7 +112,7 @@
 
 Status FakeFileSystem::Append(FileHandle aFile, std::span<const std::uint8_t> aBytes)
 {
-  BOOST_OUTCOME_TRY(Step("append"));
+  BOOST_OUTCOME_TRY(CountOperation("append"));
   Bytes& data = mOpen.at(aFile)->mData;
   data.insert(data.end(), aBytes.begin(), aBytes.end());
   return Ok();
@@ -120,7 +120,7 @@
 
 Status FakeFileSystem::Sync(FileHandle aFile)
 {
-  BOOST_OUTCOME_TRY(StepSync("sync"));
+  BOOST_OUTCOME_TRY(CountSync("sync"));
   File& file = *mOpen.at(aFile);
   file.mSynced = file.mData;
   return Ok();
@@ -128,7 +128,7 @@
 
 Status FakeFileSystem::Truncate(FileHandle aFile, std::uint64_t aSize)
 {
-  BOOST_OUTCOME_TRY(Step("truncate"));
+  BOOST_OUTCOME_TRY(CountOperation("truncate"));
   mOpen.at(aFile)->mData.resize(aSize);
   return Ok();
 }
@@ -149,7 +149,7 @@
 
 Status FakeFileSystem::Rename(const std::string& aFrom, const std::string& aTo)
 {
-  BOOST_OUTCOME_TRY(Step(aFrom));
+  BOOST_OUTCOME_TRY(CountOperation(aFrom));
   mNames[aTo] = mNames.at(aFrom);
   mNames.erase(aFrom);
   return Ok();
@@ -157,7 +157,7 @@
 
 Status FakeFileSystem::Remove(const std::string& aPath)
 {
-  BOOST_OUTCOME_TRY(Step(aPath));
+  BOOST_OUTCOME_TRY(CountOperation(aPath));
   if (mNames.erase(aPath) == 0) {
     return Fail(ErrorCode::Io, "fake", aPath, "no such file");
   }
@@ -166,12 +166,12 @@
 
 Status FakeFileSystem::MakeDirectory(const std::string& aPath)
 {
-  return Step(aPath);
+  return CountOperation(aPath);
 }
 
 Status FakeFileSystem::SyncDirectory(const std::string& aPath)
 {
-  BOOST_OUTCOME_TRY(StepSync(aPath));
+  BOOST_OUTCOME_TRY(CountSync(aPath));
   mSyncedNames = mNames;
   return Ok();
 }
--- a/unittests/Control/FakeFileSystem.h
+++ b/unittests/Control/FakeFileSystem.h
@@ -22,15 +22,15 @@
 class FakeFileSystem : public FileSystem
 {
 public:
-  /// Crashes before the operation with this number, counted from now on, starting with 0.
+  /// Crashes before the operation with this number, counted from this call on, starting with 0.
   void CrashBefore(std::size_t aOperation) { mCrashAt = mOperations + aOperation; }
-  /// Fails the sync with this number, counted from now on, starting with 0.
+  /// Fails the sync with this number, counted from this call on, starting with 0.
   void FailSync(std::size_t aSync) { mFailSyncAt = mSyncs + aSync; }
-  /// Takes back crashes and failures that have not happened yet.
-  void Disarm();
+  /// Cancels crashes and failures that have not happened yet.
+  void CancelFaults();
   bool Crashed() const { return mCrashed; }
   std::size_t Operations() const { return mOperations; }
-  /// Loses what was not synced and makes the files usable again.
+  /// Drops changes that were not synced, as aMode says, and makes the files usable again.
   void Restart(CrashMode aMode, Random& aRandom);
   /// Removes all files.
   void Wipe();
@@ -57,8 +57,8 @@
   };
   using Names = std::map<std::string, std::shared_ptr<File>>;
 
-  Status Step(const std::string& aPath);
-  Status StepSync(const std::string& aPath);
+  Status CountOperation(const std::string& aPath);
+  Status CountSync(const std::string& aPath);
   Names NamesAfterCrash(CrashMode aMode, Random& aRandom) const;
 
   Names mNames;
--- a/unittests/Control/HistoryChecker.cpp
+++ b/unittests/Control/HistoryChecker.cpp
@@ -33,7 +33,8 @@
   }
 }
 
-// Equal entries with equal predecessors, one after another, make equal logs.
+// If equal entry ids always have equal contents and equal terms before them, logs with a common
+// entry are equal up to it.
 void HistoryChecker::Logged(const ReplicaId& aReplica, const LogEntry& aEntry, Term aPreviousTerm)
 {
   const auto [known, added] =
--- a/unittests/Control/HistoryChecker.h
+++ b/unittests/Control/HistoryChecker.h
@@ -29,7 +29,7 @@
   void Installed(const ReplicaId& aReplica, LogIndex aIndex, std::uint64_t aDigest);
   /// A proposer was told that its entry is applied.
   void Accepted(TimePoint aNow, const LogEntry& aEntry);
-  /// A proposer was told that its payload is certainly not applied.
+  /// A proposer was told that its payload will never be applied.
   void Refused(const Bytes& aPayload);
   /// A replica reports that it is confirmed: all that was accepted before aSince must be applied.
   void Confirmed(const ReplicaId& aReplica, TimePoint aSince);
@@ -56,7 +56,8 @@
   void CheckDigest(const ReplicaId& aReplica, const Position& aPosition);
 
   std::map<Term, ReplicaId> mLeaders;
-  std::map<EntryId, std::pair<std::uint64_t, Term>> mLogged; ///< Hash and term before.
+  std::map<EntryId, std::pair<std::uint64_t, Term>>
+    mLogged; ///< Hash of the entry and term of the entry before it.
   std::map<LogIndex, EntryId> mCommitted;
   std::map<LogIndex, std::uint64_t> mDigests;
   std::map<ReplicaId, Position> mPositions;
--- a/unittests/Control/LeaseTableTest.cpp
+++ b/unittests/Control/LeaseTableTest.cpp
@@ -15,9 +15,9 @@
   CPPUNIT_TEST(LossComesAfterLeaseAndMargin);
   CPPUNIT_TEST(PlannedStopIsNotALoss);
   CPPUNIT_TEST(LowerIncarnationsAreFenced);
-  CPPUNIT_TEST(LateAnnouncementsDoNotTakeBackAStop);
+  CPPUNIT_TEST(LateAnnouncementsDoNotRevertAStop);
   CPPUNIT_TEST(NewLeaderGivesAFullLease);
-  CPPUNIT_TEST(RegainedLeaseRestoresTheState);
+  CPPUNIT_TEST(RenewedLeaseRestoresTheState);
   CPPUNIT_TEST(TheTableIsBounded);
   CPPUNIT_TEST(InvalidAnnouncementsAreRefused);
   CPPUNIT_TEST_SUITE_END();
@@ -27,7 +27,7 @@
     return aTable.Find(aName)->mAnnouncement.mMember.mState;
   }
 
-  // Guards against a member declared lost while it may still believe in its lease (I7).
+  // Guards against a member that is declared lost while it may still act on its lease.
   void LossComesAfterLeaseAndMargin()
   {
     LeaseTable table{MembershipSettings{}};
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT(table.Expire(kTestStart + 2'600ms).empty());
   }
 
-  // Guards against buckets that move while an upstream's process restarts as planned (I1, I9).
+  // Guards against buckets that move while an upstream's process restarts as planned.
   void PlannedStopIsNotALoss()
   {
     LeaseTable table{MembershipSettings{}};
@@ -77,7 +77,7 @@
 
   // Guards against a stopped process that reappears because an older announcement arrives late
   // through another replica.
-  void LateAnnouncementsDoNotTakeBackAStop()
+  void LateAnnouncementsDoNotRevertAStop()
   {
     LeaseTable table{MembershipSettings{}};
     table.Renew(AgentAnnouncement("a", 1, MemberState::Restarting), kTestStart);
@@ -88,7 +88,8 @@
     CPPUNIT_ASSERT(MemberState::Left == StateOf(table, "a"));
   }
 
-  // Guards against a new leader that declares members lost because it has not heard them yet.
+  // Guards against a new leader that declares members lost because they have not announced
+  // themselves to it yet.
   void NewLeaderGivesAFullLease()
   {
     View view;
@@ -109,8 +110,8 @@
     CPPUNIT_ASSERT(MemberState::Restarting == StateOf(table, "b"));
   }
 
-  // Guards against a healed partition after which members stay lost (section 11, regions part).
-  void RegainedLeaseRestoresTheState()
+  // Guards against members that stay lost after a partition has healed.
+  void RenewedLeaseRestoresTheState()
   {
     LeaseTable table{MembershipSettings{}};
     table.Renew(AgentAnnouncement("a", 1, MemberState::Draining), kTestStart);
--- a/unittests/Control/LogStoreTest.cpp
+++ b/unittests/Control/LogStoreTest.cpp
@@ -136,12 +136,12 @@
   CPPUNIT_TEST_SUITE(LogStoreTest);
   CPPUNIT_TEST(CrashAtEveryStepKeepsWhatWasAcknowledged);
   CPPUNIT_TEST(FailedSyncStopsTheStore);
-  CPPUNIT_TEST(CutTailIsDropped);
+  CPPUNIT_TEST(IncompleteTailIsDropped);
   CPPUNIT_TEST(DamageBeforeTheTailIsAnError);
-  CPPUNIT_TEST(DamagedLengthIsNotACutTail);
+  CPPUNIT_TEST(CorruptLengthIsNotAnIncompleteTail);
   CPPUNIT_TEST(MissingFilesAreErrors);
   CPPUNIT_TEST(IdentityBelongsToTheDirectory);
-  CPPUNIT_TEST(BootstrapNeedsABlankStore);
+  CPPUNIT_TEST(BootstrapNeedsAnEmptyStore);
   CPPUNIT_TEST(EntriesMayExceedTheSegmentBound);
   CPPUNIT_TEST(RealFilesKeepTheContents);
   CPPUNIT_TEST_SUITE_END();
@@ -237,7 +237,7 @@
   }
 
   // Guards against a store that refuses to start after a write was interrupted.
-  void CutTailIsDropped()
+  void IncompleteTailIsDropped()
   {
     FakeFileSystem reference;
     const std::size_t size = reference.Contents(FillTwoSegments(reference)).size();
@@ -272,8 +272,8 @@
     }
   }
 
-  // Guards against a damaged length being taken for a record that was cut at the end of the file.
-  void DamagedLengthIsNotACutTail()
+  // Guards against a corrupt length that is taken for an incomplete record at the end of the file.
+  void CorruptLengthIsNotAnIncompleteTail()
   {
     FakeFileSystem files;
     const std::string path = FillTwoSegments(files);
@@ -281,7 +281,7 @@
     CPPUNIT_ASSERT(!OpenStore(files));
   }
 
-  // Guards against a replica that forgets its vote, its identity or a part of its log.
+  // Guards against a replica that starts without its vote, its identity or a part of its log.
   void MissingFilesAreErrors()
   {
     FakeFileSystem reference;
@@ -313,8 +313,8 @@
     CPPUNIT_ASSERT(!LogStore::Open(empty, {kDirectory, kSmallSegment, "not a UUID"}, random));
   }
 
-  // Guards against a second first entry in a log that is in use.
-  void BootstrapNeedsABlankStore()
+  // Guards against a log in use that gets a first entry again.
+  void BootstrapNeedsAnEmptyStore()
   {
     FakeFileSystem files;
     auto store = OpenStore(files);
@@ -323,7 +323,8 @@
     CPPUNIT_ASSERT_EQUAL(LogIndex(1), OpenStore(files).value()->LastIndex());
   }
 
-  // Guards against an append that makes no progress when the bound leaves no room for an entry.
+  // Guards against an append that makes no progress because the segment size is smaller than an
+  // entry.
   void EntriesMayExceedTheSegmentBound()
   {
     FakeFileSystem files;
--- a/unittests/Control/MembershipCluster.cpp
+++ b/unittests/Control/MembershipCluster.cpp
@@ -1,4 +1,4 @@
-// Transport, leadership and invariant checks of the fake cluster.
+// Transport, leadership and invariant checks of the simulated cluster.
 #include "MembershipCluster.h"
 
 #include <cppunit/TestAssert.h>
@@ -11,7 +11,7 @@
 
 constexpr Milliseconds kTick = 20ms;
 constexpr Milliseconds kAnnounceInterval = 500ms;
-constexpr Milliseconds kConfirmedFor = 500ms;
+constexpr Milliseconds kConfirmWindow = 500ms;
 constexpr Milliseconds kElectionTimeout = 500ms;
 constexpr Milliseconds kStepDown = 1'000ms;
 
@@ -31,7 +31,7 @@
   Node node;
   node.mAnnouncement = AgentAnnouncement(aName);
   node.mReplica = aReplica;
-  node.mPhase = kTick * static_cast<int>(mRandom.Below(kAnnounceInterval / kTick));
+  node.mAnnounceOffset = kTick * static_cast<int>(mRandom.Below(kAnnounceInterval / kTick));
   mNodes.insert_or_assign(aName, std::move(node));
 }
 
@@ -42,7 +42,7 @@
   for (const auto& [index, command] : mLog) {
     replica.mCore->OnCommitted(index, command);
   }
-  Follow(aReplica, false);
+  ReportRole(aReplica, false);
 }
 
 void MembershipCluster::Commit(const Command& aCommand)
@@ -66,10 +66,10 @@
 
 bool MembershipCluster::IsReplicaConfirmed(std::size_t aReplica) const
 {
-  return mNow - mReplicas[aReplica].mQuorumSeen <= kConfirmedFor;
+  return mNow - mReplicas[aReplica].mLastQuorumContact <= kConfirmWindow;
 }
 
-void MembershipCluster::Follow(std::size_t aReplica, bool aKnowsLeader)
+void MembershipCluster::ReportRole(std::size_t aReplica, bool aKnowsLeader)
 {
   Replica& replica = mReplicas[aReplica];
   RoleChange change;
@@ -90,26 +90,26 @@
   mLeader = aReplica;
   for (std::size_t i = 0; i < kClusterReplicas; ++i) {
     if (Reachable(i, mLeader)) {
-      Follow(i, true);
+      ReportRole(i, true);
     }
   }
-  mReplicas[mLeader].mQuorumSeen = mNow;
+  mReplicas[mLeader].mLastQuorumContact = mNow;
 }
 
-void MembershipCluster::RunRaft()
+void MembershipCluster::UpdateRoles()
 {
   for (std::size_t i = 0; i < kClusterReplicas; ++i) {
     Replica& replica = mReplicas[i];
     if (mIsolated != mLeader && Reachable(i, mLeader)) {
       if (replica.mTerm != mTerm || !replica.mKnowsLeader) {
-        Follow(i, true);
+        ReportRole(i, true);
       }
-      replica.mQuorumSeen = mNow;
-    } else if (replica.mQuorumSeen + kStepDown == mNow) {
-      Follow(i, false);
+      replica.mLastQuorumContact = mNow;
+    } else if (replica.mLastQuorumContact + kStepDown == mNow) {
+      ReportRole(i, false);
     }
   }
-  if (mIsolated == mLeader && mNow - mReplicas[mLeader].mQuorumSeen > kElectionTimeout) {
+  if (mIsolated == mLeader && mNow - mReplicas[mLeader].mLastQuorumContact > kElectionTimeout) {
     Elect((mLeader + 1 + mRandom.Below(kClusterReplicas - 1)) % kClusterReplicas);
   }
 }
@@ -189,7 +189,8 @@
                              isNew || known->second == generation.mMembers);
     }
   }
-  // Before it has heard a quorum, a new leader may hold an outdated view, which it does not act on.
+  // Before it knows the views of a quorum, a new leader may have an outdated view, which it does
+  // not use.
   if (Core(mLeader).IssuesViews()) {
     for (const auto& [name, member] : Core(mLeader).CurrentView().mMembers) {
       CheckLost(Core(mLeader).CurrentView(), name);
@@ -202,9 +203,9 @@
   const TimePoint end = mNow + aTime;
   while (mNow < end) {
     mNow += kTick;
-    RunRaft();
+    UpdateRoles();
     for (auto& [name, node] : mNodes) {
-      if (node.mRunning && (mNow - kTestStart + node.mPhase) % kAnnounceInterval == 0ns) {
+      if (node.mRunning && (mNow - kTestStart + node.mAnnounceOffset) % kAnnounceInterval == 0ns) {
         Announce(node);
       }
     }
--- a/unittests/Control/MembershipCluster.h
+++ b/unittests/Control/MembershipCluster.h
@@ -1,4 +1,4 @@
-// Three membership cores with nodes, joined by direct calls; the roles follow the rules of Raft.
+// Three membership cores with nodes that call each other directly; roles change as under Raft.
 #pragma once
 
 #include "ControlFixtures.h"
@@ -14,7 +14,7 @@
 
 inline constexpr std::size_t kClusterReplicas = 3;
 
-/// A fake of Raft and of the transport around the cores; every tick takes 20 ms.
+/// Simulates Raft and the transport between the cores; every tick takes 20 ms.
 class MembershipCluster
 {
 public:
@@ -24,7 +24,7 @@
     NodeState mState;
     TimePoint mLeaseEnd;
     std::size_t mReplica = 0;
-    Milliseconds mPhase{0};
+    Milliseconds mAnnounceOffset{0};
     bool mRunning = true;
   };
 
@@ -32,13 +32,14 @@
 
   void AddNode(const std::string& aName, std::size_t aReplica);
 
-  /// Replaces a replica by one without memory of views and nodes.
+  /// Restarts a replica; it loses its views and attached nodes.
   void Restart(std::size_t aReplica);
 
-  /// Cuts a replica off from the other replicas, but not from its nodes; none heals.
+  /// Cuts a replica off from the other replicas, but not from its nodes; std::nullopt reconnects
+  /// it.
   void Isolate(std::optional<std::size_t> aReplica) { mIsolated = aReplica; }
 
-  /// Part of the messages between replicas that get lost, in percent.
+  /// Sets the share of messages between replicas that are lost, in percent.
   void LoseMessages(std::uint64_t aPercent) { mLossPercent = aPercent; }
 
   /// Runs ticks and checks the invariants after each one.
@@ -55,7 +56,7 @@
   std::size_t Leader() const { return mLeader; }
   TimePoint Now() const { return mNow; }
 
-  /// Counts losses seen in views and generations checked, so that runs cannot prove nothing.
+  /// Counts the losses and generations seen in views; tests use them to check that runs had both.
   std::size_t Losses() const { return mLosses; }
   std::size_t GenerationsSeen() const { return mGenerations.size(); }
 
@@ -63,7 +64,7 @@
   struct Replica
   {
     std::unique_ptr<MembershipCore> mCore;
-    TimePoint mQuorumSeen;
+    TimePoint mLastQuorumContact;
     std::uint64_t mTerm = 0;
     bool mKnowsLeader = false;
   };
@@ -71,8 +72,8 @@
   static std::string NameOf(std::size_t aReplica) { return Numbered("r", aReplica); }
   bool Reachable(std::size_t aFrom, std::size_t aTo) const;
   bool Delivered(std::size_t aFrom, std::size_t aTo);
-  void Follow(std::size_t aReplica, bool aKnowsLeader);
-  void RunRaft();
+  void ReportRole(std::size_t aReplica, bool aKnowsLeader);
+  void UpdateRoles();
   void Deliver(std::size_t aFrom, const MembershipAction& aAction);
   void Announce(Node& aNode);
   void CheckViews();
--- a/unittests/Control/MembershipCoreTest.cpp
+++ b/unittests/Control/MembershipCoreTest.cpp
@@ -13,12 +13,12 @@
 {
   CPPUNIT_TEST_SUITE(MembershipCoreTest);
   CPPUNIT_TEST(NodesGetStateAndLease);
-  CPPUNIT_TEST(UnconfirmedReplicasHandOutNothing);
+  CPPUNIT_TEST(UnconfirmedReplicasGrantNothing);
   CPPUNIT_TEST(FirstFollowerAnswerGrantsNoLease);
   CPPUNIT_TEST(LeasesNeedAHeldView);
   CPPUNIT_TEST(OlderProcessesAreFencedEverywhere);
   CPPUNIT_TEST(NewLeaderTakesTheNewestViewOfAQuorum);
-  CPPUNIT_TEST(ControlWithoutMemoryRebuildsTheView);
+  CPPUNIT_TEST(RestartedControlRebuildsTheView);
   CPPUNIT_TEST(DigestMismatchRequestsAWholeSummary);
   CPPUNIT_TEST(ViewsOfOtherTermsAreRefused);
   CPPUNIT_TEST(RandomFaultsKeepTheInvariants);
@@ -54,7 +54,7 @@
   }
 
   // Guards against an isolated control VM that serves an outdated configuration to a new node.
-  void UnconfirmedReplicasHandOutNothing()
+  void UnconfirmedReplicasGrantNothing()
   {
     MembershipCluster cluster(1);
     Populate(cluster);
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT(unknown.mLease == 0ms);
   }
 
-  // Guards against a lease that the leader does not know of when it declares the node lost (I7).
+  // Guards against a lease that the leader does not know of when it declares the node lost.
   void FirstFollowerAnswerGrantsNoLease()
   {
     MembershipCluster cluster(1);
@@ -82,8 +82,8 @@
     CPPUNIT_ASSERT(before == cluster.NodeOf("n0").mLeaseEnd);
   }
 
-  // Guards against a lease that rests on a view which the next leader may not know, or which the
-  // replica has not received: the member may be lost or have lost its buckets there (I7).
+  // Guards against a lease that depends on a view that the next leader may not know or that the
+  // replica has not received: in the newer view the member may be lost or own other buckets.
   void LeasesNeedAHeldView()
   {
     MembershipCore leader("r0", MembershipSettings{});
@@ -134,14 +134,16 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, cluster.Losses());
   }
 
-  // Guards against all buckets given to the first agent that is heard after control lost its
-  // memory, and against acknowledgements of forgotten generations that count for new ones.
-  void ControlWithoutMemoryRebuildsTheView()
+  // All control replicas restart without views. Guards against all buckets given to the first agent
+  // that announces itself, and against acknowledgements of earlier generations that count for new
+  // ones.
+  void RestartedControlRebuildsTheView()
   {
     MembershipCluster cluster(1);
     Populate(cluster);
     cluster.Run(6s);
-    // Several generations, so that numbers which start over would be lower than acknowledged ones.
+    // Creates several generations, so that numbers that started again at 1 would be lower than
+    // acknowledged ones.
     cluster.NodeOf("n0").mAnnouncement.mWeight = 640;
     cluster.Run(8s);
     const auto before = cluster.Core(0).CurrentView().mServices.at("planner").mGenerations[0];
@@ -157,7 +159,7 @@
     CPPUNIT_ASSERT(cluster.Core(1).CurrentView() == cluster.NodeOf("n2").mState.CurrentView());
   }
 
-  // Guards against a leader that renews nodes which the replica no longer has.
+  // Guards against a leader that renews nodes that are no longer attached to the replica.
   void DigestMismatchRequestsAWholeSummary()
   {
     const MembershipSettings settings;
@@ -208,7 +210,7 @@
     CPPUNIT_ASSERT(core.OnViewUpdate(update(5, 5)).mViewRevision > 0);
   }
 
-  static void Disturb(MembershipCluster& aCluster, Random& aRandom)
+  static void InjectFault(MembershipCluster& aCluster, Random& aRandom)
   {
     const std::string name = Numbered("n", aRandom.Below(6));
     MembershipCluster::Node& node = aCluster.NodeOf(name);
@@ -235,7 +237,8 @@
         node.mAnnouncement.mWeight = static_cast<std::uint32_t>(aRandom.Below(1'500));
         break;
       default:
-        // Another restart while a replica is cut off could remove the only memory of a view.
+        // Reconnects first: another restart while a replica is cut off could lose the only copy of
+        // a view.
         aCluster.Isolate(std::nullopt);
         aCluster.LoseMessages(0);
         aCluster.Run(2s);
@@ -256,7 +259,7 @@
       MembershipCluster cluster(seed);
       Populate(cluster);
       for (int step = 0; step < 60; ++step) {
-        Disturb(cluster, random);
+        InjectFault(cluster, random);
         cluster.Run(Milliseconds(20 * random.Below(60)));
       }
       losses += cluster.Losses();
--- a/unittests/Control/ProposalTrackerTest.cpp
+++ b/unittests/Control/ProposalTrackerTest.cpp
@@ -11,10 +11,11 @@
 {
   CPPUNIT_TEST_SUITE(ProposalTrackerTest);
   CPPUNIT_TEST(OutcomeFollowsTheAppliedEntry);
-  CPPUNIT_TEST(LostSightIsUnknown);
+  CPPUNIT_TEST(UnseenEntriesHaveUnknownOutcomes);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against a certain answer for a proposal that another entry replaced, or the reverse.
+  // Guards against a proposal that is reported as applied although another entry replaced it, or
+  // the reverse.
   void OutcomeFollowsTheAppliedEntry()
   {
     ProposalTracker tracker;
@@ -27,8 +28,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), tracker.OpenCount());
   }
 
-  // Guards against a certain answer when the entry at the index was never seen.
-  void LostSightIsUnknown()
+  // Guards against a definite outcome when the entry at the index was never seen.
+  void UnseenEntriesHaveUnknownOutcomes()
   {
     ProposalTracker tracker;
     for (const LogIndex index : {5, 6, 7, 8}) {
--- a/unittests/Control/PublicationHistoryTest.cpp
+++ b/unittests/Control/PublicationHistoryTest.cpp
@@ -1,4 +1,4 @@
-// Checks concurrent publications of several operators as histories.
+// Checks that concurrent publications of several operators are linearizable.
 #include "ControlFixtures.h"
 #include "RegisterHistory.h"
 
@@ -39,8 +39,8 @@
   return entry == nullptr ? RegisterState{} : RegisterState{entry->mSpec.mVersion, aLastWriter};
 }
 
-// Operators read and publish one service through a log that three replicas apply at their own pace.
-// Answers get lost and are asked for again; replicas restart from each other's snapshots.
+// Operators read and publish one service through a log that three replicas apply at different
+// speeds. Answers are lost and commands sent again; replicas restart from each other's snapshots.
 class ConcurrentRun
 {
 public:
@@ -52,9 +52,9 @@
   {
   }
 
-  std::vector<RegisterOperation> Play()
+  std::vector<RegisterOperation> Run()
   {
-    while (mHistory.size() < kOperators * kOperationsEach || Busy()) {
+    while (mHistory.size() < kOperators * kOperationsEach || AnyClientBusy()) {
       ++mTime;
       Client& client = mClients[mRandom.Below(kOperators)];
       client.mBusy ? Continue(client) : Begin(client);
@@ -91,7 +91,7 @@
     std::uint64_t mWriter = 0;
   };
 
-  bool Busy() const
+  bool AnyClientBusy() const
   {
     return std::any_of(mClients.begin(), mClients.end(),
                        [](const Client& aClient) { return aClient.mBusy; });
@@ -131,13 +131,14 @@
     if (!entry.mAnswer) {
       return;
     }
-    const std::uint64_t fate = mRandom.Below(10);
-    if (fate < 3) {
-      Append(aClient); // The answer is lost; the operator asks again under the same id.
+    const std::uint64_t event = mRandom.Below(10);
+    if (event < 3) {
+      Append(
+        aClient); // The answer is lost; the operator sends the command again under the same id.
       return;
     }
     aClient.mBusy = false;
-    if (fate == 3 && aClient.mCommand) {
+    if (event == 3 && aClient.mCommand) {
       return; // The operator gives up without an answer.
     }
     Finish(aClient, entry);
@@ -243,12 +244,12 @@
   {
     std::size_t refused = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-      refused += IsLinearizable(ConcurrentRun(seed, aApply).Play()) ? 0 : 1;
+      refused += IsLinearizable(ConcurrentRun(seed, aApply).Run()) ? 0 : 1;
     }
     return refused;
   }
 
-  // Guards against runs that give operators no chance to race, so that the check proves nothing.
+  // Guards against runs without conflicting publications, which would prove nothing.
   void CheckerRefusesAStoreWithoutVersionCheck()
   {
     const auto overwrite = [](ConfigurationStore& aStore, std::uint64_t aIndex, Command aCommand) {
@@ -261,7 +262,7 @@
     CPPUNIT_ASSERT(RefusedRuns(overwrite) > 190);
   }
 
-  // Guards against runs without resends, so that the check proves nothing about lost answers.
+  // Guards against runs without resends, which would prove nothing about lost answers.
   void CheckerRefusesAStoreThatForgetsAnswers()
   {
     const auto forget = [](ConfigurationStore& aStore, std::uint64_t aIndex, Command aCommand) {
@@ -272,7 +273,7 @@
     CPPUNIT_ASSERT(RefusedRuns(forget) > 100);
   }
 
-  // Guards against two operators that race under one version number and both win, and against a
+  // Guards against two operators who publish the same version and both succeed, and against a
   // resend that gets another answer than the first one.
   void ConcurrentPublicationsAreLinearizable()
   {
--- a/unittests/Control/RaftCoreTest.cpp
+++ b/unittests/Control/RaftCoreTest.cpp
@@ -16,7 +16,7 @@
   CPPUNIT_TEST(IsolatedFollowerDoesNotDisturbTheLeader);
   CPPUNIT_TEST(LongIsolatedReplicaCatchesUpBySnapshot);
   CPPUNIT_TEST(LeaderLostBeforeAnswerLeavesOneOutcome);
-  CPPUNIT_TEST(RefusedProposalIsCertain);
+  CPPUNIT_TEST(RefusedProposalIsNotAppended);
   CPPUNIT_TEST(SecondLossRightAfterTheRepair);
   CPPUNIT_TEST(LearnerIsPromotedOnlyWhenDurable);
   CPPUNIT_TEST(OneMembershipChangeAtATime);
@@ -27,12 +27,12 @@
   CPPUNIT_TEST(LateMessagesDoNotFillAWipedDisk);
   CPPUNIT_TEST(FailedSyncStopsTheReplica);
   CPPUNIT_TEST(EntriesOfEarlierTermsAreNotCommittedByCount);
-  CPPUNIT_TEST(BlankVoterIsNotCountedBeforeTheFirstCommit);
-  CPPUNIT_TEST(ReplicaThatHearsTheLeaderGivesNoVote);
+  CPPUNIT_TEST(VoterWithEmptyLogIsNotCountedBeforeTheFirstCommit);
+  CPPUNIT_TEST(FollowerOfALiveLeaderGrantsNoVote);
   CPPUNIT_TEST(ReplacedEntryIsNotDurable);
-  CPPUNIT_TEST(BlankReplicaGivesNoVote);
+  CPPUNIT_TEST(ReplicaWithEmptyLogGrantsNoVote);
   CPPUNIT_TEST(LearnerVotesBeforeItKnowsItsPromotion);
-  CPPUNIT_TEST(TransferHandsOverWithoutALoss);
+  CPPUNIT_TEST(LeadershipTransferNeedsNoElectionTimeout);
   CPPUNIT_TEST(DelayedAppendDoesNotConfirm);
   CPPUNIT_TEST_SUITE_END();
 
@@ -152,8 +152,8 @@
     }
   }
 
-  // Guards against a refusal that does not hold: followers append nothing.
-  void RefusedProposalIsCertain()
+  // Guards against a proposal that is appended although it was refused.
+  void RefusedProposalIsNotAppended()
   {
     RaftSettings settings;
     settings.mMaxPayloadBytes = 8;
@@ -169,8 +169,8 @@
     CPPUNIT_ASSERT(large.error().mCode == ErrorCode::LimitExceeded);
   }
 
-  // Guards against a quorum that counts a replica without the log: the replica that replaces a lost
-  // one must carry the log alone with one other when a second one is lost at once.
+  // Guards against a quorum that counts a replica without the log: a second replica is lost right
+  // after the first was replaced, so the replacement and one other replica must have the whole log.
   void SecondLossRightAfterTheRepair()
   {
     SimulatedCluster cluster(4, 3, 7);
@@ -213,7 +213,7 @@
     CPPUNIT_ASSERT(info->mVoter && info->mStore != 0);
   }
 
-  // Guards against two open changes, whose majorities need not overlap.
+  // Guards against two uncommitted changes at once, whose majorities need not overlap.
   void OneMembershipChangeAtATime()
   {
     SimulatedCluster cluster(5, 3, 9);
@@ -267,7 +267,7 @@
     CheckHistory(aCluster);
   }
 
-  // Guards against a voter that forgot its votes and acknowledged entries.
+  // Guards against a voter that takes part without its earlier votes and acknowledged entries.
   void WipedVoterIsRefused()
   {
     SimulatedCluster cluster(3, 3, 11);
@@ -277,7 +277,7 @@
     AwaitRefused(cluster, wiped);
   }
 
-  // Guards against the same after a promotion, and by a leader that did not promote it.
+  // Guards against the same for a promoted replica, under a leader that did not promote it.
   void WipedPromotedReplicaIsRefused()
   {
     SimulatedCluster cluster(4, 3, 12);
@@ -306,7 +306,8 @@
     CPPUNIT_ASSERT(cluster.At(3).Core().LastIndex() > 5);
   }
 
-  // Guards against entries on their way to a lost disk that make the new one look like it.
+  // Guards against late messages to a lost disk that are stored on the new one, which would then
+  // look like the lost one.
   void LateMessagesDoNotFillAWipedDisk()
   {
     HistoryChecker checker;
@@ -379,9 +380,9 @@
     return core;
   }
 
-  // Guards against the commit of an entry of an earlier term because a majority holds it: a leader
-  // of a term between may still replace it. Also against a leader that counts its own log before
-  // it is synced.
+  // Guards against the commit of an entry of an earlier term because a majority stores it: a leader
+  // of a later term may still replace it. Also against a leader that counts its own log before it
+  // is synced.
   void EntriesOfEarlierTermsAreNotCommittedByCount()
   {
     const RecoveredState state = StateWithOldEntry();
@@ -396,9 +397,9 @@
     CPPUNIT_ASSERT_EQUAL(LogIndex(3), core->CommitIndex());
   }
 
-  // Guards against a new leader that fills the empty disk of a voter before it has committed the
-  // membership that tells it so.
-  void BlankVoterIsNotCountedBeforeTheFirstCommit()
+  // Guards against a new leader that sends entries to a voter with an empty disk before it has
+  // committed the membership that shows that this voter must be refused.
+  void VoterWithEmptyLogIsNotCountedBeforeTheFirstCommit()
   {
     const RecoveredState state = StateWithOldEntry();
     const TimePoint now(std::chrono::hours(1));
@@ -413,8 +414,9 @@
     CPPUNIT_ASSERT_EQUAL(LogIndex(0), core->CommitIndex());
   }
 
-  // Guards against a replica that cannot hear the leader and takes the leadership from it.
-  void ReplicaThatHearsTheLeaderGivesNoVote()
+  // Guards against a replica without contact to the leader that replaces a leader in contact with
+  // the others.
+  void FollowerOfALiveLeaderGrantsNoVote()
   {
     const RecoveredState state = StateWithOldEntry();
     const TimePoint now(std::chrono::hours(1));
@@ -456,8 +458,8 @@
     CPPUNIT_ASSERT_EQUAL(LogIndex(2), core.MatchIndexOf("a"));
   }
 
-  // Guards against a vote of a replica that may have forgotten an earlier one.
-  void BlankReplicaGivesNoVote()
+  // Guards against a vote of a replica that may have lost the record of an earlier one.
+  void ReplicaWithEmptyLogGrantsNoVote()
   {
     RecoveredState state;
     state.mReplica = "a";
@@ -492,8 +494,9 @@
     AwaitConverged(cluster);
   }
 
-  // Guards against a planned stop of the leader that costs an election timeout.
-  void TransferHandsOverWithoutALoss()
+  // Guards against a planned stop of the leader after which the others wait for an election
+  // timeout.
+  void LeadershipTransferNeedsNoElectionTimeout()
   {
     SimulatedCluster cluster(3, 3, 16);
     const std::size_t old = cluster.AwaitLeader();
@@ -507,8 +510,8 @@
     AwaitConverged(cluster);
   }
 
-  // Guards against a replica that takes an append message that was under way for long as a sign of
-  // a recent quorum contact.
+  // Guards against a replica that takes a long-delayed append message for proof of a recent quorum
+  // contact.
   void DelayedAppendDoesNotConfirm()
   {
     SimulatedCluster cluster(3, 3, 17);
--- a/unittests/Control/RaftMessageTest.cpp
+++ b/unittests/Control/RaftMessageTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the CBOR form of raft messages.
+// Tests of the CBOR encoding of Raft messages.
 #include "dandelionslip/Control/RaftMessage.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::vector<RaftBody> OneOfEach()
+std::vector<RaftBody> OneBodyOfEachKind()
 {
   AppendRequest append{5, 2, {{6, 3, EntryKind::Command, {0, 255}}}, 4, 77, 12, {}, 3};
   append.mEcho = ClockStamp{~0ULL, -5};
@@ -35,14 +35,14 @@
 class RaftMessageTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RaftMessageTest);
-  CPPUNIT_TEST(EachKindSurvivesTheCodec);
+  CPPUNIT_TEST(EachKindIsDecodedUnchanged);
   CPPUNIT_TEST(AlteredMessagesNeverCrash);
   CPPUNIT_TEST_SUITE_END();
 
   // Guards against a field that is not sent, and against kinds that are mixed up.
-  void EachKindSurvivesTheCodec()
+  void EachKindIsDecodedUnchanged()
   {
-    const auto bodies = OneOfEach();
+    const auto bodies = OneBodyOfEachKind();
     CPPUNIT_ASSERT_EQUAL(std::variant_size_v<RaftBody>, bodies.size());
     for (const RaftBody& body : bodies) {
       const RaftMessage message{"a", "b", 3, 1, true, ~0ULL, body};
@@ -52,14 +52,14 @@
     }
   }
 
-  // Guards against crashes on messages that were altered or cut; seeded.
+  // Guards against crashes on messages that were altered or truncated.
   void AlteredMessagesNeverCrash()
   {
     Random random(3);
     std::size_t refused = 0;
     constexpr int kRounds = 500;
     for (int round = 0; round < kRounds; ++round) {
-      for (const RaftBody& body : OneOfEach()) {
+      for (const RaftBody& body : OneBodyOfEachKind()) {
         Bytes altered = EncodeRaftMessage({"a", "b", 3, 1, false, 2, body});
         altered[random.Below(altered.size())] = static_cast<std::uint8_t>(random.Next());
         altered.resize(random.Below(altered.size() + 1));
--- a/unittests/Control/RaftScheduleTest.cpp
+++ b/unittests/Control/RaftScheduleTest.cpp
@@ -16,7 +16,7 @@
 constexpr int kFaultySteps = 600; // 6 s of simulated time.
 constexpr Milliseconds kRecovery{20000};
 
-// Small bounds, so that a short run reaches each of them.
+// Small limits, so that a short run reaches each of them.
 RaftSettings ScheduleSettings()
 {
   RaftSettings settings;
@@ -27,7 +27,7 @@
   return settings;
 }
 
-// What happened in all schedules; shows that the faults took place.
+// Counts over all schedules; show that the faults took place.
 struct Totals
 {
   std::size_t mAccepted = 0;
@@ -49,8 +49,8 @@
   {
     NetworkFaults faults;
     faults.mLoss = 0.15 * mRandom.Unit();
-    faults.mRepeat = 0.1 * mRandom.Unit();
-    faults.mStraggler = 0.05 * mRandom.Unit();
+    faults.mDuplicate = 0.1 * mRandom.Unit();
+    faults.mLongDelay = 0.05 * mRandom.Unit();
     faults.mMaxDelay = Milliseconds(1 + static_cast<int>(mRandom.Below(80)));
     mCluster.SetFaults(faults);
   }
@@ -59,7 +59,7 @@
   std::string Run(Totals& aTotals)
   {
     for (int step = 0; step < kFaultySteps && mCluster.Checker().FirstViolation().empty(); ++step) {
-      Disturb();
+      InjectFault();
       mCluster.Step();
     }
     const std::string recovery = Recover();
@@ -78,7 +78,7 @@
 private:
   bool Chance(double aShare) { return mRandom.Unit() < aShare; }
 
-  void Disturb()
+  void InjectFault()
   {
     const std::size_t index = mRandom.Below(mCount);
     SimulatedReplica& replica = mCluster.At(index);
@@ -115,11 +115,11 @@
       replica.TakeSnapshot();
     }
     if (replica.IsLeader()) {
-      DisturbLeader(replica);
+      InjectLeaderFault(replica);
     }
   }
 
-  void DisturbLeader(SimulatedReplica& aLeader)
+  void InjectLeaderFault(SimulatedReplica& aLeader)
   {
     if (Chance(0.01)) {
       aLeader.Transfer(mCluster.Now()).has_value();
@@ -132,7 +132,7 @@
       } else if (members.Find(target) != nullptr) {
         change.mKind = RaftMembershipChangeKind::Promote;
       }
-      // A lost voter and a removed one together may leave no quorum.
+      // A voter that lost its disk and a removed voter together may leave no quorum.
       const bool mayRemove = !mMayWipe && mWipes == 0 && members.VoterCount() > 2 && Chance(0.1);
       const bool allowed = change.mKind != RaftMembershipChangeKind::Remove || mayRemove;
       mChanges += allowed && aLeader.Change(mCluster.Now(), change) ? 1 : 0;
@@ -145,7 +145,7 @@
     mCluster.Heal();
     mCluster.SetFaults({});
     for (std::size_t i = 0; i < mCount; ++i) {
-      mCluster.At(i).Files().Disarm();
+      mCluster.At(i).Files().CancelFaults();
     }
     const bool accepted =
       mCluster.RunUntil([this] { return RestartAll(); }, kRecovery) && mCluster.ProposeAndAwait();
@@ -194,7 +194,7 @@
     return text;
   }
 
-  // Starts what is down; true when all replicas run that were not refused.
+  // Starts the replicas that are down. Returns whether all run that were not refused.
   bool RestartAll()
   {
     bool all = true;
@@ -216,7 +216,7 @@
   std::size_t mChanges = 0;
   std::size_t mWipes = 0;
   ReplicaId mWiped;
-  bool mMayWipe; ///< One replica loses its disk and comes back under its old identity.
+  bool mMayWipe; ///< One replica may lose its disk and come back under its old identity.
 };
 
 class RaftScheduleTest : public CppUnit::TestFixture
--- a/unittests/Control/RegisterHistory.cpp
+++ b/unittests/Control/RegisterHistory.cpp
@@ -1,4 +1,4 @@
-// Search for a linearization, with memory of the states already tried.
+// Search for a linearization that skips states it has already tried.
 #include "RegisterHistory.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
   {
   }
 
-  bool Explains(std::uint64_t aDone, RegisterState aState)
+  bool CanComplete(std::uint64_t aDone, RegisterState aState)
   {
     if (AllAnswered(aDone)) {
       return true;
@@ -35,7 +35,7 @@
         continue;
       }
       const auto next = After(mHistory[i], aState);
-      if (next && Explains(aDone | (std::uint64_t{1} << i), *next)) {
+      if (next && CanComplete(aDone | (std::uint64_t{1} << i), *next)) {
         return true;
       }
     }
@@ -99,7 +99,7 @@
   if (aHistory.size() > kMaxOperations) {
     throw std::invalid_argument("the history holds more than 64 operations");
   }
-  return Search(aHistory).Explains(0, RegisterState{});
+  return Search(aHistory).CanComplete(0, RegisterState{});
 }
 
 } // namespace dandelionslip
--- a/unittests/Control/ReplicaRepairPlannerTest.cpp
+++ b/unittests/Control/ReplicaRepairPlannerTest.cpp
@@ -16,16 +16,16 @@
   CPPUNIT_TEST_SUITE(ReplicaRepairPlannerTest);
   CPPUNIT_TEST(GroupGrowsToItsTarget);
   CPPUNIT_TEST(LearnersBehindAreNotPromoted);
-  CPPUNIT_TEST(WipedReplicaIsReplacedBeforeItsOldIdentityGoes);
-  CPPUNIT_TEST(DeadVoterIsReplacedBySpare);
-  CPPUNIT_TEST(RestartedVoterKeepsItsPlace);
+  CPPUNIT_TEST(WipedReplicaIsReplacedBeforeItsOldIdentityIsRemoved);
+  CPPUNIT_TEST(LostVoterIsReplacedByALearner);
+  CPPUNIT_TEST(RestartedVoterIsNotReplaced);
   CPPUNIT_TEST(VotersNeverFallBelowTheTarget);
-  CPPUNIT_TEST(NewLeaderWaitsBeforeItCallsAVoterSilent);
+  CPPUNIT_TEST(NewLeaderWaitsBeforeItReplacesAVoter);
   CPPUNIT_TEST_SUITE_END();
 
-  ReplicaRepairPlanner mKeeper{ReplicaRepairSettings{}};
+  ReplicaRepairPlanner mPlanner{ReplicaRepairSettings{}};
   RaftMembership mMembers;
-  std::map<ReplicaId, LogIndex> mMatch;
+  std::map<ReplicaId, LogIndex> mMatchIndexes;
   TimePoint mNow = kStart;
 
   static std::string AddressOf(const ReplicaId& aId) { return "10.0.0." + aId + ":7720"; }
@@ -35,18 +35,18 @@
     for (const char* id : aIds) {
       mMembers.mReplicas[id] = {AddressOf(id), true, 1};
     }
-    mKeeper.OnBecameLeader(mNow);
+    mPlanner.OnBecameLeader(mNow);
   }
 
-  // Time passes; all members but the silent ones are heard.
-  void Pass(Milliseconds aTime, const std::set<ReplicaId>& aSilent = {})
+  // Advances the time; all members except the silent ones send messages and join requests.
+  void Advance(Milliseconds aTime, const std::set<ReplicaId>& aSilent = {})
   {
     for (Milliseconds step{0}; step < aTime; step += Milliseconds{100}) {
       mNow += Milliseconds{100};
       for (const auto& [id, info] : mMembers.mReplicas) {
         if (!aSilent.contains(id)) {
-          mKeeper.OnMessageFrom(id, mNow);
-          mKeeper.OnJoinRequest(id, info.mAddress, mNow);
+          mPlanner.OnMessageFrom(id, mNow);
+          mPlanner.OnJoinRequest(id, info.mAddress, mNow);
         }
       }
     }
@@ -54,8 +54,8 @@
 
   std::optional<RaftMembershipChange> Next()
   {
-    return mKeeper.Next({mMembers, "1", 10, [this](const ReplicaId& aId) { return mMatch[aId]; }},
-                        mNow);
+    return mPlanner.Next(
+      {mMembers, "1", 10, [this](const ReplicaId& aId) { return mMatchIndexes[aId]; }}, mNow);
   }
 
   // Applies the next change and returns it as text; empty when there is none.
@@ -68,7 +68,7 @@
     switch (change->mKind) {
       case RaftMembershipChangeKind::AddLearner:
         mMembers.mReplicas[change->mReplica] = {change->mAddress, false, 0};
-        mKeeper.OnMessageFrom(change->mReplica, mNow);
+        mPlanner.OnMessageFrom(change->mReplica, mNow);
         return "add " + change->mReplica;
       case RaftMembershipChangeKind::Promote:
         mMembers.mReplicas[change->mReplica].mVoter = true;
@@ -83,21 +83,21 @@
 
   void AssertStep(const std::string& aExpected) { CPPUNIT_ASSERT_EQUAL(aExpected, Step()); }
 
-  // Guards against a group that stays at its three founders and loses an acknowledged change when
-  // two disks are lost.
+  // Guards against a group that stays at its three initial replicas, where the loss of two disks
+  // loses an acknowledged change.
   void GroupGrowsToItsTarget()
   {
     AddVoters({"1", "2", "3"});
-    mKeeper.OnJoinRequest("4", AddressOf("4"), mNow);
-    mKeeper.OnJoinRequest("5", AddressOf("5"), mNow);
-    mMatch = {{"4", 10}, {"5", 10}};
+    mPlanner.OnJoinRequest("4", AddressOf("4"), mNow);
+    mPlanner.OnJoinRequest("5", AddressOf("5"), mNow);
+    mMatchIndexes = {{"4", 10}, {"5", 10}};
     AssertStep("add 4");
     AssertStep("promote 4");
     AssertStep("add 5");
     AssertStep("promote 5");
     AssertStep("");
-    mKeeper.OnJoinRequest("6", AddressOf("6"), mNow);
-    mMatch["6"] = 10;
+    mPlanner.OnJoinRequest("6", AddressOf("6"), mNow);
+    mMatchIndexes["6"] = 10;
     AssertStep("add 6");
     AssertStep("");
   }
@@ -106,48 +106,49 @@
   void LearnersBehindAreNotPromoted()
   {
     AddVoters({"1", "2", "3"});
-    mKeeper.OnJoinRequest("4", AddressOf("4"), mNow);
-    mMatch["4"] = 9;
+    mPlanner.OnJoinRequest("4", AddressOf("4"), mNow);
+    mMatchIndexes["4"] = 9;
     AssertStep("add 4");
     AssertStep("");
-    mMatch["4"] = 10;
+    mMatchIndexes["4"] = 10;
     AssertStep("promote 4");
   }
 
   // Guards against fewer disks with a committed entry while a wiped replica is replaced.
-  void WipedReplicaIsReplacedBeforeItsOldIdentityGoes()
+  void WipedReplicaIsReplacedBeforeItsOldIdentityIsRemoved()
   {
     AddVoters({"1", "2", "3", "4", "5"});
-    Pass(Milliseconds{500});
-    mKeeper.OnJoinRequest("9", AddressOf("3"), mNow);
-    mMatch["9"] = 10;
+    Advance(Milliseconds{500});
+    mPlanner.OnJoinRequest("9", AddressOf("3"), mNow);
+    mMatchIndexes["9"] = 10;
     AssertStep("add 9");
     AssertStep("promote 9");
     AssertStep("remove 3");
     AssertStep("");
   }
 
-  // Guards against a group that cannot bear its next loss after a VM was replaced by another one.
-  void DeadVoterIsReplacedBySpare()
+  // Guards against a group that cannot survive its next loss after a VM was replaced by another
+  // one.
+  void LostVoterIsReplacedByALearner()
   {
     AddVoters({"1", "2", "3", "4", "5"});
     mMembers.mReplicas["6"] = {AddressOf("6"), false, 0};
-    mMatch["6"] = 10;
-    Pass(Milliseconds{2'500}, {"4"});
+    mMatchIndexes["6"] = 10;
+    Advance(Milliseconds{2'500}, {"4"});
     AssertStep("promote 6");
     AssertStep("remove 4");
     AssertStep("");
   }
 
-  // Guards against replicas that lose their place at every planned restart.
-  void RestartedVoterKeepsItsPlace()
+  // Guards against voters that are replaced at every planned restart.
+  void RestartedVoterIsNotReplaced()
   {
     AddVoters({"1", "2", "3", "4", "5"});
     mMembers.mReplicas["6"] = {AddressOf("6"), false, 0};
-    mMatch["6"] = 10;
-    Pass(Milliseconds{1'500}, {"4"});
+    mMatchIndexes["6"] = 10;
+    Advance(Milliseconds{1'500}, {"4"});
     AssertStep("");
-    Pass(Milliseconds{3'000});
+    Advance(Milliseconds{3'000});
     AssertStep("");
   }
 
@@ -155,19 +156,19 @@
   void VotersNeverFallBelowTheTarget()
   {
     AddVoters({"1", "2", "3", "4", "5"});
-    Pass(Milliseconds{60'000}, {"2", "3"});
+    Advance(Milliseconds{60'000}, {"2", "3"});
     AssertStep("");
   }
 
-  // Guards against a new leader that removes voters it had no time to hear.
-  void NewLeaderWaitsBeforeItCallsAVoterSilent()
+  // Guards against a new leader that replaces voters before they had time to send it a message.
+  void NewLeaderWaitsBeforeItReplacesAVoter()
   {
     AddVoters({"1", "2", "3", "4", "5"});
     mMembers.mReplicas["6"] = {AddressOf("6"), false, 0};
-    mMatch["6"] = 10;
+    mMatchIndexes["6"] = 10;
     mNow += Milliseconds{60'000};
-    mKeeper.OnBecameLeader(mNow);
-    mKeeper.OnMessageFrom("6", mNow);
+    mPlanner.OnBecameLeader(mNow);
+    mPlanner.OnMessageFrom("6", mNow);
     AssertStep("");
   }
 };
--- a/unittests/Control/SimulatedCluster.cpp
+++ b/unittests/Control/SimulatedCluster.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Milliseconds kStep{10};
-constexpr std::uint64_t kStragglerMs = 2000;
+constexpr std::uint64_t kLongDelayMs = 2000;
 
 } // namespace
 
@@ -141,13 +141,13 @@
 
 void SimulatedCluster::Post(const RaftMessage& aMessage)
 {
-  const int copies = mRandom.Unit() < mFaults.mRepeat ? 2 : 1;
+  const int copies = mRandom.Unit() < mFaults.mDuplicate ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     if (mRandom.Unit() < mFaults.mLoss) {
       continue;
     }
-    const std::uint64_t limit = mRandom.Unit() < mFaults.mStraggler
-                                  ? kStragglerMs
+    const std::uint64_t limit = mRandom.Unit() < mFaults.mLongDelay
+                                  ? kLongDelayMs
                                   : static_cast<std::uint64_t>(mFaults.mMaxDelay.count());
     // A positive delay keeps the number of deliveries in one step bounded.
     const Milliseconds delay(1 + static_cast<std::int64_t>(mRandom.Below(limit)));
--- a/unittests/Control/SimulatedCluster.h
+++ b/unittests/Control/SimulatedCluster.h
@@ -14,8 +14,8 @@
 struct NetworkFaults
 {
   double mLoss = 0;
-  double mRepeat = 0;
-  double mStraggler = 0; ///< Share of messages that are delayed by up to 2 s.
+  double mDuplicate = 0;
+  double mLongDelay = 0; ///< Share of messages that are delayed by up to 2 s.
   Milliseconds mMaxDelay{2};
 };
 
@@ -55,7 +55,7 @@
   void SetFaults(NetworkFaults aFaults) { mFaults = aFaults; }
 
   HistoryChecker& Checker() { return mChecker; }
-  Random& Chance() { return mRandom; }
+  Random& RandomSource() { return mRandom; }
   TimePoint Now() const { return mNow; }
 
 private:
--- a/unittests/Control/SimulatedReplica.cpp
+++ b/unittests/Control/SimulatedReplica.cpp
@@ -137,13 +137,13 @@
   while (Running() && !mActions.empty()) {
     RaftAction action = std::move(mActions.front());
     mActions.pop_front();
-    if (!std::visit([&](auto& aAction) { return Do(aNow, aAction); }, action)) {
+    if (!std::visit([&](auto& aAction) { return Execute(aNow, aAction); }, action)) {
       Crash();
     }
   }
 }
 
-Status SimulatedReplica::Do(TimePoint aNow, PersistAction& aAction)
+Status SimulatedReplica::Execute(TimePoint aNow, PersistAction& aAction)
 {
   if (aAction.mHardState) {
     BOOST_OUTCOME_TRY(mStore->SaveHardState(*aAction.mHardState));
@@ -167,7 +167,7 @@
   return Ok();
 }
 
-Status SimulatedReplica::Do(TimePoint aNow, InstallSnapshotAction& aAction)
+Status SimulatedReplica::Execute(TimePoint aNow, InstallSnapshotAction& aAction)
 {
   BOOST_OUTCOME_TRY(mStore->InstallSnapshot(*aAction.mSnapshot, aAction.mKeepSuffix));
   mChecker.Installed(mId, aAction.mSnapshot->mIndex, DigestIn(*aAction.mSnapshot));
@@ -178,7 +178,7 @@
   return Ok();
 }
 
-Status SimulatedReplica::Do(TimePoint aNow, ApplyAction& aAction)
+Status SimulatedReplica::Execute(TimePoint aNow, ApplyAction& aAction)
 {
   for (const LogEntry& entry : aAction.mEntries) {
     mChecker.Applied(mId, entry);
@@ -187,13 +187,13 @@
   return Ok();
 }
 
-Status SimulatedReplica::Do(TimePoint /*aNow*/, SendAction& aAction)
+Status SimulatedReplica::Execute(TimePoint /*aNow*/, SendAction& aAction)
 {
   mSent.push_back(std::move(aAction.mMessage));
   return Ok();
 }
 
-Status SimulatedReplica::Do(TimePoint /*aNow*/, RoleChangedAction& aAction)
+Status SimulatedReplica::Execute(TimePoint /*aNow*/, RoleChangedAction& aAction)
 {
   if (aAction.mRole == RaftRole::Leader) {
     mChecker.LeaderElected(aAction.mTerm, mId, [this](EntryId aId) {
@@ -203,13 +203,13 @@
   return Ok();
 }
 
-Status SimulatedReplica::Do(TimePoint /*aNow*/, PeerRefusedAction& /*aAction*/)
+Status SimulatedReplica::Execute(TimePoint /*aNow*/, PeerRefusedAction& /*aAction*/)
 {
   ++mPeersRefused;
   return Ok();
 }
 
-Status SimulatedReplica::Do(TimePoint /*aNow*/, StopAction& aAction)
+Status SimulatedReplica::Execute(TimePoint /*aNow*/, StopAction& aAction)
 {
   mStopReason = aAction.mReason;
   mCore.reset();
--- a/unittests/Control/SimulatedReplica.h
+++ b/unittests/Control/SimulatedReplica.h
@@ -21,14 +21,14 @@
   SimulatedReplica(ReplicaId aId, RaftSettings aSettings, std::uint64_t aSeed,
                    HistoryChecker& aChecker);
 
-  /// Starts the process on what the disk holds; false if the store refuses to open.
+  /// Starts the process with the contents of the disk. Returns false if the store cannot be opened.
   bool Start(TimePoint aNow);
-  /// Writes the first membership to the blank disk of a process that is not started.
+  /// Writes the first membership to the empty disk of a process that is not started.
   void Bootstrap(const RaftMembership& aMembers);
   /// Ends the process without notice.
   void Crash();
   bool Running() const { return mCore != nullptr; }
-  /// Whether the process ended because the identity was refused.
+  /// Why the process ended, if it did because its identity was refused or its store is unusable.
   const std::string& StopReason() const { return mStopReason; }
 
   void Tick(TimePoint aNow);
@@ -51,13 +51,13 @@
 
 private:
   void Run(TimePoint aNow, RaftActions aActions);
-  Status Do(TimePoint aNow, PersistAction& aAction);
-  Status Do(TimePoint aNow, InstallSnapshotAction& aAction);
-  Status Do(TimePoint aNow, ApplyAction& aAction);
-  Status Do(TimePoint aNow, SendAction& aAction);
-  Status Do(TimePoint aNow, RoleChangedAction& aAction);
-  Status Do(TimePoint aNow, PeerRefusedAction& aAction);
-  Status Do(TimePoint aNow, StopAction& aAction);
+  Status Execute(TimePoint aNow, PersistAction& aAction);
+  Status Execute(TimePoint aNow, InstallSnapshotAction& aAction);
+  Status Execute(TimePoint aNow, ApplyAction& aAction);
+  Status Execute(TimePoint aNow, SendAction& aAction);
+  Status Execute(TimePoint aNow, RoleChangedAction& aAction);
+  Status Execute(TimePoint aNow, PeerRefusedAction& aAction);
+  Status Execute(TimePoint aNow, StopAction& aAction);
   void Report(TimePoint aNow, const std::vector<ProposalResult>& aResults, const LogEntry* aEntry);
 
   ReplicaId mId;
--- a/unittests/Control/ViewBuilderTest.cpp
+++ b/unittests/Control/ViewBuilderTest.cpp
@@ -82,15 +82,15 @@
   CPPUNIT_TEST_SUITE(ViewBuilderTest);
   CPPUNIT_TEST(FirstGenerationUsesAnnouncedWeights);
   CPPUNIT_TEST(JoiningMembersStartLowAndGrowInSteps);
-  CPPUNIT_TEST(ColdMembersFallToTheirShareAtOnce);
+  CPPUNIT_TEST(ColdMembersGetTheirLowWeightAtOnce);
   CPPUNIT_TEST(WeightNoiseCreatesNoGeneration);
   CPPUNIT_TEST(PlannedChangesWaitForAcknowledgement);
   CPPUNIT_TEST(LossAndDataCentreOutDoNotWait);
   CPPUNIT_TEST(ForcedChangesKeepAnAcknowledgedGeneration);
   CPPUNIT_TEST(RestartingMembersKeepTheirWeight);
   CPPUNIT_TEST(LastMembersKeepTheirBuckets);
-  CPPUNIT_TEST(DataCentreReturnsLow);
-  CPPUNIT_TEST(RedeclaredServicesStartOver);
+  CPPUNIT_TEST(ReturningDataCentreStartsWithLowWeight);
+  CPPUNIT_TEST(RecreatedServicesGetNewGenerations);
   CPPUNIT_TEST(TermsNeverReuseGenerationNumbers);
   CPPUNIT_TEST(RandomChangesKeepTheRules);
   CPPUNIT_TEST_SUITE_END();
@@ -108,7 +108,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leader.Generations().size());
   }
 
-  // Guards against a new upstream that gets its full share at once (I3).
+  // Guards against a new upstream that gets its full share at once.
   void JoiningMembersStartLowAndGrowInSteps()
   {
     Leader leader;
@@ -130,8 +130,8 @@
     }
   }
 
-  // Guards against a cold upstream that keeps the weight of a warm one (I3).
-  void ColdMembersFallToTheirShareAtOnce()
+  // Guards against a cold member that keeps the weight that it had before.
+  void ColdMembersGetTheirLowWeightAtOnce()
   {
     Leader leader;
     leader.Add("a");
@@ -165,7 +165,8 @@
     CPPUNIT_ASSERT_EQUAL(number + kGenerationStride, leader.Newest());
   }
 
-  // Guards against a new owner that asks a previous owner which has no complete directory itself.
+  // Guards against a new owner that fetches a directory from a previous owner whose directory is
+  // not complete itself.
   void PlannedChangesWaitForAcknowledgement()
   {
     Leader leader;
@@ -193,7 +194,8 @@
     CPPUNIT_ASSERT_EQUAL(0U, leader.WeightOf("c"));
   }
 
-  // Guards against buckets that stay without a live owner because a hand-off is not complete.
+  // Guards against buckets that stay without a live owner because a bucket transfer is not
+  // complete.
   void LossAndDataCentreOutDoNotWait()
   {
     Leader leader;
@@ -217,8 +219,8 @@
     CPPUNIT_ASSERT_EQUAL(1000U, leader.WeightOf("b"));
   }
 
-  // Guards against repeated losses that push the last complete assignment out of the view, after
-  // which no agent can tell where a flow is.
+  // Guards against repeated losses that remove the last acknowledged generation from the view,
+  // after which no agent can find out where a flow is.
   void ForcedChangesKeepAnAcknowledgedGeneration()
   {
     Leader leader;
@@ -241,7 +243,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, leader.WeightOf("d"));
   }
 
-  // Guards against a planned restart that moves buckets (I1).
+  // Guards against a planned restart that moves buckets.
   void RestartingMembersKeepTheirWeight()
   {
     Leader leader;
@@ -261,8 +263,8 @@
     CPPUNIT_ASSERT_EQUAL(0U, leader.WeightOf("a"));
   }
 
-  // Guards against flows of a drained or unreachable service that lose their owner although nobody
-  // could take them over (I1).
+  // Guards against flows of a drained or unreachable service that lose their owner although no
+  // other member could take them.
   void LastMembersKeepTheirBuckets()
   {
     Leader leader;
@@ -282,8 +284,8 @@
     CPPUNIT_ASSERT_EQUAL(number, leader.Newest());
   }
 
-  // Guards against full load on members whose data centre has just returned.
-  void DataCentreReturnsLow()
+  // Guards against full load on members whose data centre has just returned to service.
+  void ReturningDataCentreStartsWithLowWeight()
   {
     Leader leader;
     leader.Add("a");
@@ -298,8 +300,9 @@
     CPPUNIT_ASSERT_EQUAL(kJoinWeight, leader.WeightOf("b"));
   }
 
-  // Guards against generations of a deleted service that are taken for its successor's.
-  void RedeclaredServicesStartOver()
+  // Guards against generations of a deleted service that are taken for those of a new service with
+  // the same name.
+  void RecreatedServicesGetNewGenerations()
   {
     Leader leader;
     leader.Add("a");
