--- a/lib/Control/LeaseTable.cpp
+++ b/lib/Control/LeaseTable.cpp
@@ -58,7 +58,7 @@
     return Reject(member, "incarnation: found 0, expected the time of the start");
   }
   if (member.mState == MemberState::Lost) {
-    return Reject(member, "state: found lost, which only control declares");
+    return Reject(member, "state: found lost, which only the control leader declares");
   }
   if (aAnnouncement.mWeight > kMaxWeight) {
     return Reject(member, "weight: expected at most 1,000,000");
--- a/lib/Control/LogStore.cpp
+++ b/lib/Control/LogStore.cpp
@@ -113,7 +113,7 @@
   BOOST_OUTCOME_TRY(CheckUsable("store.install"));
   if (aSnapshot.mIndex <= mSnapshotId.mIndex) {
     return Fail(ErrorCode::InvalidInput, "store.install", mSettings.mDirectory,
-                "a snapshot of entry " + std::to_string(mSnapshotId.mIndex) + " is in force");
+                "a snapshot of entry " + std::to_string(mSnapshotId.mIndex) + " is stored already");
   }
   BOOST_OUTCOME_TRY(RecordFailure(WriteSnapshotFile(aSnapshot)));
   BOOST_OUTCOME_TRY(RecordFailure(RemoveAllSegments()));
@@ -134,7 +134,7 @@
 {
   if (mFailure) {
     return Fail(ErrorCode::Io, aStep, mSettings.mDirectory,
-                "the store stopped after an error: " + mFailure->Message());
+                "the store has stopped after an earlier error: " + mFailure->Message());
   }
   return Ok();
 }
--- a/lib/Control/LogStoreLoad.cpp
+++ b/lib/Control/LogStoreLoad.cpp
@@ -69,7 +69,7 @@
   }
   const RecordView record = ReadRecord(bytes, 0);
   if (record.mStatus == RecordStatus::Complete && record.mEnd != bytes.size()) {
-    return Damage(aPath, record.mEnd, "bytes after the record");
+    return Damage(aPath, record.mEnd, "unexpected bytes after the record");
   }
   return DecodeRecord<T>(record, aPath, 0);
 }
@@ -235,7 +235,7 @@
     return Damage(segment.mPath, 0, "the first index differs from the file name");
   }
   if (!mSegments.empty() && header.mPreviousTerm != mLastTerm) {
-    return Damage(segment.mPath, 0, "the term before the segment differs from the log");
+    return Damage(segment.mPath, 0, "the header's term of the previous entry differs from the log");
   }
   segment.mPreviousTerm = header.mPreviousTerm;
   segment.mSize = record.mEnd;
--- a/lib/Control/RaftFollower.cpp
+++ b/lib/Control/RaftFollower.cpp
@@ -70,8 +70,8 @@
       continue;
     }
     if (entry.mIndex <= mCommitIndex) {
-      Stop("leader " + mLeader.value_or("") + " replaces committed entry " +
-           std::to_string(entry.mIndex));
+      Stop("leader " + mLeader.value_or("") +
+           " sent an entry that conflicts with committed entry " + std::to_string(entry.mIndex));
       return false;
     }
     if (known) {
--- a/lib/Control/RaftProposal.cpp
+++ b/lib/Control/RaftProposal.cpp
@@ -8,10 +8,12 @@
 Status RaftCore::Impl::CheckMayPropose(const char* aStep) const
 {
   if (Role() != RaftRole::Leader) {
-    return Fail(ErrorCode::Unavailable, aStep, mLeader.value_or(""), "this replica is not leader");
+    return Fail(ErrorCode::Unavailable, aStep, mLeader.value_or(""),
+                "this replica is not the leader");
   }
   if (mTransferTarget) {
-    return Fail(ErrorCode::Unavailable, aStep, *mTransferTarget, "leadership is being handed over");
+    return Fail(ErrorCode::Unavailable, aStep, *mTransferTarget,
+                "a leadership transfer is running");
   }
   return Ok();
 }
@@ -77,7 +79,7 @@
   RaftMembership members = mLog.LatestMembership();
   if (members.IsRemoved(aChange.mReplica)) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica,
-                "the identity was removed for good");
+                "the identity was removed and cannot be added again");
   }
   const bool present = members.Find(aChange.mReplica) != nullptr;
   if (!present && aChange.mKind != RaftMembershipChangeKind::AddLearner) {
@@ -160,7 +162,8 @@
     }
   }
   if (best == nullptr) {
-    return Fail(ErrorCode::NotFound, "raft.transfer", aTarget, "no such voter is in contact");
+    return Fail(ErrorCode::NotFound, "raft.transfer", aTarget,
+                "no such voter is in contact with this leader");
   }
   mTransferTarget = best->first;
   mTransferDeadline = mNow + mSettings.mElectionMax;
--- a/lib/Control/RecordCodec.cpp
+++ b/lib/Control/RecordCodec.cpp
@@ -62,20 +62,20 @@
   // After a crash, a file may end in zeros: some file systems extend the file before they write the
   // data.
   if (AllZero(rest)) {
-    return {RecordStatus::Incomplete, {}, aFile.size(), "only zeros up to the end"};
+    return {RecordStatus::Incomplete, {}, aFile.size(), "only zeros up to the end of the file"};
   }
   const auto length = ReadLittleEndian<std::uint32_t>(rest);
   if (ReadLittleEndian<std::uint32_t>(rest.subspan(kLengthBytes)) !=
         LengthChecksum(rest.first(kLengthBytes)) ||
       length > kMaxRecordBytes) {
-    return {RecordStatus::Corrupt, {}, aOffset, "check of the record length fails"};
+    return {RecordStatus::Corrupt, {}, aOffset, "record length is invalid"};
   }
   if (rest.size() - kRecordHeaderBytes < length) {
     return {RecordStatus::Incomplete, {}, aFile.size(), "record is incomplete"};
   }
   const auto payload = rest.subspan(kRecordHeaderBytes, length);
   if (ReadLittleEndian<std::uint64_t>(rest.subspan(2 * kLengthBytes)) != Hash64(payload, length)) {
-    return {RecordStatus::Corrupt, {}, aOffset, "checksum of the record fails"};
+    return {RecordStatus::Corrupt, {}, aOffset, "record checksum does not match"};
   }
   return {RecordStatus::Complete, payload, aOffset + kRecordHeaderBytes + length, {}};
 }
