--- a/include/dandelionslip/Control/LeaseTable.h
+++ b/include/dandelionslip/Control/LeaseTable.h
@@ -1,4 +1,4 @@
-// Leases and announcements of all nodes, held by the control leader.
+// Leases and announcements of all nodes, kept by the control leader.
 #pragma once
 
 #include "dandelionslip/Control/MembershipSettings.h"
@@ -41,7 +41,7 @@
 public:
   explicit LeaseTable(const MembershipSettings& aSettings);
 
-  /// Takes an announcement received at aNow.
+  /// Records an announcement received at aNow and renews the lease of its member.
   RenewalOutcome Renew(const Announcement& aAnnouncement, TimePoint aNow);
 
   /// Extends the lease of a member whose announcement is unchanged. Fenced: this incarnation was
--- a/include/dandelionslip/Control/LogStore.h
+++ b/include/dandelionslip/Control/LogStore.h
@@ -46,7 +46,8 @@
 {
 public:
   /// Opens or creates the store. Drops an incomplete record at the end of the newest segment.
-  /// Damage anywhere else gives ErrorCode::Corrupt with the file's path and the offset.
+  /// A missing file or damage anywhere else gives ErrorCode::Corrupt with the path and, for damage,
+  /// the offset.
   static Result<std::unique_ptr<LogStore>> Open(FileSystem& aFiles, LogStoreSettings aSettings,
                                                 Random& aRandom);
   ~LogStore();
--- a/include/dandelionslip/Control/MemberSummary.h
+++ b/include/dandelionslip/Control/MemberSummary.h
@@ -52,7 +52,7 @@
   std::uint64_t mTerm = 0;
   std::uint64_t mSequence = 0; ///< Of the summary that is answered.
   bool mAccepted = false; ///< All attached nodes except those in mFenced and mRefused were renewed.
-  std::uint64_t mHeldRevision = 0; ///< Newest view revision that a quorum stores.
+  std::uint64_t mHeldRevision = 0; ///< Newest view revision that a quorum has.
   bool mWholeWanted = false;       ///< The digest differs; the next summary must be whole.
   /// The next summary must carry the replica's view, which is newer than the new leader's.
   bool mViewWanted = false;
--- a/include/dandelionslip/Control/MembershipCore.h
+++ b/include/dandelionslip/Control/MembershipCore.h
@@ -43,9 +43,8 @@
 /// Handles announcements, summaries and views on one control replica: a follower reports its
 /// attached nodes to the leader, the leader renews their leases and issues views. Takes events and
 /// returns answers and actions; has no socket, thread, clock or random source. Not thread-safe.
-///
-/// A view revision is held once a quorum of voters is known to store it. Nodes get held views only,
-/// so that the next leader knows every view on which a node has acted.
+/// A view revision is "held" once a quorum of voters is known to have it. Nodes get held views
+/// only, so that the next leader knows every view on which a node has acted.
 class MembershipCore
 {
 public:
@@ -83,7 +82,7 @@
   std::vector<MembershipAction> OnTick(TimePoint aNow);
 
   const ConfigurationStore& Store() const { return mStore; }
-  /// The newest view that this replica holds.
+  /// The newest view that this replica has.
   const View& CurrentView() const { return mViews.Newest(); }
 
   /// The view that nodes get: the newest held one.
@@ -98,7 +97,7 @@
   {
     SummaryReceiver mReceiver;
     bool mViewKnown = false; ///< Its view is known and not newer than the one of this replica.
-    std::uint64_t mViewRevision = 0; ///< Newest revision it is known to hold.
+    std::uint64_t mViewRevision = 0; ///< Newest revision that it is known to have.
     TimePoint mLastSummaryAt;
     TimePoint mViewSentAt;
     std::uint64_t mViewRevisionSent = 0;
--- a/include/dandelionslip/Control/ViewUpdate.h
+++ b/include/dandelionslip/Control/ViewUpdate.h
@@ -13,7 +13,7 @@
 struct ViewUpdate
 {
   std::uint64_t mTerm = 0;
-  std::uint64_t mHeldRevision = 0; ///< Newest view revision that a quorum stores.
+  std::uint64_t mHeldRevision = 0; ///< Newest view revision that a quorum has.
   std::optional<View> mView;
   std::optional<ViewDifference> mDifference;
 
--- a/unittests/Control/HistoryChecker.h
+++ b/unittests/Control/HistoryChecker.h
@@ -56,8 +56,8 @@
   void CheckDigest(const ReplicaId& aReplica, const Position& aPosition);
 
   std::map<Term, ReplicaId> mLeaders;
-  std::map<EntryId, std::pair<std::uint64_t, Term>>
-    mLogged; ///< Hash of the entry and term of the entry before it.
+  /// Hash of the entry and term of the entry before it.
+  std::map<EntryId, std::pair<std::uint64_t, Term>> mLogged;
   std::map<LogIndex, EntryId> mCommitted;
   std::map<LogIndex, std::uint64_t> mDigests;
   std::map<ReplicaId, Position> mPositions;
--- a/unittests/Control/PublicationHistoryTest.cpp
+++ b/unittests/Control/PublicationHistoryTest.cpp
@@ -133,8 +133,8 @@
     }
     const std::uint64_t event = mRandom.Below(10);
     if (event < 3) {
-      Append(
-        aClient); // The answer is lost; the operator sends the command again under the same id.
+      // The answer is lost; the operator sends the command again under the same id.
+      Append(aClient);
       return;
     }
     aClient.mBusy = false;
--- a/unittests/Control/RaftCoreTest.cpp
+++ b/unittests/Control/RaftCoreTest.cpp
@@ -380,9 +380,9 @@
     return core;
   }
 
-  // Guards against the commit of an entry of an earlier term because a majority stores it: a leader
-  // of a later term may still replace it. Also against a leader that counts its own log before it
-  // is synced.
+  // Guards against the commit of an entry of an earlier term because a majority stores it: a later
+  // leader whose log ends with an entry of a term in between may still replace it. Also against a
+  // leader that counts its own log before it is synced.
   void EntriesOfEarlierTermsAreNotCommittedByCount()
   {
     const RecoveredState state = StateWithOldEntry();
