--- a/include/dandelionslip/Control/LogStore.h
+++ b/include/dandelionslip/Control/LogStore.h
@@ -22,10 +22,11 @@
   HardState mHardState;
   std::shared_ptr<const Snapshot> mSnapshot; ///< Null when none was taken.
   std::vector<LogEntry> mEntries;            ///< Entries after the snapshot.
-  std::optional<Error> mDroppedTail;         ///< Where an incomplete record was dropped; for logs.
+  /// Where an incomplete record was dropped; for log messages only.
+  std::optional<Error> mDroppedTail;
 
   /// Whether the disk holds no log at all, as on the first start of a replica.
-  bool Blank() const { return !mSnapshot && mEntries.empty(); }
+  bool IsEmpty() const { return !mSnapshot && mEntries.empty(); }
 };
 
 /// Settings of a LogStore.
@@ -45,7 +46,8 @@
 {
 public:
   /// Opens or creates the store. Drops an incomplete record at the end of the newest segment.
-  /// Damage before that gives ErrorCode::Corrupt with the segment's path and the offset.
+  /// A missing file or damage anywhere else gives ErrorCode::Corrupt with the path and, for damage,
+  /// the offset.
   static Result<std::unique_ptr<LogStore>> Open(FileSystem& aFiles, LogStoreSettings aSettings,
                                                 Random& aRandom);
   ~LogStore();
@@ -55,8 +57,8 @@
   /// What was found at Open, after Bootstrap if that was called. May be taken once.
   RecoveredState TakeRecovered();
 
-  /// Writes the first membership to a blank store, the same on every replica in it. It must be
-  /// called at most once in the life of a replica: never on a disk that replaces a lost one.
+  /// Writes the first membership to an empty store; it must be the same on every replica in it.
+  /// Call it at most once in the life of a replica, never on a disk that replaces a lost one.
   Status Bootstrap(const RaftMembership& aMembership);
 
   /// Writes term and vote.
@@ -70,7 +72,7 @@
   /// Writes a snapshot received from the leader. Entries after it are kept if aKeepSuffix.
   Status InstallSnapshot(const Snapshot& aSnapshot, bool aKeepSuffix);
 
-  /// The first error of a write or sync, which stopped the store for good.
+  /// The first error of a write or sync; all changes after it fail.
   const std::optional<Error>& Failure() const { return mFailure; }
   LogIndex LastIndex() const { return mLastIndex; }
 
@@ -100,19 +102,19 @@
   Status LoadSegment(LogIndex aFirst, bool aNewest);
   Status LoadEntries(Segment& aSegment, LogIndex aFirst, std::span<const std::uint8_t> aBytes,
                      bool aNewest);
-  Status CutTail(Segment& aSegment, std::uint64_t aSize);
+  Status DropTail(Segment& aSegment, std::uint64_t aSize);
   Status DropCoveredEntries();
   std::optional<Term> TermAt(LogIndex aIndex) const;
   std::optional<Term> SegmentTermAt(LogIndex aIndex) const;
 
-  Status Guard(Status aStatus);
+  Status RecordFailure(Status aStatus);
   Status CheckUsable(const char* aStep) const;
-  Status WriteFile(const std::string& aPath, std::span<const std::uint8_t> aBytes);
+  Status WriteFileAtomically(const std::string& aPath, std::span<const std::uint8_t> aBytes);
   Status WriteSnapshotFile(const Snapshot& aSnapshot);
   Status StartSegment(LogIndex aFirst, Term aPreviousTerm);
   Status AppendToSegment(std::span<const LogEntry> aEntries);
-  Status OpenNewest();
-  void CloseNewest();
+  Status OpenNewestSegment();
+  void CloseNewestSegment();
   Status RemoveNewestSegment();
   Status ShortenNewestSegment(LogIndex aFirst);
   Status RemoveCoveredSegments();
@@ -121,7 +123,7 @@
   FileSystem& mFiles;
   LogStoreSettings mSettings;
   std::map<LogIndex, Segment> mSegments; ///< By first index.
-  std::optional<FileHandle> mNewest;     ///< Open for appending; the last of mSegments.
+  std::optional<FileHandle> mNewestFile; ///< Open for appending; the last of mSegments.
   RecoveredState mRecovered;
   EntryId mSnapshotId;
   LogIndex mLastIndex = 0;
--- a/lib/Control/RaftLog.h
+++ b/lib/Control/RaftLog.h
@@ -1,4 +1,4 @@
-// Entries after the snapshot in memory, with the memberships they hold.
+// The log in memory: the entries after the snapshot and the memberships among them.
 #pragma once
 
 #include "dandelionslip/Control/Snapshot.h"
@@ -11,14 +11,14 @@
 
 namespace dandelionslip {
 
-/// Entries after the snapshot in memory, with the memberships they hold.
+/// The log in memory: the entries after the snapshot and the memberships among them.
 class RaftLog
 {
 public:
   RaftLog(std::shared_ptr<const Snapshot> aSnapshot, std::vector<LogEntry> aEntries);
 
   /// Whether there is neither an entry nor a snapshot.
-  bool Blank() const { return LastIndex() == 0; }
+  bool IsEmpty() const { return LastIndex() == 0; }
   /// The entry that the snapshot ends with; index 0 when there is none.
   EntryId SnapshotId() const { return mSnapshot ? mSnapshot->Id() : EntryId{}; }
   const std::shared_ptr<const Snapshot>& LastSnapshot() const { return mSnapshot; }
@@ -27,7 +27,7 @@
   /// Term of an entry that is in the log or ends the snapshot; 0 for index 0.
   std::optional<Term> TermAt(LogIndex aIndex) const;
 
-  /// Copies entries from aFirst on; at least one, then up to both bounds.
+  /// Copies entries starting with aFirst: at least one, and more while both limits allow it.
   std::vector<LogEntry> Slice(LogIndex aFirst, std::size_t aMaxEntries,
                               std::size_t aMaxBytes) const;
   /// Copies the entries from aFirst to aLast, both included.
@@ -37,9 +37,9 @@
   void Append(LogEntry aEntry);
   /// Removes the entry with this index and all later ones.
   void TruncateFrom(LogIndex aFirst);
-  /// Drops the entries that the snapshot covers and keeps later ones.
+  /// Takes a newer snapshot; drops the entries that it covers and keeps later ones.
   void Compact(std::shared_ptr<const Snapshot> aSnapshot);
-  /// Drops all entries.
+  /// Takes a snapshot and drops all entries.
   void Replace(std::shared_ptr<const Snapshot> aSnapshot);
 
   /// The newest membership and the index of its entry.
@@ -49,12 +49,12 @@
   const RaftMembership& MembershipAt(LogIndex aIndex) const;
 
 private:
-  void RememberMembership(const LogEntry& aEntry);
+  void IndexMembership(const LogEntry& aEntry);
   const LogEntry& At(LogIndex aIndex) const;
 
   std::shared_ptr<const Snapshot> mSnapshot;
   std::deque<LogEntry> mEntries;
-  /// By index of the entry; the first one is that of the snapshot.
+  /// By index of the entry. The first one is the snapshot's, at the snapshot's index.
   std::map<LogIndex, RaftMembership> mMemberships;
 };
 
--- a/lib/Control/RaftProposal.cpp
+++ b/lib/Control/RaftProposal.cpp
@@ -1,22 +1,24 @@
 // Proposals, membership changes and leadership transfer.
-#include "RaftNode.h"
+#include "RaftCoreImpl.h"
 
 #include <boost/outcome/try.hpp>
 
 namespace dandelionslip {
 
-Status RaftCore::Node::CheckMayPropose(const char* aStep) const
+Status RaftCore::Impl::CheckMayPropose(const char* aStep) const
 {
   if (Role() != RaftRole::Leader) {
-    return Fail(ErrorCode::Unavailable, aStep, mLeader.value_or(""), "this replica is not leader");
+    return Fail(ErrorCode::Unavailable, aStep, mLeader.value_or(""),
+                "this replica is not the leader");
   }
   if (mTransferTarget) {
-    return Fail(ErrorCode::Unavailable, aStep, *mTransferTarget, "leadership is being handed over");
+    return Fail(ErrorCode::Unavailable, aStep, *mTransferTarget,
+                "a leadership transfer is running");
   }
   return Ok();
 }
 
-EntryId RaftCore::Node::ProposeEntry(EntryKind aKind, Bytes aPayload)
+EntryId RaftCore::Impl::ProposeEntry(EntryKind aKind, Bytes aPayload)
 {
   LogEntry entry{mLog.LastIndex() + 1, mHardState.mTerm, aKind, std::move(aPayload)};
   const EntryId id = entry.Id();
@@ -25,9 +27,9 @@
   return id;
 }
 
-Result<EntryId> RaftCore::Node::Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions)
+Result<EntryId> RaftCore::Impl::Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions)
 {
-  Begin(aNow);
+  SetNow(aNow);
   BOOST_OUTCOME_TRY(CheckMayPropose("raft.propose"));
   if (aPayload.size() > mSettings.mMaxPayloadBytes) {
     return Fail(ErrorCode::LimitExceeded, "raft.propose", mSelf,
@@ -35,49 +37,49 @@
                   std::to_string(mSettings.mMaxPayloadBytes) + " are accepted");
   }
   const EntryId id = ProposeEntry(EntryKind::Command, std::move(aPayload));
-  aActions = Finish();
+  aActions = CollectActions();
   return id;
 }
 
-Result<EntryId> RaftCore::Node::ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
+Result<EntryId> RaftCore::Impl::ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
                                               RaftActions& aActions)
 {
-  Begin(aNow);
+  SetNow(aNow);
   BOOST_OUTCOME_TRY(CheckMayPropose("raft.change"));
   if (!HasCommittedInTerm()) {
     return Fail(ErrorCode::Conflict, "raft.change", mSelf, "no entry of this term is committed");
   }
-  if (mLog.LatestMembershipIndex() > mCommit) {
+  if (mLog.LatestMembershipIndex() > mCommitIndex) {
     return Fail(ErrorCode::Conflict, "raft.change", mSelf,
                 "the change at entry " + std::to_string(mLog.LatestMembershipIndex()) +
                   " is not committed");
   }
-  BOOST_OUTCOME_TRY(const auto members, Changed(aChange));
+  BOOST_OUTCOME_TRY(const auto members, MembershipAfter(aChange));
   const EntryId id = ProposeEntry(EntryKind::Membership, ToCbor(members));
-  SyncPeers();
+  UpdatePeers();
   MaybeCommit();
-  aActions = Finish();
+  aActions = CollectActions();
   return id;
 }
 
-// Creates and drops peers so that they equal the newest membership.
-void RaftCore::Node::SyncPeers()
+// Adds and removes peers to match the newest membership.
+void RaftCore::Impl::UpdatePeers()
 {
   const RaftMembership& members = mLog.LatestMembership();
   std::erase_if(mPeers, [&](const auto& aItem) { return members.Find(aItem.first) == nullptr; });
   for (const auto& [id, info] : members.mReplicas) {
     if (id != mSelf && !mPeers.contains(id)) {
-      mPeers[id].mNext = mLog.LastIndex() + 1;
+      mPeers[id].mNextIndex = mLog.LastIndex() + 1;
     }
   }
 }
 
-Result<RaftMembership> RaftCore::Node::Changed(const RaftMembershipChange& aChange) const
+Result<RaftMembership> RaftCore::Impl::MembershipAfter(const RaftMembershipChange& aChange) const
 {
   RaftMembership members = mLog.LatestMembership();
   if (members.IsRemoved(aChange.mReplica)) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica,
-                "the identity was removed for good");
+                "the identity was removed and cannot be added again");
   }
   const bool present = members.Find(aChange.mReplica) != nullptr;
   if (!present && aChange.mKind != RaftMembershipChangeKind::AddLearner) {
@@ -99,7 +101,7 @@
   return members;
 }
 
-Status RaftCore::Node::AddLearner(RaftMembership& aMembers,
+Status RaftCore::Impl::AddLearner(RaftMembership& aMembers,
                                   const RaftMembershipChange& aChange) const
 {
   if (!IsReplicaId(aChange.mReplica)) {
@@ -114,25 +116,25 @@
   return Ok();
 }
 
-Status RaftCore::Node::Promote(RaftMembership& aMembers, const RaftMembershipChange& aChange) const
+Status RaftCore::Impl::Promote(RaftMembership& aMembers, const RaftMembershipChange& aChange) const
 {
   ReplicaInfo& info = aMembers.mReplicas[aChange.mReplica];
   if (info.mVoter) {
     return Fail(ErrorCode::InvalidInput, "raft.change", aChange.mReplica, "already a voter");
   }
   const RaftPeer& peer = mPeers.at(aChange.mReplica);
-  const bool fresh = peer.mContact && mNow - *peer.mContact <= mSettings.mElectionMin;
-  if (!fresh || peer.mStore == 0 || peer.mMatch < mCommit) {
+  const bool fresh = peer.mLastContact && mNow - *peer.mLastContact <= mSettings.mElectionMin;
+  if (!fresh || peer.mStore == 0 || peer.mMatchIndex < mCommitIndex) {
     return Fail(ErrorCode::Conflict, "raft.change", aChange.mReplica,
-                "log is durable up to entry " + std::to_string(peer.mMatch) + ", needed " +
-                  std::to_string(mCommit) + (fresh ? "" : ", and no recent contact"));
+                "log is durable up to entry " + std::to_string(peer.mMatchIndex) + ", needed " +
+                  std::to_string(mCommitIndex) + (fresh ? "" : ", and no recent contact"));
   }
   info.mVoter = true;
   info.mStore = peer.mStore;
   return Ok();
 }
 
-Status RaftCore::Node::Remove(RaftMembership& aMembers, const RaftMembershipChange& aChange) const
+Status RaftCore::Impl::Remove(RaftMembership& aMembers, const RaftMembershipChange& aChange) const
 {
   if (aChange.mReplica == mSelf) {
     return Fail(ErrorCode::InvalidInput, "raft.change", mSelf,
@@ -143,40 +145,42 @@
   return Ok();
 }
 
-Status RaftCore::Node::TransferLeadership(TimePoint aNow, const ReplicaId& aTarget,
+Status RaftCore::Impl::TransferLeadership(TimePoint aNow, const ReplicaId& aTarget,
                                           RaftActions& aActions)
 {
-  Begin(aNow);
+  SetNow(aNow);
   BOOST_OUTCOME_TRY(CheckMayPropose("raft.transfer"));
   const RaftMembership& members = mLog.LatestMembership();
   const std::pair<const ReplicaId, RaftPeer>* best = nullptr;
   for (const auto& item : mPeers) {
     const bool wanted = aTarget.empty() || item.first == aTarget;
-    const bool usable = members.IsVoter(item.first) && item.second.mContact &&
-                        item.second.mMachine.State() != ReplicaState::Refused;
-    if (wanted && usable && (best == nullptr || item.second.mMatch > best->second.mMatch)) {
+    const bool usable = members.IsVoter(item.first) && item.second.mLastContact &&
+                        item.second.mStateMachine.State() != PeerState::Refused;
+    if (wanted && usable &&
+        (best == nullptr || item.second.mMatchIndex > best->second.mMatchIndex)) {
       best = &item;
     }
   }
   if (best == nullptr) {
-    return Fail(ErrorCode::NotFound, "raft.transfer", aTarget, "no such voter is in contact");
+    return Fail(ErrorCode::NotFound, "raft.transfer", aTarget,
+                "no such voter is in contact with this leader");
   }
   mTransferTarget = best->first;
   mTransferDeadline = mNow + mSettings.mElectionMax;
-  mTransferSent = false;
+  mTimeoutNowSent = false;
   ContinueTransfer();
-  aActions = Finish();
+  aActions = CollectActions();
   return Ok();
 }
 
-void RaftCore::Node::ContinueTransfer()
+void RaftCore::Impl::ContinueTransfer()
 {
-  if (!mTransferTarget || mTransferSent) {
+  if (!mTransferTarget || mTimeoutNowSent) {
     return;
   }
   const RaftPeer& peer = mPeers.at(*mTransferTarget);
-  if (peer.mMatch == mLog.LastIndex()) {
-    mTransferSent = true;
+  if (peer.mMatchIndex == mLog.LastIndex()) {
+    mTimeoutNowSent = true;
     Send(*mTransferTarget, TimeoutNow{}, peer.mStore);
   }
 }
--- a/lib/Control/ReplicaRepairPlanner.cpp
+++ b/lib/Control/ReplicaRepairPlanner.cpp
@@ -25,24 +25,26 @@
 
 void ReplicaRepairPlanner::OnMessageFrom(const ReplicaId& aReplica, TimePoint aNow)
 {
-  mHeard[aReplica] = aNow;
+  mLastMessage[aReplica] = aNow;
 }
 
 void ReplicaRepairPlanner::OnBecameLeader(TimePoint aNow)
 {
-  mLeadingSince = aNow;
-  mHeard.clear();
+  mLeaderSince = aNow;
+  mLastMessage.clear();
 }
 
-Milliseconds ReplicaRepairPlanner::SilenceOf(const ReplicaId& aReplica, TimePoint aNow) const
+Milliseconds ReplicaRepairPlanner::TimeSinceLastMessage(const ReplicaId& aReplica,
+                                                        TimePoint aNow) const
 {
-  const auto heard = mHeard.find(aReplica);
-  const TimePoint since = heard == mHeard.end() ? mLeadingSince : heard->second;
+  const auto heard = mLastMessage.find(aReplica);
+  const TimePoint since = heard == mLastMessage.end() ? mLeaderSince : heard->second;
   return std::chrono::duration_cast<Milliseconds>(aNow - since);
 }
 
-// Two replicas cannot share an address: the later identity shows that the earlier one's disk is
-// gone. The earlier one is silent by then, because its process has ended.
+// Whether another replica asked to join from this replica's address. Two replicas cannot share an
+// address, so the later identity shows that the disk of the earlier one is gone and its process has
+// ended.
 bool ReplicaRepairPlanner::IsSuperseded(const ReplicaGroup& aGroup, const ReplicaId& aReplica,
                                         TimePoint aNow) const
 {
@@ -60,8 +62,8 @@
 std::optional<ReplicaId> ReplicaRepairPlanner::ReplaceableVoter(const ReplicaGroup& aGroup,
                                                                 TimePoint aNow) const
 {
-  std::optional<ReplicaId> longestSilent;
-  Milliseconds longest = mSettings.mSilence;
+  std::optional<ReplicaId> longestIdle;
+  Milliseconds longest = mSettings.mVoterTimeout;
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
     if (!info.mVoter || id == aGroup.mSelf) {
       continue;
@@ -69,12 +71,12 @@
     if (IsSuperseded(aGroup, id, aNow)) {
       return id;
     }
-    if (const Milliseconds silence = SilenceOf(id, aNow); silence > longest) {
-      longest = silence;
-      longestSilent = id;
+    if (const Milliseconds idle = TimeSinceLastMessage(id, aNow); idle > longest) {
+      longest = idle;
+      longestIdle = id;
     }
   }
-  return longestSilent;
+  return longestIdle;
 }
 
 std::optional<RaftMembershipChange> ReplicaRepairPlanner::AddJoining(const ReplicaGroup& aGroup,
@@ -102,9 +104,9 @@
     return std::nullopt;
   }
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
-    const bool live =
-      !info.mVoter && SilenceOf(id, aNow) < mSettings.mSilence && !IsSuperseded(aGroup, id, aNow);
-    if (live && aGroup.mMatchOf(id) >= aGroup.mCommit) {
+    const bool live = !info.mVoter && TimeSinceLastMessage(id, aNow) < mSettings.mVoterTimeout &&
+                      !IsSuperseded(aGroup, id, aNow);
+    if (live && aGroup.mMatchIndexOf(id) >= aGroup.mCommitIndex) {
       return RaftMembershipChange{RaftMembershipChangeKind::Promote, id, {}};
     }
   }
@@ -121,7 +123,7 @@
   }
   for (const auto& [id, info] : aGroup.mMembers.mReplicas) {
     const bool gone =
-      IsSuperseded(aGroup, id, aNow) || SilenceOf(id, aNow) > mSettings.mLearnerSilence;
+      IsSuperseded(aGroup, id, aNow) || TimeSinceLastMessage(id, aNow) > mSettings.mLearnerTimeout;
     if (!info.mVoter && id != aGroup.mSelf && gone) {
       return RaftMembershipChange{RaftMembershipChangeKind::Remove, id, {}};
     }
@@ -134,7 +136,8 @@
 {
   using Step = std::optional<RaftMembershipChange> (ReplicaRepairPlanner::*)(const ReplicaGroup&,
                                                                              TimePoint) const;
-  // A surplus voter goes first: while it counts, one more loss can stop the group.
+  // Removes a surplus voter first: while it counts for the quorum, one more loss can stop the
+  // group.
   static constexpr std::array<Step, 3> kSteps{&ReplicaRepairPlanner::RemoveReplica,
                                               &ReplicaRepairPlanner::PromoteLearner,
                                               &ReplicaRepairPlanner::AddJoining};
--- a/lib/Control/RoleMachine.cpp
+++ b/lib/Control/RoleStateMachine.cpp
@@ -1,5 +1,5 @@
 // State machine of a replica's own role, on Boost.MSM.
-#include "RoleMachine.h"
+#include "RoleStateMachine.h"
 
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/state_machine_def.hpp>
@@ -41,7 +41,7 @@
                          _row<PreCandidate, On<RoleEvent::ElectionDue>, PreCandidate>,
                          _row<Candidate, On<RoleEvent::ElectionDue>, PreCandidate>,
                          _row<PreCandidate, On<RoleEvent::PreVoteWon>, Candidate>,
-                         _row<Follower, On<RoleEvent::TransferAsked>, Candidate>,
+                         _row<Follower, On<RoleEvent::TransferRequested>, Candidate>,
                          _row<Candidate, On<RoleEvent::VoteWon>, Leader>,
                          _row<PreCandidate, On<RoleEvent::StepDown>, Follower>,
                          _row<Candidate, On<RoleEvent::StepDown>, Follower>,
@@ -72,31 +72,31 @@
 // One processor for each event, in the order of RoleEvent.
 constexpr std::array kProcessors{
   &ProcessOn<RoleEvent::ElectionDue>, &ProcessOn<RoleEvent::PreVoteWon>,
-  &ProcessOn<RoleEvent::VoteWon>,     &ProcessOn<RoleEvent::TransferAsked>,
+  &ProcessOn<RoleEvent::VoteWon>,     &ProcessOn<RoleEvent::TransferRequested>,
   &ProcessOn<RoleEvent::StepDown>,    &ProcessOn<RoleEvent::Refused>,
 };
 
 } // namespace
 
-struct RoleMachine::Impl
+struct RoleStateMachine::Impl
 {
   Machine mMachine;
 };
 
-RoleMachine::RoleMachine()
+RoleStateMachine::RoleStateMachine()
   : mImpl(std::make_unique<Impl>())
 {
   mImpl->mMachine.start();
 }
 
-RoleMachine::~RoleMachine() = default;
+RoleStateMachine::~RoleStateMachine() = default;
 
-RaftRole RoleMachine::Role() const
+RaftRole RoleStateMachine::Role() const
 {
   return mImpl->mMachine.mRole;
 }
 
-bool RoleMachine::Process(RoleEvent aEvent)
+bool RoleStateMachine::Process(RoleEvent aEvent)
 {
   return kProcessors.at(static_cast<std::size_t>(aEvent))(mImpl->mMachine);
 }
--- a/unittests/Control/LeaseTableTest.cpp
+++ b/unittests/Control/LeaseTableTest.cpp
@@ -15,9 +15,9 @@
   CPPUNIT_TEST(LossComesAfterLeaseAndMargin);
   CPPUNIT_TEST(PlannedStopIsNotALoss);
   CPPUNIT_TEST(LowerIncarnationsAreFenced);
-  CPPUNIT_TEST(LateAnnouncementsDoNotTakeBackAStop);
+  CPPUNIT_TEST(LateAnnouncementsDoNotRevertAStop);
   CPPUNIT_TEST(NewLeaderGivesAFullLease);
-  CPPUNIT_TEST(RegainedLeaseRestoresTheState);
+  CPPUNIT_TEST(RenewedLeaseRestoresTheState);
   CPPUNIT_TEST(TheTableIsBounded);
   CPPUNIT_TEST(InvalidAnnouncementsAreRefused);
   CPPUNIT_TEST_SUITE_END();
@@ -27,7 +27,7 @@
     return aTable.Find(aName)->mAnnouncement.mMember.mState;
   }
 
-  // Guards against a member declared lost while it may still believe in its lease (I7).
+  // Guards against a member that is declared lost while it may still act on its lease.
   void LossComesAfterLeaseAndMargin()
   {
     LeaseTable table{MembershipSettings{}};
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT(table.Expire(kTestStart + 2'600ms).empty());
   }
 
-  // Guards against buckets that move while an upstream's process restarts as planned (I1, I9).
+  // Guards against buckets that move while an upstream's process restarts as planned.
   void PlannedStopIsNotALoss()
   {
     LeaseTable table{MembershipSettings{}};
@@ -66,10 +66,10 @@
     LeaseTable table{MembershipSettings{}};
     table.Renew(AgentAnnouncement("a", 5), kTestStart);
     CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Renew(AgentAnnouncement("a", 4), kTestStart));
-    CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Touch("a", 4, kTestStart + 1s));
+    CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.RenewUnchanged("a", 4, kTestStart + 1s));
     CPPUNIT_ASSERT(RenewalOutcome::Accepted == table.Renew(AgentAnnouncement("a", 6), kTestStart));
     CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Renew(AgentAnnouncement("a", 5), kTestStart));
-    CPPUNIT_ASSERT(RenewalOutcome::Invalid == table.Touch("a", 7, kTestStart));
+    CPPUNIT_ASSERT(RenewalOutcome::Invalid == table.RenewUnchanged("a", 7, kTestStart));
     table.Expire(kTestStart + 3s);
     CPPUNIT_ASSERT(RenewalOutcome::Fenced ==
                    table.Renew(AgentAnnouncement("a", 5), kTestStart + 4s));
@@ -77,18 +77,19 @@
 
   // Guards against a stopped process that reappears because an older announcement arrives late
   // through another replica.
-  void LateAnnouncementsDoNotTakeBackAStop()
+  void LateAnnouncementsDoNotRevertAStop()
   {
     LeaseTable table{MembershipSettings{}};
     table.Renew(AgentAnnouncement("a", 1, MemberState::Restarting), kTestStart);
     CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Renew(AgentAnnouncement("a"), kTestStart + 1s));
     CPPUNIT_ASSERT(MemberState::Restarting == StateOf(table, "a"));
     table.Renew(AgentAnnouncement("a", 1, MemberState::Left), kTestStart + 2s);
-    CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.Touch("a", 1, kTestStart + 3s));
+    CPPUNIT_ASSERT(RenewalOutcome::Fenced == table.RenewUnchanged("a", 1, kTestStart + 3s));
     CPPUNIT_ASSERT(MemberState::Left == StateOf(table, "a"));
   }
 
-  // Guards against a new leader that declares members lost because it has not heard them yet.
+  // Guards against a new leader that declares members lost because they have not announced
+  // themselves to it yet.
   void NewLeaderGivesAFullLease()
   {
     View view;
@@ -104,18 +105,18 @@
                    table.Renew(AgentAnnouncement("a", 2), kTestStart + 1s));
     table.Renew(AgentAnnouncement("a", 3), kTestStart + 2s);
     table.Adopt(view, kTestStart + 2'200ms);
-    CPPUNIT_ASSERT(table.Find("a")->mHeard);
+    CPPUNIT_ASSERT(table.Find("a")->mHasAnnounced);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.Expire(kTestStart + 4'500ms).size());
     CPPUNIT_ASSERT(MemberState::Restarting == StateOf(table, "b"));
   }
 
-  // Guards against a healed partition after which members stay lost (section 11, regions part).
-  void RegainedLeaseRestoresTheState()
+  // Guards against members that stay lost after a partition has healed.
+  void RenewedLeaseRestoresTheState()
   {
     LeaseTable table{MembershipSettings{}};
     table.Renew(AgentAnnouncement("a", 1, MemberState::Draining), kTestStart);
     table.Expire(kTestStart + 60s);
-    CPPUNIT_ASSERT(RenewalOutcome::Accepted == table.Touch("a", 1, kTestStart + 61s));
+    CPPUNIT_ASSERT(RenewalOutcome::Accepted == table.RenewUnchanged("a", 1, kTestStart + 61s));
     CPPUNIT_ASSERT(MemberState::Draining == StateOf(table, "a"));
   }
 
--- a/unittests/Control/MembershipCoreTest.cpp
+++ b/unittests/Control/MembershipCoreTest.cpp
@@ -13,12 +13,12 @@
 {
   CPPUNIT_TEST_SUITE(MembershipCoreTest);
   CPPUNIT_TEST(NodesGetStateAndLease);
-  CPPUNIT_TEST(UnconfirmedReplicasHandOutNothing);
+  CPPUNIT_TEST(UnconfirmedReplicasGrantNothing);
   CPPUNIT_TEST(FirstFollowerAnswerGrantsNoLease);
   CPPUNIT_TEST(LeasesNeedAHeldView);
   CPPUNIT_TEST(OlderProcessesAreFencedEverywhere);
   CPPUNIT_TEST(NewLeaderTakesTheNewestViewOfAQuorum);
-  CPPUNIT_TEST(ControlWithoutMemoryRebuildsTheView);
+  CPPUNIT_TEST(RestartedControlRebuildsTheView);
   CPPUNIT_TEST(DigestMismatchRequestsAWholeSummary);
   CPPUNIT_TEST(ViewsOfOtherTermsAreRefused);
   CPPUNIT_TEST(RandomFaultsKeepTheInvariants);
@@ -54,7 +54,7 @@
   }
 
   // Guards against an isolated control VM that serves an outdated configuration to a new node.
-  void UnconfirmedReplicasHandOutNothing()
+  void UnconfirmedReplicasGrantNothing()
   {
     MembershipCluster cluster(1);
     Populate(cluster);
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT(unknown.mLease == 0ms);
   }
 
-  // Guards against a lease that the leader does not know of when it declares the node lost (I7).
+  // Guards against a lease that the leader does not know of when it declares the node lost.
   void FirstFollowerAnswerGrantsNoLease()
   {
     MembershipCluster cluster(1);
@@ -82,20 +82,20 @@
     CPPUNIT_ASSERT(before == cluster.NodeOf("n0").mLeaseEnd);
   }
 
-  // Guards against a lease that rests on a view which the next leader may not know, or which the
-  // replica has not received: the member may be lost or have lost its buckets there (I7).
+  // Guards against a lease that depends on a view that the next leader may not know or that the
+  // replica has not received: in the newer view the member may be lost or own other buckets.
   void LeasesNeedAHeldView()
   {
     MembershipCore leader("r0", MembershipSettings{});
     leader.OnRoleChange({1, true, "r0", {"r0", "r1", "r2"}}, kTestStart);
     CPPUNIT_ASSERT(leader.OnAnnouncement(AgentAnnouncement("a"), true, kTestStart).mLease == 0ms);
     AttachedNodes nodes{MembershipSettings{}};
-    nodes.Take(AgentAnnouncement("a"), kTestStart);
-    nodes.NextSummary("r", 1, 4, kTestStart);
+    nodes.RecordAnnouncement(AgentAnnouncement("a"), kTestStart);
+    nodes.BuildSummary("r", 1, 4, kTestStart);
     SummaryAnswer answer{1, 1, true, 5, false, false, {}, {}};
-    nodes.TakeAnswer(answer, 4);
+    nodes.HandleAnswer(answer, 4);
     CPPUNIT_ASSERT(nodes.LeaseFor("a", 1, kTestStart) == 0ms);
-    nodes.TakeAnswer(answer, 5);
+    nodes.HandleAnswer(answer, 5);
     CPPUNIT_ASSERT(nodes.LeaseFor("a", 1, kTestStart) == 2'000ms);
   }
 
@@ -134,14 +134,16 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, cluster.Losses());
   }
 
-  // Guards against all buckets given to the first agent that is heard after control lost its
-  // memory, and against acknowledgements of forgotten generations that count for new ones.
-  void ControlWithoutMemoryRebuildsTheView()
+  // All control replicas restart without views. Guards against all buckets given to the first agent
+  // that announces itself, and against acknowledgements of earlier generations that count for new
+  // ones.
+  void RestartedControlRebuildsTheView()
   {
     MembershipCluster cluster(1);
     Populate(cluster);
     cluster.Run(6s);
-    // Several generations, so that numbers which start over would be lower than acknowledged ones.
+    // Creates several generations, so that numbers that started again at 1 would be lower than
+    // acknowledged ones.
     cluster.NodeOf("n0").mAnnouncement.mWeight = 640;
     cluster.Run(8s);
     const auto before = cluster.Core(0).CurrentView().mServices.at("planner").mGenerations[0];
@@ -157,35 +159,36 @@
     CPPUNIT_ASSERT(cluster.Core(1).CurrentView() == cluster.NodeOf("n2").mState.CurrentView());
   }
 
-  // Guards against a leader that renews nodes which the replica no longer has.
+  // Guards against a leader that renews nodes that are no longer attached to the replica.
   void DigestMismatchRequestsAWholeSummary()
   {
     const MembershipSettings settings;
     AttachedNodes nodes(settings);
     LeaseTable leases(settings);
     SummaryReceiver receiver;
-    nodes.Take(AgentAnnouncement("a"), kTestStart);
-    nodes.Take(AgentAnnouncement("b"), kTestStart);
+    nodes.RecordAnnouncement(AgentAnnouncement("a"), kTestStart);
+    nodes.RecordAnnouncement(AgentAnnouncement("b"), kTestStart);
     leases.Renew(AgentAnnouncement("a"), kTestStart);
     leases.Renew(AgentAnnouncement("b"), kTestStart);
-    leases.MarkShown(1);
-    const auto first = nodes.NextSummary("r", 1, 1, kTestStart);
-    nodes.TakeAnswer(receiver.Take(first, leases, 1, kTestStart), 1);
-    CPPUNIT_ASSERT(nodes.NextSummary("r", 1, 0, kTestStart).mChanged.empty());
+    leases.MarkLiveInView(1);
+    const auto first = nodes.BuildSummary("r", 1, 1, kTestStart);
+    nodes.HandleAnswer(receiver.HandleSummary(first, leases, 1, kTestStart), 1);
+    CPPUNIT_ASSERT(nodes.BuildSummary("r", 1, 0, kTestStart).mChanged.empty());
     SummaryReceiver restarted;
     const TimePoint later = kTestStart + 250ms;
-    const auto answer = restarted.Take(nodes.NextSummary("r", 1, 0, later), leases, 1, later);
+    const auto answer =
+      restarted.HandleSummary(nodes.BuildSummary("r", 1, 0, later), leases, 1, later);
     CPPUNIT_ASSERT(answer.mWholeWanted && !answer.mAccepted);
-    nodes.TakeAnswer(answer, 1);
+    nodes.HandleAnswer(answer, 1);
     CPPUNIT_ASSERT(nodes.LeaseFor("a", 1, later) == 1'750ms);
-    const auto whole = nodes.NextSummary("r", 1, 0, later);
+    const auto whole = nodes.BuildSummary("r", 1, 0, later);
     CPPUNIT_ASSERT(whole.mWhole && whole.mChanged.size() == 2);
-    nodes.TakeAnswer(restarted.Take(whole, leases, 1, later), 1);
+    nodes.HandleAnswer(restarted.HandleSummary(whole, leases, 1, later), 1);
     CPPUNIT_ASSERT(nodes.LeaseFor("a", 1, later) == 2'000ms);
-    nodes.Take(AgentAnnouncement("a"), later + 600ms);
-    const auto last = nodes.NextSummary("r", 1, 0, later + 600ms);
+    nodes.RecordAnnouncement(AgentAnnouncement("a"), later + 600ms);
+    const auto last = nodes.BuildSummary("r", 1, 0, later + 600ms);
     CPPUNIT_ASSERT(last.mDetached == std::vector<std::string>{"b"} && last.mChanged.empty());
-    CPPUNIT_ASSERT(restarted.Take(last, leases, 1, later + 600ms).mAccepted);
+    CPPUNIT_ASSERT(restarted.HandleSummary(last, leases, 1, later + 600ms).mAccepted);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leases.Expire(later + 2'500ms).size());
   }
 
@@ -207,7 +210,7 @@
     CPPUNIT_ASSERT(core.OnViewUpdate(update(5, 5)).mViewRevision > 0);
   }
 
-  static void Disturb(MembershipCluster& aCluster, Random& aRandom)
+  static void InjectFault(MembershipCluster& aCluster, Random& aRandom)
   {
     const std::string name = Numbered("n", aRandom.Below(6));
     MembershipCluster::Node& node = aCluster.NodeOf(name);
@@ -234,7 +237,8 @@
         node.mAnnouncement.mWeight = static_cast<std::uint32_t>(aRandom.Below(1'500));
         break;
       default:
-        // Another restart while a replica is cut off could remove the only memory of a view.
+        // Reconnects first: another restart while a replica is cut off could lose the only copy of
+        // a view.
         aCluster.Isolate(std::nullopt);
         aCluster.LoseMessages(0);
         aCluster.Run(2s);
@@ -255,7 +259,7 @@
       MembershipCluster cluster(seed);
       Populate(cluster);
       for (int step = 0; step < 60; ++step) {
-        Disturb(cluster, random);
+        InjectFault(cluster, random);
         cluster.Run(Milliseconds(20 * random.Below(60)));
       }
       losses += cluster.Losses();
--- a/unittests/Control/ProposalTrackerTest.cpp
+++ b/unittests/Control/ProposalTrackerTest.cpp
@@ -11,10 +11,11 @@
 {
   CPPUNIT_TEST_SUITE(ProposalTrackerTest);
   CPPUNIT_TEST(OutcomeFollowsTheAppliedEntry);
-  CPPUNIT_TEST(LostSightIsUnknown);
+  CPPUNIT_TEST(UnseenEntriesHaveUnknownOutcomes);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against a certain answer for a proposal that another entry replaced, or the reverse.
+  // Guards against a proposal that is reported as applied although another entry replaced it, or
+  // the reverse.
   void OutcomeFollowsTheAppliedEntry()
   {
     ProposalTracker tracker;
@@ -24,11 +25,11 @@
     const std::vector<ProposalResult> expected{{{5, 1}, ProposalOutcome::NotApplied},
                                                {{5, 2}, ProposalOutcome::Applied}};
     CPPUNIT_ASSERT(tracker.OnApplied({5, 2, EntryKind::Command, {}}) == expected);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(0), tracker.Open());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(0), tracker.OpenCount());
   }
 
-  // Guards against a certain answer when the entry at the index was never seen.
-  void LostSightIsUnknown()
+  // Guards against a definite outcome when the entry at the index was never seen.
+  void UnseenEntriesHaveUnknownOutcomes()
   {
     ProposalTracker tracker;
     for (const LogIndex index : {5, 6, 7, 8}) {
@@ -39,8 +40,8 @@
                                               {{7, 1}, ProposalOutcome::Unknown}};
     CPPUNIT_ASSERT(tracker.OnSnapshotInstalled(7) == covered);
     const std::vector<ProposalResult> left{{{8, 1}, ProposalOutcome::Unknown}};
-    CPPUNIT_ASSERT(tracker.Abandon() == left);
-    CPPUNIT_ASSERT(tracker.Abandon().empty());
+    CPPUNIT_ASSERT(tracker.AbandonAll() == left);
+    CPPUNIT_ASSERT(tracker.AbandonAll().empty());
   }
 };
 
