--- a/include/dandelionslip/Daemon/AgentDaemon.h
+++ b/include/dandelionslip/Daemon/AgentDaemon.h
@@ -1,4 +1,4 @@
-// The agent as a process: its upstream, other agents, balancers and control.
+// The agent as a process.
 #pragma once
 
 #include "dandelionslip/Config/AgentSettings.h"
--- a/include/dandelionslip/Daemon/BalancerDaemon.h
+++ b/include/dandelionslip/Daemon/BalancerDaemon.h
@@ -1,4 +1,4 @@
-// The balancer as a process: callers' sockets, agents and control.
+// The balancer as a process.
 #pragma once
 
 #include "dandelionslip/Config/BalancerSettings.h"
--- a/include/dandelionslip/Daemon/CommandLine.h
+++ b/include/dandelionslip/Daemon/CommandLine.h
@@ -15,8 +15,8 @@
 /// Exit code for a wrong command line or settings.
 inline constexpr int kUsageExit = 2;
 
-/// Parses a command line by its usage text. Gives the exit code instead when the program is to end:
-/// 0 after --help or --version, kUsageExit after printing what is wrong.
+/// Parses a command line by its usage text. Returns an exit code instead if the program must end: 0
+/// after --help or --version, kUsageExit after printing what is wrong.
 std::variant<ProgramArguments, int> ParseCommandLine(const char* aUsage, const std::string& aName,
                                                      int aArgc, char** aArgv);
 
--- a/include/dandelionslip/Daemon/ControlCalls.h
+++ b/include/dandelionslip/Daemon/ControlCalls.h
@@ -1,4 +1,4 @@
-// What an adapter for operators' calls may ask of a control replica.
+// Interface between a control replica and its adapter, which serves operators' requests.
 #pragma once
 
 #include "dandelionslip/Model/Command.h"
@@ -13,24 +13,24 @@
 
 namespace dandelionslip {
 
-/// Calls of an adapter on the replica that it runs in. Thread-safe.
+/// The functions of a replica that its adapter calls. Thread-safe.
 class ControlCalls
 {
 public:
   virtual ~ControlCalls() = default;
 
-  /// Has the command decided here or by the leader, repeating it under the same publication id
-  /// while that is safe and time is left. The callback runs once.
+  /// Proposes the command here or at the leader, and repeats it under the same publication id until
+  /// it is decided or the time is over. The callback runs once.
   virtual void Submit(Command aCommand, std::function<void(const CommandAnswer&)> aCallback) = 0;
 
-  /// The published text of the newest route table. Unavailable when this replica has not confirmed
-  /// that it is the newest; NotFound before the first publication.
+  /// The published text of the newest route table. Errors: Unavailable when no quorum has confirmed
+  /// recently that this replica's state is the newest; NotFound before the first publication.
   virtual Result<std::string> ConfirmedRouteDocument() = 0;
 
   virtual boost::asio::io_context& Loop() = 0;
 };
 
-/// An adapter lives as long as the replica that it serves.
+/// An adapter; it lives as long as its replica.
 class ControlAdapter
 {
 public:
--- a/include/dandelionslip/Daemon/ControlDaemon.h
+++ b/include/dandelionslip/Daemon/ControlDaemon.h
@@ -1,4 +1,4 @@
-// The control replica as a process: log on disk, peers, nodes and operators.
+// The control replica as a process, with its log on disk.
 #pragma once
 
 #include "dandelionslip/Config/ControlSettings.h"
@@ -7,7 +7,7 @@
 
 namespace dandelionslip {
 
-/// How the process starts.
+/// Options of a control replica's start.
 struct ControlStart
 {
   /// Writes the first membership from the settings to an empty data folder. Only for a new group:
--- a/include/dandelionslip/Daemon/OperatorClient.h
+++ b/include/dandelionslip/Daemon/OperatorClient.h
@@ -19,15 +19,16 @@
   explicit OperatorClient(std::vector<std::string> aEndpoints);
   ~OperatorClient();
 
-  /// Sends a command to the replicas in turn until one decides it or aTimeout has passed. All
-  /// sendings carry the same publication id, so the command is applied at most once. The outcome
-  /// is NotApplied only if no replica can have appended the command.
+  /// Sends a command to the replicas in turn until one decides it or aTimeout has passed. The
+  /// publication id stays the same, so the command is applied at most once. The outcome is
+  /// NotApplied only if no replica can have appended the command.
   CommandAnswer Send(const Command& aCommand, Milliseconds aTimeout);
 
-  /// Proposes a change of the replicas. Repeated only while no leader took it.
+  /// Proposes a change of the Raft group's membership to the replicas in turn until one decides it
+  /// or aTimeout has passed.
   CommandAnswer Send(const RaftMembershipChange& aChange, Milliseconds aTimeout);
 
-  /// The status of each replica that answers, keyed by its endpoint.
+  /// The status of each replica, or the error if it does not answer, keyed by endpoint.
   Json Status(Milliseconds aTimeout);
 
   /// The newest confirmed configuration. Unavailable when no replica confirms one.
--- a/include/dandelionslip/Daemon/PacketDaemons.h
+++ b/include/dandelionslip/Daemon/PacketDaemons.h
@@ -1,4 +1,4 @@
-// Balancer and agent of the packet plane as processes.
+// The packet balancer and the packet agent as processes.
 #pragma once
 
 #include "dandelionslip/Config/PacketSettings.h"
--- a/include/dandelionslip/Daemon/PacketNodeCalls.h
+++ b/include/dandelionslip/Daemon/PacketNodeCalls.h
@@ -1,4 +1,5 @@
-// What an adapter for calls of the platform and the upstream may ask of a packet node.
+// Interface between a packet node and its adapter, which serves the platform's and the upstream's
+// requests.
 #pragma once
 
 #include "dandelionslip/Net/HttpMessage.h"
@@ -14,7 +15,7 @@
 
 namespace dandelionslip {
 
-/// Calls of an adapter on the node that it runs in; on the loop's thread.
+/// The functions of a node that its adapter calls, on the thread of the event loop.
 class PacketNodeCalls
 {
 public:
@@ -26,15 +27,15 @@
   virtual boost::asio::io_context& Loop() = 0;
 };
 
-/// Calls that only an agent answers.
+/// The functions that only an agent has.
 class PacketAgentCalls : public PacketNodeCalls
 {
 public:
-  virtual HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport) = 0;
+  virtual HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aHeartbeat) = 0;
   virtual void OnUpstreamLeft(const std::string& aId) = 0;
 };
 
-/// An adapter lives as long as the node that it serves.
+/// An adapter; it lives as long as its node.
 class PacketNodeAdapter
 {
 public:
--- a/include/dandelionslip/Daemon/ProgramMain.h
+++ b/include/dandelionslip/Daemon/ProgramMain.h
@@ -1,4 +1,4 @@
-// Command line shared by the three daemons.
+// The main function that the daemons share.
 #pragma once
 
 #include "dandelionslip/Config/LoadSettings.h"
--- a/include/dandelionslip/Daemon/WorkerPool.h
+++ b/include/dandelionslip/Daemon/WorkerPool.h
@@ -13,7 +13,7 @@
 
 namespace dandelionslip {
 
-/// Runs an event loop on several threads and reacts to SIGTERM and SIGINT.
+/// Runs an event loop on several threads and handles SIGTERM, SIGINT and SIGHUP.
 class WorkerPool
 {
 public:
@@ -22,13 +22,15 @@
 
   boost::asio::io_context& Loop();
 
-  /// Sets what a stop signal starts; it must end with Exit.
+  /// Sets the function that SIGTERM and SIGINT call; it must lead to a call of Exit. Without it the
+  /// loop stops at once.
   void OnStop(std::function<void()> aFunction);
 
-  /// Sets what SIGHUP does: the settings may have changed. Without it the signal is only logged.
+  /// Sets the function that SIGHUP calls, after which the settings may have changed. Without it the
+  /// signal is only logged.
   void OnReload(std::function<void()> aFunction);
 
-  /// Ends Run with an exit code.
+  /// Makes Run return with an exit code.
   void Exit(int aCode);
 
   /// Blocks until Exit and returns its code.
--- a/lib/Daemon/CommandLine.cpp
+++ b/lib/Daemon/CommandLine.cpp
@@ -1,4 +1,4 @@
-// docopt with exit codes in place of exceptions.
+// Command-line parsing with docopt; returns exit codes instead of docopt's exceptions.
 #include "dandelionslip/Daemon/CommandLine.h"
 
 #include <iostream>
--- a/lib/Daemon/UpstreamPorts.cpp
+++ b/lib/Daemon/UpstreamPorts.cpp
@@ -1,4 +1,4 @@
-// Local ports towards the upstream.
+// Local UDP ports towards the upstream.
 #include "UpstreamPorts.h"
 
 #include "dandelionslip/Support/Log.h"
--- a/lib/Daemon/UpstreamPorts.h
+++ b/lib/Daemon/UpstreamPorts.h
@@ -11,7 +11,7 @@
 
 namespace dandelionslip {
 
-/// Opens, uses and closes the ports. Thread-safe.
+/// Opens and closes the ports, and exchanges datagrams with the upstream. Thread-safe.
 class UpstreamPorts
 {
 public:
--- a/lib/Daemon/WorkerPool.cpp
+++ b/lib/Daemon/WorkerPool.cpp
@@ -1,4 +1,4 @@
-// Worker threads over one Asio loop.
+// Worker threads that run one Asio event loop.
 #include "dandelionslip/Daemon/WorkerPool.h"
 
 #include "dandelionslip/Support/Log.h"
@@ -22,14 +22,14 @@
     : mThreads(aThreads)
     , mLoop(static_cast<int>(aThreads))
     , mGuard(asio::make_work_guard(mLoop))
-    , mSignals(mLoop, SIGTERM, SIGINT)
-    , mReloads(mLoop, SIGHUP)
+    , mStopSignals(mLoop, SIGTERM, SIGINT)
+    , mReloadSignals(mLoop, SIGHUP)
   {
   }
 
-  void WaitForSignal()
+  void WaitForStopSignal()
   {
-    mSignals.async_wait([this](const boost::system::error_code& aError, int aSignal) {
+    mStopSignals.async_wait([this](const boost::system::error_code& aError, int aSignal) {
       if (aError) {
         return;
       }
@@ -42,9 +42,9 @@
     });
   }
 
-  void WaitForReload()
+  void WaitForReloadSignal()
   {
-    mReloads.async_wait([this](const boost::system::error_code& aError, int aSignal) {
+    mReloadSignals.async_wait([this](const boost::system::error_code& aError, int aSignal) {
       if (aError) {
         return;
       }
@@ -52,15 +52,15 @@
       if (mOnReload) {
         mOnReload();
       }
-      WaitForReload();
+      WaitForReloadSignal();
     });
   }
 
   std::size_t mThreads;
   asio::io_context mLoop;
   asio::executor_work_guard<asio::io_context::executor_type> mGuard;
-  asio::signal_set mSignals;
-  asio::signal_set mReloads;
+  asio::signal_set mStopSignals;
+  asio::signal_set mReloadSignals;
   std::function<void()> mOnReload;
   std::function<void()> mOnStop;
   std::atomic<int> mExitCode{0};
@@ -96,8 +96,8 @@
 
 int WorkerPool::Run()
 {
-  mState->WaitForSignal();
-  mState->WaitForReload();
+  mState->WaitForStopSignal();
+  mState->WaitForReloadSignal();
   std::vector<std::thread> threads;
   for (std::size_t i = 1; i < mState->mThreads; ++i) {
     threads.emplace_back([this] { mState->mLoop.run(); });
