--- a/lib/Daemon/AgentDaemon.cpp
+++ b/lib/Daemon/AgentDaemon.cpp
@@ -2,7 +2,7 @@
 #include "dandelionslip/Daemon/AgentDaemon.h"
 
 #include "ControlLink.h"
-#include "HttpReply.h"
+#include "HttpResponses.h"
 #include "RequestHeaders.h"
 #include "UpstreamPorts.h"
 
@@ -74,8 +74,8 @@
   explicit AgentDaemon(const AgentSettings& aSettings)
     : mSettings(aSettings)
     , mPool(aSettings.mWorkers)
-    , mPeers(mPool.Loop())
-    , mLink(mPool.Loop(), mPeers, aSettings, mRegistry,
+    , mClients(mPool.Loop())
+    , mLink(mPool.Loop(), mClients, aSettings, mRegistry,
             {[this] { return Announce(); },
              [this](const auto& aAnswer, const auto& aState, TimePoint aSentAt) {
                OnAnswer(aAnswer, aState, aSentAt);
@@ -433,7 +433,7 @@
         endpoint = member->mRequestEndpoint;
       }
     }
-    const auto client = mPeers.For(endpoint);
+    const auto client = mClients.ClientFor(endpoint);
     if (!client) {
       return;
     }
@@ -624,7 +624,7 @@
     request.mHeaders = {{kHeaderRequestId, aAction.mId.ToString()},
                         {kHeaderDeadline, std::to_string(aAction.mRemaining.count())}};
     request.mBody = std::move(aAction.mBody);
-    const auto client = mPeers.For(mSettings.mUpstreamRequestEndpoint);
+    const auto client = mClients.ClientFor(mSettings.mUpstreamRequestEndpoint);
     const auto timeout = std::max(aAction.mRemaining, Milliseconds(1));
     const RunId run = aAction.mRun;
     // Send only posts; holding the mutex keeps its callback from running before the id is stored.
@@ -662,7 +662,7 @@
       }
     }
     const RunId run = aAction.mRun;
-    const auto client = mPeers.For(endpoint);
+    const auto client = mClients.ClientFor(endpoint);
     if (!client) {
       WithHome(
         [run](AgentRequestCore& aCore) { return aCore.OnAlternateLinkFailed(run, false, Now()); });
@@ -740,8 +740,8 @@
         endpoint = member->mRequestEndpoint;
       }
     }
-    mPeers.Post(endpoint, "/v1/record", EncodeCbor(aAction.mRecord), kPeerTimeout,
-                [](const auto&) {});
+    mClients.Post(endpoint, "/v1/record", EncodeCbor(aAction.mRecord), kPeerTimeout,
+                  [](const auto&) {});
   }
 
   // --- Upstream health ---
@@ -754,7 +754,7 @@
     HttpRequest request;
     request.mMethod = "GET";
     request.mPath = mSettings.mUpstreamHealthPath;
-    mPeers.For(mSettings.mUpstreamRequestEndpoint)
+    mClients.ClientFor(mSettings.mUpstreamRequestEndpoint)
       ->Send(std::move(request), kHealthInterval, [this](const auto& aResult) {
         const bool healthy = aResult && aResult.value().mStatus == kStatusOk;
         const std::lock_guard lock(mMutex);
@@ -848,7 +848,7 @@
   MetricsRegistry mRegistry;
   Counter& mForwards = mRegistry.CounterFor("dandelionslip_agent_forwards_total");
   WorkerPool mPool;
-  PeerClients mPeers;
+  Http2ClientPool mClients;
   ControlLink mLink;
   Endpoint mSelf;
   UpstreamPorts mPorts;
--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -2,7 +2,7 @@
 #include "dandelionslip/Daemon/BalancerDaemon.h"
 
 #include "ControlLink.h"
-#include "HttpReply.h"
+#include "HttpResponses.h"
 #include "RequestHeaders.h"
 
 #include "dandelionslip/Daemon/WorkerPool.h"
@@ -94,8 +94,8 @@
   explicit BalancerDaemon(const BalancerSettings& aSettings)
     : mSettings(aSettings)
     , mPool(aSettings.mWorkers)
-    , mPeers(mPool.Loop())
-    , mLink(mPool.Loop(), mPeers, aSettings, mRegistry,
+    , mClients(mPool.Loop())
+    , mLink(mPool.Loop(), mClients, aSettings, mRegistry,
             {[this] { return Announce(); },
              [this](const auto& aAnswer, const auto& aState, TimePoint aSentAt) {
                OnAnswer(aAnswer, aState, aSentAt);
@@ -353,7 +353,7 @@
 
   void FetchFromPeer(const std::string& aEndpoint)
   {
-    mPeers.Post(aEndpoint, "/v1/state", {}, kPeerTimeout, [this, aEndpoint](auto aResult) {
+    mClients.Post(aEndpoint, "/v1/state", {}, kPeerTimeout, [this, aEndpoint](auto aResult) {
       const auto answer = aResult ? FromCbor<AnnouncementAnswer>(aResult.value(), aEndpoint)
                                   : Result<AnnouncementAnswer>(aResult.as_failure());
       if (!answer) {
@@ -468,7 +468,7 @@
       {kHeaderClass, ToJson(aAction.mClass).get<std::string>()},
     };
     request.mBody = std::move(aAction.mBody);
-    const auto client = mPeers.For(aAction.mAgent);
+    const auto client = mClients.ClientFor(aAction.mAgent);
     const AttemptKey key = aAction.mKey;
     const auto timeout = std::max(aAction.mRemaining, Milliseconds(1));
     // Send only posts; holding the mutex keeps its callback from running before the id is stored.
@@ -508,7 +508,7 @@
       }
     }
     if (id) {
-      mPeers.For(aAction.mAgent)->Cancel(*id);
+      mClients.ClientFor(aAction.mAgent)->Cancel(*id);
     }
   }
 
@@ -591,7 +591,7 @@
   MetricsRegistry mRegistry;
   Counter& mForwarded = mRegistry.CounterFor("dandelionslip_balancer_forwarded_total");
   WorkerPool mPool;
-  PeerClients mPeers;
+  Http2ClientPool mClients;
   ControlLink mLink;
   Endpoint mSelf;
   // Lock order: routing, listeners, relay.
--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -1,7 +1,7 @@
 // Connects the control cores to disk, peers, nodes and operators.
 #include "dandelionslip/Daemon/ControlDaemon.h"
 
-#include "HttpReply.h"
+#include "HttpResponses.h"
 #include "RaftRuntime.h"
 
 #include "dandelionslip/Control/JoinRequest.h"
@@ -145,8 +145,8 @@
   ControlDaemon(const ControlSettings& aSettings, std::unique_ptr<LogStore> aStore, Random aRandom)
     : mSettings(aSettings)
     , mPool(aSettings.mWorkers)
-    , mPeers(mPool.Loop())
-    , mRaft(mPool.Loop(), mPeers, *this, aSettings.mEndpoint, std::move(aStore),
+    , mClients(mPool.Loop())
+    , mRaft(mPool.Loop(), mClients, *this, aSettings.mEndpoint, std::move(aStore),
             RaftSettingsFrom(aSettings), aSettings.mSnapshotEntries, aRandom)
     , mMembership(mRaft.Self(), MembershipSettingsFrom(aSettings))
     , mKeeper(KeeperSettingsFrom(aSettings))
@@ -356,14 +356,14 @@
       Decide(aCall, {CommandOutcome::NotApplied, 0, "no leader is known"});
       return;
     }
-    mPeers.Post(leader, "/v1/command", aCall->mBody, kForwardTimeout,
-                [this, aCall, leader](const Result<Bytes>& aResult) {
-                  const auto answer = aResult ? FromCbor<CommandAnswer>(aResult.value(), leader)
-                                              : Result<CommandAnswer>(aResult.as_failure());
-                  Decide(aCall, answer ? answer.value()
-                                       : CommandAnswer{CommandOutcome::OutcomeUnknown, 0,
-                                                       answer.error().Message()});
-                });
+    mClients.Post(leader, "/v1/command", aCall->mBody, kForwardTimeout,
+                  [this, aCall, leader](const Result<Bytes>& aResult) {
+                    const auto answer = aResult ? FromCbor<CommandAnswer>(aResult.value(), leader)
+                                                : Result<CommandAnswer>(aResult.as_failure());
+                    Decide(aCall, answer ? answer.value()
+                                         : CommandAnswer{CommandOutcome::OutcomeUnknown, 0,
+                                                         answer.error().Message()});
+                  });
   }
 
   // Repeating is safe: the state machine applies a publication id once.
@@ -436,7 +436,7 @@
     }
     endpoints.erase(mSettings.mEndpoint);
     for (const std::string& endpoint : endpoints) {
-      mPeers.Post(endpoint, "/v1/join", ToCbor(request), kPeerTimeout, [](const auto&) {});
+      mClients.Post(endpoint, "/v1/join", ToCbor(request), kPeerTimeout, [](const auto&) {});
     }
   }
 
@@ -452,7 +452,7 @@
     } else if (const std::string leader = mRaft.LeaderAddress();
                !request->mForwarded && !leader.empty()) {
       request->mForwarded = true;
-      mPeers.Post(leader, "/v1/join", ToCbor(*request), kPeerTimeout, [](const auto&) {});
+      mClients.Post(leader, "/v1/join", ToCbor(*request), kPeerTimeout, [](const auto&) {});
     }
     aExchange->Respond({});
   }
@@ -475,7 +475,7 @@
                 void (MembershipCore::*aHandler)(const Answer&))
   {
     const std::string address = mRaft.AddressOf(aTo);
-    mPeers.Post(address, aPath, aBody, kPeerTimeout, [this, address, aHandler](auto aResult) {
+    mClients.Post(address, aPath, aBody, kPeerTimeout, [this, address, aHandler](auto aResult) {
       if (!aResult) {
         return;
       }
@@ -682,7 +682,7 @@
 
   ControlSettings mSettings;
   WorkerPool mPool;
-  PeerClients mPeers;
+  Http2ClientPool mClients;
   MetricsRegistry mRegistry;
   RaftRuntime mRaft;
   std::mutex mMutex; ///< Guards mMembership and mLastAnswer; taken after the Raft core's mutex.
--- a/lib/Daemon/ControlLink.cpp
+++ b/lib/Daemon/ControlLink.cpp
@@ -17,11 +17,11 @@
 
 } // namespace
 
-ControlLink::ControlLink(boost::asio::io_context& aLoop, PeerClients& aPeers,
+ControlLink::ControlLink(boost::asio::io_context& aLoop, Http2ClientPool& aClients,
                          const CommonSettings& aSettings, MetricsRegistry& aRegistry,
                          Handlers aHandlers)
   : mLoop(aLoop)
-  , mPeers(aPeers)
+  , mClients(aClients)
   , mSettings(aSettings)
   , mRegistry(aRegistry)
   , mHandlers(std::move(aHandlers))
@@ -88,8 +88,8 @@
 
 void ControlLink::FetchState(const std::function<void(const NodeState&)>& aDone)
 {
-  mPeers.Post(Current(), "/v1/state", {}, kAnswerTimeout,
-              [this, aDone](auto aResult) { OnState(aResult, aDone); });
+  mClients.Post(Current(), "/v1/state", {}, kAnswerTimeout,
+                [this, aDone](auto aResult) { OnState(aResult, aDone); });
 }
 
 void ControlLink::OnState(const Result<Bytes>& aResult,
@@ -139,13 +139,13 @@
   }
   const TimePoint sentAt = RuntimeClock::now();
   const std::string endpoint = Current();
-  mPeers.Post(endpoint, "/v1/announce", ToCbor(announcement), kAnswerTimeout,
-              [this, sentAt, endpoint, done = std::move(aDone)](auto aResult) {
-                const bool answered = OnAnswer(aResult, sentAt, endpoint);
-                if (done) {
-                  done(answered);
-                }
-              });
+  mClients.Post(endpoint, "/v1/announce", ToCbor(announcement), kAnswerTimeout,
+                [this, sentAt, endpoint, done = std::move(aDone)](auto aResult) {
+                  const bool answered = OnAnswer(aResult, sentAt, endpoint);
+                  if (done) {
+                    done(answered);
+                  }
+                });
 }
 
 bool ControlLink::OnAnswer(const Result<Bytes>& aResult, TimePoint aSentAt,
@@ -196,7 +196,7 @@
     endpoints = mEndpoints;
   }
   for (const auto& endpoint : endpoints) {
-    const TrafficCount& traffic = mPeers.For(endpoint)->Traffic();
+    const TrafficCount& traffic = mClients.ClientFor(endpoint)->Traffic();
     bytes += traffic.mRead + traffic.mWritten;
   }
   return bytes;
--- a/lib/Daemon/ControlLink.h
+++ b/lib/Daemon/ControlLink.h
@@ -1,7 +1,7 @@
 // A node's link to the control replicas: periodic announcements and state at start.
 #pragma once
 
-#include "PeerClients.h"
+#include "Http2ClientPool.h"
 
 #include "dandelionslip/Config/CommonSettings.h"
 #include "dandelionslip/Model/NodeState.h"
@@ -26,8 +26,8 @@
     std::function<void(const AnnouncementAnswer&, const NodeState&, TimePoint)> mAnswered;
   };
 
-  ControlLink(boost::asio::io_context& aLoop, PeerClients& aPeers, const CommonSettings& aSettings,
-              MetricsRegistry& aRegistry, Handlers aHandlers);
+  ControlLink(boost::asio::io_context& aLoop, Http2ClientPool& aClients,
+              const CommonSettings& aSettings, MetricsRegistry& aRegistry, Handlers aHandlers);
 
   /// Fetches the whole state from a replica that confirms it, repeating until one does.
   void FetchState(const std::function<void(const NodeState&)>& aDone);
@@ -60,7 +60,7 @@
   void OnState(const Result<Bytes>& aResult, const std::function<void(const NodeState&)>& aDone);
 
   boost::asio::io_context& mLoop;
-  PeerClients& mPeers;
+  Http2ClientPool& mClients;
   CommonSettings mSettings;
   MetricsRegistry& mRegistry;
   Handlers mHandlers;
--- a/lib/Daemon/PeerClients.cpp
+++ b/lib/Daemon/Http2ClientPool.cpp
@@ -1,24 +1,24 @@
-// HTTP/2 clients by endpoint.
-#include "PeerClients.h"
+// Creation of HTTP/2 clients, and POST requests with them.
+#include "Http2ClientPool.h"
 
 namespace dandelionslip {
 
-std::shared_ptr<Http2Client> PeerClients::For(const std::string& aEndpoint)
+std::shared_ptr<Http2Client> Http2ClientPool::ClientFor(const std::string& aEndpoint)
 {
   const std::lock_guard lock(mMutex);
-  auto& slot = mClients[aEndpoint];
-  if (!slot) {
+  auto& client = mClients[aEndpoint];
+  if (!client) {
     if (const auto endpoint = Endpoint::Parse(aEndpoint)) {
-      slot = std::make_shared<Http2Client>(mLoop, endpoint.value());
+      client = std::make_shared<Http2Client>(mLoop, endpoint.value());
     }
   }
-  return slot;
+  return client;
 }
 
-void PeerClients::Post(const std::string& aEndpoint, const std::string& aPath, Bytes aBody,
-                       Milliseconds aTimeout, std::function<void(Result<Bytes>)> aCallback)
+void Http2ClientPool::Post(const std::string& aEndpoint, const std::string& aPath, Bytes aBody,
+                           Milliseconds aTimeout, std::function<void(Result<Bytes>)> aCallback)
 {
-  const auto client = For(aEndpoint);
+  const auto client = ClientFor(aEndpoint);
   if (!client) {
     aCallback(Fail(ErrorCode::InvalidInput, "post " + aPath, aEndpoint, "not an endpoint"));
     return;
--- a/lib/Daemon/PeerClients.h
+++ b/lib/Daemon/Http2ClientPool.h
@@ -10,19 +10,20 @@
 
 namespace dandelionslip {
 
-/// Keeps one client for each peer. Thread-safe.
-class PeerClients
+/// Keeps one client for each endpoint. Thread-safe.
+class Http2ClientPool
 {
 public:
-  explicit PeerClients(boost::asio::io_context& aLoop)
+  explicit Http2ClientPool(boost::asio::io_context& aLoop)
     : mLoop(aLoop)
   {
   }
 
   /// The client of an "address:port" endpoint, or null when the text is not an endpoint.
-  std::shared_ptr<Http2Client> For(const std::string& aEndpoint);
+  std::shared_ptr<Http2Client> ClientFor(const std::string& aEndpoint);
 
-  /// Sends a CBOR body with POST; the callback gets the response body of status 200.
+  /// Sends a CBOR body with POST. The callback gets the response body, or an error if the status is
+  /// not 200.
   void Post(const std::string& aEndpoint, const std::string& aPath, Bytes aBody,
             Milliseconds aTimeout, std::function<void(Result<Bytes>)> aCallback);
 
--- a/lib/Daemon/HttpReply.h
+++ b/lib/Daemon/HttpResponses.h
@@ -1,4 +1,4 @@
-// Answers of the daemons' HTTP/2 endpoints.
+// HTTP/2 responses of the daemons.
 #pragma once
 
 #include "dandelionslip/Net/Http2Server.h"
@@ -11,7 +11,7 @@
 inline constexpr int kStatusNotFound = 404;
 inline constexpr int kStatusUnavailable = 503;
 
-/// Answers with a CBOR body.
+/// Responds with a CBOR body.
 template <typename T>
 void RespondCbor(HttpExchange& aExchange, const T& aValue)
 {
@@ -20,7 +20,7 @@
   aExchange.Respond(std::move(response));
 }
 
-/// Answers with a status and the error as text.
+/// Responds with an error status and a text that says what is wrong.
 inline void RespondError(HttpExchange& aExchange, int aStatus, const std::string& aText)
 {
   HttpResponse response;
--- a/lib/Daemon/OperatorClient.cpp
+++ b/lib/Daemon/OperatorClient.cpp
@@ -1,7 +1,7 @@
 // Blocking requests to the control replicas.
 #include "dandelionslip/Daemon/OperatorClient.h"
 
-#include "PeerClients.h"
+#include "Http2ClientPool.h"
 
 #include "dandelionslip/Model/Announcement.h"
 #include "dandelionslip/Net/Timer.h"
@@ -21,7 +21,7 @@
 struct OperatorClient::State
 {
   boost::asio::io_context mLoop;
-  PeerClients mPeers{mLoop};
+  Http2ClientPool mClients{mLoop};
 };
 
 OperatorClient::OperatorClient(std::vector<std::string> aEndpoints)
@@ -36,8 +36,8 @@
                                    Bytes aBody, Milliseconds aTimeout)
 {
   std::optional<Result<Bytes>> result;
-  mState->mPeers.Post(aEndpoint, aPath, std::move(aBody), aTimeout,
-                      [&](Result<Bytes> aResult) { result.emplace(std::move(aResult)); });
+  mState->mClients.Post(aEndpoint, aPath, std::move(aBody), aTimeout,
+                        [&](Result<Bytes> aResult) { result.emplace(std::move(aResult)); });
   mState->mLoop.restart();
   while (!result && mState->mLoop.run_one() > 0) {
   }
--- a/lib/Daemon/PacketNode.cpp
+++ b/lib/Daemon/PacketNode.cpp
@@ -28,10 +28,10 @@
   : mSettings(aSettings)
   , mHandlers(std::move(aHandlers))
   , mPool(1)
-  , mPeers(mPool.Loop())
+  , mClients(mPool.Loop())
   , mIncarnation(static_cast<std::uint64_t>(WallClockMs()))
   , mSeeds(aSettings.mControlEndpoints)
-  , mLink(mPool.Loop(), mPeers, aSettings, mRegistry,
+  , mLink(mPool.Loop(), mClients, aSettings, mRegistry,
           {[this] { return Describe(); }, [this](const auto& aAnswer, const auto& aState,
                                                  TimePoint) { OnAnswer(aAnswer, aState); }})
 {
--- a/lib/Daemon/PacketNode.h
+++ b/lib/Daemon/PacketNode.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "ControlLink.h"
-#include "PeerClients.h"
+#include "Http2ClientPool.h"
 
 #include "dandelionslip/Config/PacketSettings.h"
 #include "dandelionslip/Daemon/WorkerPool.h"
@@ -56,7 +56,7 @@
   PacketNodeSettings mSettings;
   Handlers mHandlers;
   WorkerPool mPool;
-  PeerClients mPeers;
+  Http2ClientPool mClients;
   MetricsRegistry mRegistry;
   std::unique_ptr<MetricsEndpoint> mMetrics;
   std::uint64_t mIncarnation;
--- a/lib/Daemon/RaftRuntime.cpp
+++ b/lib/Daemon/RaftRuntime.cpp
@@ -13,11 +13,11 @@
 
 } // namespace
 
-RaftRuntime::RaftRuntime(boost::asio::io_context& aLoop, PeerClients& aPeers,
+RaftRuntime::RaftRuntime(boost::asio::io_context& aLoop, Http2ClientPool& aClients,
                          RaftListener& aListener, std::string aEndpoint,
                          std::unique_ptr<LogStore> aStore, RaftSettings aSettings,
                          std::uint32_t aSnapshotEntries, Random aRandom)
-  : mPeers(aPeers)
+  : mClients(aClients)
   , mListener(aListener)
   , mEndpoint(std::move(aEndpoint))
   , mStore(std::move(aStore))
@@ -268,7 +268,8 @@
   }
   RaftMessage message = aMessage;
   message.mFromAddress = mEndpoint;
-  mPeers.Post(address, "/v1/raft", EncodeRaftMessage(message), kMessageTimeout, [](const auto&) {});
+  mClients.Post(address, "/v1/raft", EncodeRaftMessage(message), kMessageTimeout,
+                [](const auto&) {});
 }
 
 void RaftRuntime::Resolve(const std::vector<ProposalResult>& aResults)
--- a/lib/Daemon/RaftRuntime.h
+++ b/lib/Daemon/RaftRuntime.h
@@ -1,7 +1,7 @@
 // Runs a RaftCore: disk, messages to peers and the state machine.
 #pragma once
 
-#include "PeerClients.h"
+#include "Http2ClientPool.h"
 
 #include "dandelionslip/Control/LogStore.h"
 #include "dandelionslip/Control/ProposalTracker.h"
@@ -41,7 +41,7 @@
   using ProposalCallback = std::function<void(Result<ProposalOutcome>)>;
 
   /// aEndpoint is the address and port at which peers reach this replica.
-  RaftRuntime(boost::asio::io_context& aLoop, PeerClients& aPeers, RaftListener& aListener,
+  RaftRuntime(boost::asio::io_context& aLoop, Http2ClientPool& aClients, RaftListener& aListener,
               std::string aEndpoint, std::unique_ptr<LogStore> aStore, RaftSettings aSettings,
               std::uint32_t aSnapshotEntries, Random aRandom);
 
@@ -87,7 +87,7 @@
   void MaybeSnapshot();
   void Track(const Result<EntryId>& aEntry, const ProposalCallback& aCallback);
 
-  PeerClients& mPeers;
+  Http2ClientPool& mClients;
   RaftListener& mListener;
   std::string mEndpoint;
   std::unique_ptr<LogStore> mStore;
