--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -1,4 +1,4 @@
-// Connects the control cores to disk, peers, nodes and operators.
+// Connects the cores of a control replica to its disk, its peers, nodes and operators.
 #include "dandelionslip/Daemon/ControlDaemon.h"
 
 #include "HttpResponses.h"
@@ -26,24 +26,27 @@
 
 constexpr Milliseconds kTick{20};
 constexpr Milliseconds kPeerTimeout{1'000};
-// An operator's command without a quorum is answered outcome_unknown after this time.
+// An operator's command that no quorum has committed is answered with outcome_unknown after this
+// time.
 constexpr Milliseconds kCommandTimeout{5'000};
-// An adapter's command is decided or given up within this time: callers try another replica after
-// one second.
+// An adapter's command is decided or given up within this time, because the adapter's clients try
+// another replica after one second.
 constexpr Milliseconds kSubmitTimeout{900};
-constexpr Milliseconds kSubmitPause{40};       // Between two tries while no leader is known.
-constexpr Milliseconds kForwardTimeout{500};   // For the leader's answer to a forwarded command.
-constexpr Milliseconds kJoinInterval{200};     // Of a replica that has no vote yet.
-constexpr Milliseconds kPresenceInterval{800}; // Of a voter; below the lifetime of a join request.
-constexpr Milliseconds kKeeperInterval{100};
+constexpr Milliseconds kResubmitDelay{40};   // Before an undecided command is submitted again.
+constexpr Milliseconds kForwardTimeout{500}; // For the leader's answer to a forwarded command.
+// Interval of the join requests of a replica that has no vote yet.
+constexpr Milliseconds kNonVoterJoinInterval{200};
+// Interval of the join requests of a voter; below ReplicaRepairSettings::mJoinLifetime.
+constexpr Milliseconds kVoterJoinInterval{800};
+constexpr Milliseconds kReplicaCheckInterval{100};
 constexpr int kFatalExit = 3;
 
-// The identity of a founding replica follows from its node name, so that all founders write the
-// same first membership without talking to each other.
-ReplicaId FoundingIdentity(const std::string& aNode)
+// Computes the identity of an initial replica from its node name or endpoint, so that all initial
+// replicas write the same first membership without communication.
+ReplicaId InitialReplicaId(const std::string& aNameOrEndpoint)
 {
-  const std::uint64_t high = Hash64(aNode, 1);
-  const std::uint64_t low = Hash64(aNode, 2);
+  const std::uint64_t high = Hash64(aNameOrEndpoint, 1);
+  const std::uint64_t low = Hash64(aNameOrEndpoint, 2);
   std::array<char, 37> text{};
   std::snprintf(text.data(), text.size(), "%08x-%04x-8%03x-8%03x-%012llx",
                 static_cast<unsigned>(high >> 32U), static_cast<unsigned>((high >> 16U) & 0xffffU),
@@ -52,18 +55,18 @@
   return text.data();
 }
 
-RaftMembership FoundingMembership(const ControlSettings& aSettings)
+RaftMembership InitialMembership(const ControlSettings& aSettings)
 {
   RaftMembership membership;
-  for (const auto& founder : aSettings.mInitialReplicas) {
-    membership.mReplicas[FoundingIdentity(founder)] = {founder, true, 0};
+  for (const auto& endpoint : aSettings.mInitialReplicas) {
+    membership.mReplicas[InitialReplicaId(endpoint)] = {endpoint, true, 0};
   }
   if (!aSettings.mInitialReplicas.empty()) {
     return membership;
   }
-  membership.mReplicas[FoundingIdentity(aSettings.mNode)] = {aSettings.mEndpoint, true, 0};
+  membership.mReplicas[InitialReplicaId(aSettings.mNode)] = {aSettings.mEndpoint, true, 0};
   for (const auto& peer : aSettings.mPeers) {
-    membership.mReplicas[FoundingIdentity(peer.mName)] = {peer.mEndpoint, true, 0};
+    membership.mReplicas[InitialReplicaId(peer.mName)] = {peer.mEndpoint, true, 0};
   }
   return membership;
 }
@@ -78,16 +81,17 @@
   return settings;
 }
 
-// Founders listed by endpoint are identified by it, since their names are not known to each other.
-bool FoundsGroup(const ControlSettings& aSettings, const ControlStart& aStart)
+// Whether this replica writes the group's first membership. Initial replicas that the settings list
+// by endpoint are identified by the endpoint, because they do not know each other's names.
+bool BootstrapsGroup(const ControlSettings& aSettings, const ControlStart& aStart)
 {
-  const auto& founders = aSettings.mInitialReplicas;
+  const auto& initialReplicas = aSettings.mInitialReplicas;
   return aStart.mBootstrap &&
-         (founders.empty() ||
-          std::find(founders.begin(), founders.end(), aSettings.mEndpoint) != founders.end());
+         (initialReplicas.empty() || std::find(initialReplicas.begin(), initialReplicas.end(),
+                                               aSettings.mEndpoint) != initialReplicas.end());
 }
 
-ReplicaRepairSettings KeeperSettingsFrom(const ControlSettings& aSettings)
+ReplicaRepairSettings RepairSettingsFrom(const ControlSettings& aSettings)
 {
   ReplicaRepairSettings settings;
   settings.mTargetVoters = aSettings.mTargetVoters;
@@ -108,18 +112,18 @@
 {
   LogStoreSettings storeSettings;
   storeSettings.mDirectory = aSettings.mDataFolder;
-  const bool founds = FoundsGroup(aSettings, aStart);
-  if (founds) {
+  const bool bootstraps = BootstrapsGroup(aSettings, aStart);
+  if (bootstraps) {
     storeSettings.mReplica =
-      FoundingIdentity(aSettings.mInitialReplicas.empty() ? aSettings.mNode : aSettings.mEndpoint);
+      InitialReplicaId(aSettings.mInitialReplicas.empty() ? aSettings.mNode : aSettings.mEndpoint);
   }
   auto store = LogStore::Open(aFiles, storeSettings, aRandom);
   if (!store) {
     return store;
   }
-  if (!founds) {
-    const bool blank = store.value()->LastIndex() == 0;
-    if (blank && !aSettings.mJoin) {
+  if (!bootstraps) {
+    const bool emptyLog = store.value()->LastIndex() == 0;
+    if (emptyLog && !aSettings.mJoin) {
       return Fail(
         ErrorCode::InvalidInput, "control.start", aSettings.mDataFolder,
         "the data folder is empty: found a new group with --bootstrap, or set \"join\" for "
@@ -127,12 +131,12 @@
     }
     return store;
   }
-  // A founder that restarts before its settings say that the group exists keeps its log.
+  // An initial replica keeps its log when it restarts while its settings still say to bootstrap.
   if (!aSettings.mInitialReplicas.empty() && store.value()->LastIndex() != 0) {
     return store;
   }
-  if (const auto done = store.value()->Bootstrap(FoundingMembership(aSettings)); !done) {
-    return done.as_failure();
+  if (const auto written = store.value()->Bootstrap(InitialMembership(aSettings)); !written) {
+    return written.as_failure();
   }
   return store;
 }
@@ -149,7 +153,7 @@
     , mRaft(mPool.Loop(), mClients, *this, aSettings.mEndpoint, std::move(aStore),
             RaftSettingsFrom(aSettings), aSettings.mSnapshotEntries, aRandom)
     , mMembership(mRaft.Self(), MembershipSettingsFrom(aSettings))
-    , mKeeper(KeeperSettingsFrom(aSettings))
+    , mRepairPlanner(RepairSettingsFrom(aSettings))
   {
   }
 
@@ -177,8 +181,8 @@
     }
     mTimer = std::make_unique<RepeatingTimer>(mPool.Loop(), kTick, [this] { OnTick(); });
     if (mSettings.mTargetVoters > 0) {
-      mKeeperTimer =
-        std::make_unique<RepeatingTimer>(mPool.Loop(), kKeeperInterval, [this] { KeepReplicas(); });
+      mReplicaTimer = std::make_unique<RepeatingTimer>(mPool.Loop(), kReplicaCheckInterval,
+                                                       [this] { MaintainReplicas(); });
     }
     mPool.OnStop([this] { Stop(); });
     LogEvent(LogLevel::Info, "started")
@@ -192,7 +196,7 @@
   {
     const auto command = FromCbor<Command>(aEntry.mPayload, "log entry");
     if (!command) {
-      // Every replica sees the same bytes, so all skip the entry alike.
+      // Every replica gets the same bytes, so all replicas skip the entry.
       LogEvent(LogLevel::Error, "entry_not_decoded")
         .With("index", aEntry.mIndex)
         .With(command.error());
@@ -216,7 +220,7 @@
       .With("detail", answer.mDetail);
   }
 
-  Result<void> OnState(std::span<const std::uint8_t> aState) override
+  Result<void> LoadState(std::span<const std::uint8_t> aState) override
   {
     const auto state = DecodeCbor(aState, "snapshot");
     if (!state) {
@@ -243,9 +247,9 @@
     }
     const std::lock_guard lock(mMutex);
     mMembership.OnRoleChange(change, RuntimeClock::now());
-    if (change.mLeading && mLedTerm != aTerm) {
-      mLedTerm = aTerm;
-      mKeeper.OnBecameLeader(RuntimeClock::now());
+    if (change.mLeading && mNewestLedTerm != aTerm) {
+      mNewestLedTerm = aTerm;
+      mRepairPlanner.OnBecameLeader(RuntimeClock::now());
     }
   }
 
@@ -256,7 +260,7 @@
     mPool.Exit(kFatalExit);
   }
 
-  /// Whether the process ended because the group no longer accepts this replica's identity.
+  /// Whether the replica stopped because the group no longer accepts its identity.
   bool IdentityRefused() const { return mIdentityRefused; }
 
   void Submit(Command aCommand, std::function<void(const CommandAnswer&)> aCallback) override
@@ -265,7 +269,7 @@
     call->mBody = ToCbor(aCommand);
     call->mCallback = std::move(aCallback);
     call->mDeadline = RuntimeClock::now() + kSubmitTimeout;
-    Try(call);
+    TrySubmit(call);
   }
 
   Result<std::string> ConfirmedRouteDocument() override
@@ -294,7 +298,7 @@
     TimePoint mDeadline;
   };
 
-  struct RouteEntry
+  struct PathHandler
   {
     std::string_view mPath;
     Handler mHandler;
@@ -345,42 +349,44 @@
   }
 
   // Proposes the command here or passes it to the leader.
-  void Try(const std::shared_ptr<SubmitCall>& aCall)
+  void TrySubmit(const std::shared_ptr<SubmitCall>& aCall)
   {
     if (mRaft.IsLeader()) {
-      ProposeCommand(aCall->mBody, [this, aCall](const auto& aAnswer) { Decide(aCall, aAnswer); });
+      ProposeCommand(aCall->mBody,
+                     [this, aCall](const auto& aAnswer) { OnSubmitAnswer(aCall, aAnswer); });
       return;
     }
     const std::string leader = mRaft.LeaderAddress();
     if (leader.empty() || leader == mSettings.mEndpoint) {
-      Decide(aCall, {CommandOutcome::NotApplied, 0, "no leader is known"});
+      OnSubmitAnswer(aCall, {CommandOutcome::NotApplied, 0, "no leader is known"});
       return;
     }
     mClients.Post(leader, "/v1/command", aCall->mBody, kForwardTimeout,
                   [this, aCall, leader](const Result<Bytes>& aResult) {
                     const auto answer = aResult ? FromCbor<CommandAnswer>(aResult.value(), leader)
                                                 : Result<CommandAnswer>(aResult.as_failure());
-                    Decide(aCall, answer ? answer.value()
-                                         : CommandAnswer{CommandOutcome::OutcomeUnknown, 0,
-                                                         answer.error().Message()});
+                    OnSubmitAnswer(aCall, answer ? answer.value()
+                                                 : CommandAnswer{CommandOutcome::OutcomeUnknown, 0,
+                                                                 answer.error().Message()});
                   });
   }
 
-  // Repeating is safe: the state machine applies a publication id once.
-  void Decide(const std::shared_ptr<SubmitCall>& aCall, const CommandAnswer& aAnswer)
+  // Passes on a decided answer, or submits the command again while time is left. This is safe: the
+  // state machine applies a publication id once.
+  void OnSubmitAnswer(const std::shared_ptr<SubmitCall>& aCall, const CommandAnswer& aAnswer)
   {
-    const bool open = aAnswer.mOutcome == CommandOutcome::NotApplied ||
-                      aAnswer.mOutcome == CommandOutcome::OutcomeUnknown;
-    if (!open || RuntimeClock::now() + kSubmitPause >= aCall->mDeadline) {
+    const bool undecided = aAnswer.mOutcome == CommandOutcome::NotApplied ||
+                           aAnswer.mOutcome == CommandOutcome::OutcomeUnknown;
+    if (!undecided || RuntimeClock::now() + kResubmitDelay >= aCall->mDeadline) {
       aCall->mCallback(aAnswer);
       return;
     }
-    CallAfter(mPool.Loop(), kSubmitPause, [this, aCall] { Try(aCall); });
+    CallAfter(mPool.Loop(), kResubmitDelay, [this, aCall] { TrySubmit(aCall); });
   }
 
-  // Until the group has its voters, a first route table could be lost with fewer disks than the
-  // deployment must survive.
-  bool AwaitsVoters()
+  // Whether commands must wait for more voters. A first route table that is accepted before the
+  // group has all its voters could be lost with fewer disks than the deployment must survive.
+  bool MustAwaitVoters()
   {
     if (mSettings.mTargetVoters == 0) {
       return false;
@@ -392,7 +398,7 @@
 
   void ProposeCommand(const Bytes& aBody, std::function<void(const CommandAnswer&)> aCallback)
   {
-    if (AwaitsVoters()) {
+    if (MustAwaitVoters()) {
       aCallback({CommandOutcome::NotApplied, 0, "the group does not have all its voters yet"});
       return;
     }
@@ -401,21 +407,22 @@
     });
   }
 
-  // Announces this replica to the group and, as the leader, replaces lost replicas.
-  void KeepReplicas()
+  // Sends join requests and, as the leader, replaces lost replicas.
+  void MaintainReplicas()
   {
     const TimePoint now = RuntimeClock::now();
     const RaftMembership members = mRaft.Members();
-    const Milliseconds pause = members.IsVoter(mRaft.Self()) ? kPresenceInterval : kJoinInterval;
-    if (!mJoinSentAt || now - *mJoinSentAt >= pause) {
+    const Milliseconds interval =
+      members.IsVoter(mRaft.Self()) ? kVoterJoinInterval : kNonVoterJoinInterval;
+    if (!mJoinSentAt || now - *mJoinSentAt >= interval) {
       mJoinSentAt = now;
       SendJoin(members);
     }
     mRaft.MaintainMembers([this](const RaftCore& aCore, TimePoint aNow) {
       const std::lock_guard lock(mMutex);
-      return mKeeper.Next({aCore.Members(), mRaft.Self(), aCore.CommitIndex(),
-                           [&](const ReplicaId& aId) { return aCore.MatchIndexOf(aId); }},
-                          aNow);
+      return mRepairPlanner.Next({aCore.Members(), mRaft.Self(), aCore.CommitIndex(),
+                                  [&](const ReplicaId& aId) { return aCore.MatchIndexOf(aId); }},
+                                 aNow);
     });
   }
 
@@ -448,7 +455,7 @@
     }
     if (mRaft.IsLeader()) {
       const std::lock_guard lock(mMutex);
-      mKeeper.OnJoinRequest(request->mReplica, request->mAddress, RuntimeClock::now());
+      mRepairPlanner.OnJoinRequest(request->mReplica, request->mAddress, RuntimeClock::now());
     } else if (const std::string leader = mRaft.LeaderAddress();
                !request->mForwarded && !leader.empty()) {
       request->mForwarded = true;
@@ -459,20 +466,20 @@
 
   void Send(const SendSummary& aAction)
   {
-    Exchange<SummaryAnswer>(aAction.mTo, "/v1/summary", ToCbor(aAction.mSummary),
-                            &MembershipCore::OnSummaryAnswer);
+    PostToReplica<SummaryAnswer>(aAction.mTo, "/v1/summary", ToCbor(aAction.mSummary),
+                                 &MembershipCore::OnSummaryAnswer);
   }
 
   void Send(const SendViewUpdate& aAction)
   {
-    Exchange<ViewUpdateAnswer>(aAction.mTo, "/v1/view", ToCbor(aAction.mUpdate),
-                               &MembershipCore::OnViewUpdateAnswer);
+    PostToReplica<ViewUpdateAnswer>(aAction.mTo, "/v1/view", ToCbor(aAction.mUpdate),
+                                    &MembershipCore::OnViewUpdateAnswer);
   }
 
   // Posts a message to a replica and passes the decoded answer to the membership core.
   template <typename Answer>
-  void Exchange(const ReplicaId& aTo, const char* aPath, const Bytes& aBody,
-                void (MembershipCore::*aHandler)(const Answer&))
+  void PostToReplica(const ReplicaId& aTo, const char* aPath, const Bytes& aBody,
+                     void (MembershipCore::*aHandler)(const Answer&))
   {
     const std::string address = mRaft.AddressOf(aTo);
     mClients.Post(address, aPath, aBody, kPeerTimeout, [this, address, aHandler](auto aResult) {
@@ -491,7 +498,7 @@
 
   void OnRequest(const std::shared_ptr<HttpExchange>& aExchange)
   {
-    static constexpr std::array<RouteEntry, 9> kRoutes{{
+    static constexpr std::array<PathHandler, 9> kPathHandlers{{
       {"/v1/announce", &ControlDaemon::OnAnnounce},
       {"/v1/raft", &ControlDaemon::OnRaft},
       {"/v1/join", &ControlDaemon::OnJoin},
@@ -502,7 +509,7 @@
       {"/v1/replica", &ControlDaemon::OnReplicaRequest},
       {"/v1/status", &ControlDaemon::OnStatusRequest},
     }};
-    for (const auto& [path, handler] : kRoutes) {
+    for (const auto& [path, handler] : kPathHandlers) {
       if (path == aExchange->Request().mPath) {
         (this->*handler)(aExchange);
         return;
@@ -554,7 +561,7 @@
     }
     {
       const std::lock_guard lock(mMutex);
-      mKeeper.OnMessageFrom(message.value().mFrom, RuntimeClock::now());
+      mRepairPlanner.OnMessageFrom(message.value().mFrom, RuntimeClock::now());
     }
     mRaft.Receive(std::move(message.value()));
     aExchange->Respond({});
@@ -590,7 +597,7 @@
     RespondCbor(*aExchange, answer);
   }
 
-  // Whole state for a node that starts: nothing without a confirmed quorum.
+  // Sends the whole state to a node that starts, or none if no quorum has confirmed this replica.
   void OnStateRequest(const std::shared_ptr<HttpExchange>& aExchange)
   {
     AnnouncementAnswer answer;
@@ -620,7 +627,7 @@
                    [aExchange](const auto& aAnswer) { RespondCbor(*aExchange, aAnswer); });
   }
 
-  // Runs on the Raft strand right after OnCommand for the same entry.
+  // Runs on the Raft strand right after OnCommand for the same entry, so mLastAnswer is its answer.
   CommandAnswer AnswerFor(const Result<ProposalOutcome>& aResult)
   {
     if (!aResult) {
@@ -666,7 +673,7 @@
     aExchange->Respond(std::move(response));
   }
 
-  // Hands over leadership, lets running requests end and exits.
+  // Transfers leadership, lets open requests end and exits.
   void Stop()
   {
     mRaft.TransferLeadership([this] {
@@ -685,21 +692,24 @@
   Http2ClientPool mClients;
   MetricsRegistry mRegistry;
   RaftRuntime mRaft;
-  std::mutex mMutex; ///< Guards mMembership and mLastAnswer; taken after the Raft core's mutex.
+  /// Guards mMembership, mLastAnswer, mRepairPlanner and mNewestLedTerm; taken after the mutex of
+  /// the Raft core.
+  std::mutex mMutex;
   MembershipCore mMembership;
   CommandAnswer mLastAnswer; ///< Of the newest applied command.
   std::unique_ptr<Http2Server> mServer;
   std::unique_ptr<MetricsEndpoint> mMetrics;
   std::unique_ptr<RepeatingTimer> mTimer;
-  ReplicaRepairPlanner mKeeper; ///< Guarded by mMutex.
-  std::uint64_t mLedTerm = 0;   ///< Newest term that this replica led; guarded by mMutex.
-  std::unique_ptr<RepeatingTimer> mKeeperTimer;
+  ReplicaRepairPlanner mRepairPlanner;
+  std::uint64_t mNewestLedTerm = 0; ///< Newest term in which this replica was the leader.
+  std::unique_ptr<RepeatingTimer> mReplicaTimer;
   std::optional<TimePoint> mJoinSentAt;
   bool mIdentityRefused = false;
   std::unique_ptr<ControlAdapter> mAdapter;
 };
 
-// Removes the log of an identity that the group refuses, so that the replica can join anew.
+// Deletes the data of an identity that the group refuses, so that the replica can join under a new
+// one.
 Result<void> DiscardData(const std::string& aFolder)
 {
   std::error_code error;
@@ -731,7 +741,7 @@
     if (!code || !daemon.IdentityRefused() || !aSettings.mJoin) {
       return code;
     }
-    // The group has replaced this replica while it was away.
+    // The group replaced this replica while it was not running or not reachable.
     start.mBootstrap = false;
     if (const auto discarded = DiscardData(aSettings.mDataFolder); !discarded) {
       return discarded.as_failure();
--- a/lib/Daemon/OperatorClient.cpp
+++ b/lib/Daemon/OperatorClient.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Milliseconds kPause{100};
+constexpr Milliseconds kRetryInterval{100};
 
 } // namespace
 
@@ -62,8 +62,8 @@
   std::string detail = "no control replica answered";
   for (std::size_t i = 0; RuntimeClock::now() < deadline; ++i) {
     const std::string& endpoint = mEndpoints[i % mEndpoints.size()];
-    const auto left = std::chrono::ceil<Milliseconds>(deadline - RuntimeClock::now());
-    const auto body = Post(endpoint, aPath, aBody, left);
+    const auto remaining = std::chrono::ceil<Milliseconds>(deadline - RuntimeClock::now());
+    const auto body = Post(endpoint, aPath, aBody, remaining);
     const auto answer = body ? FromCbor<CommandAnswer>(body.value(), endpoint)
                              : Result<CommandAnswer>(body.as_failure());
     if (!answer) {
@@ -78,10 +78,10 @@
       return answer.value();
     }
     if (i % mEndpoints.size() == mEndpoints.size() - 1) {
-      bool passed = false;
-      CallAfter(mState->mLoop, kPause, [&passed] { passed = true; });
+      bool elapsed = false;
+      CallAfter(mState->mLoop, kRetryInterval, [&elapsed] { elapsed = true; });
       mState->mLoop.restart();
-      while (!passed && mState->mLoop.run_one() > 0) {
+      while (!elapsed && mState->mLoop.run_one() > 0) {
       }
     }
   }
--- a/lib/Daemon/RaftRuntime.cpp
+++ b/lib/Daemon/RaftRuntime.cpp
@@ -1,4 +1,4 @@
-// Carries out the actions of a RaftCore.
+// Performs the actions of a RaftCore.
 #include "RaftRuntime.h"
 
 #include "dandelionslip/Support/Log.h"
@@ -26,24 +26,24 @@
 {
   RecoveredState recovered = mStore->TakeRecovered();
   mSelf = recovered.mReplica;
-  mFirstSnapshot = recovered.mSnapshot;
+  mRecoveredSnapshot = recovered.mSnapshot;
   mCore = std::make_unique<RaftCore>(aSettings, std::move(recovered), aRandom, RuntimeClock::now());
 }
 
 Result<void> RaftRuntime::Start()
 {
-  if (!mFirstSnapshot) {
+  if (!mRecoveredSnapshot) {
     return Ok();
   }
-  mSnapshotIndex = mFirstSnapshot->mIndex;
-  mApplied = mFirstSnapshot->Id();
-  const bool holdsState = !mFirstSnapshot->mState.empty();
-  auto loaded = holdsState ? mListener.OnState(mFirstSnapshot->mState) : Ok();
-  mFirstSnapshot.reset();
+  mSnapshotIndex = mRecoveredSnapshot->mIndex;
+  mLastApplied = mRecoveredSnapshot->Id();
+  const bool hasState = !mRecoveredSnapshot->mState.empty();
+  auto loaded = hasState ? mListener.LoadState(mRecoveredSnapshot->mState) : Ok();
+  mRecoveredSnapshot.reset();
   return loaded;
 }
 
-void RaftRuntime::Run(const Event& aEvent)
+void RaftRuntime::PostEvent(const Event& aEvent)
 {
   boost::asio::post(mStrand, [this, aEvent] {
     RaftActions actions;
@@ -67,7 +67,7 @@
 
 void RaftRuntime::Tick()
 {
-  Run([](RaftCore& aCore, TimePoint aNow) { return aCore.Tick(aNow); });
+  PostEvent([](RaftCore& aCore, TimePoint aNow) { return aCore.Tick(aNow); });
 }
 
 void RaftRuntime::Receive(RaftMessage aMessage)
@@ -76,7 +76,7 @@
     const std::lock_guard lock(mMutex);
     mSenders[aMessage.mFrom] = aMessage.mFromAddress;
   }
-  Run([message = std::move(aMessage)](RaftCore& aCore, TimePoint aNow) {
+  PostEvent([message = std::move(aMessage)](RaftCore& aCore, TimePoint aNow) {
     return aCore.Receive(aNow, message);
   });
 }
@@ -121,7 +121,7 @@
         return;
       }
       const auto entry = mCore->ProposeChange(now, *change, actions);
-      // A conflict means that an earlier change is still open; the next round asks again.
+      // A conflict means that an earlier change is not committed yet; the next call tries again.
       LogEvent(entry ? LogLevel::Info : LogLevel::Debug, "membership_change")
         .With("kind", ToJson(change->mKind).get<std::string>())
         .With("replica", change->mReplica)
@@ -164,7 +164,8 @@
   });
 }
 
-bool RaftRuntime::Check(const Status& aStatus)
+// Returns whether a write succeeded; otherwise the replica stops.
+bool RaftRuntime::CheckStorage(const Status& aStatus)
 {
   if (aStatus) {
     return true;
@@ -176,20 +177,20 @@
 
 void RaftRuntime::Do(PersistAction& aAction)
 {
-  if (aAction.mHardState && !Check(mStore->SaveHardState(*aAction.mHardState))) {
+  if (aAction.mHardState && !CheckStorage(mStore->SaveHardState(*aAction.mHardState))) {
     return;
   }
-  if (aAction.mTruncateFrom && !Check(mStore->TruncateFrom(*aAction.mTruncateFrom))) {
+  if (aAction.mTruncateFrom && !CheckStorage(mStore->TruncateFrom(*aAction.mTruncateFrom))) {
     return;
   }
-  if (!aAction.mEntries.empty() && !Check(mStore->Append(aAction.mEntries))) {
+  if (!aAction.mEntries.empty() && !CheckStorage(mStore->Append(aAction.mEntries))) {
     return;
   }
   for (const auto& message : aAction.mMessagesAfterSync) {
     Send(message);
   }
   if (!aAction.mEntries.empty()) {
-    Run([last = aAction.mEntries.back().Id()](RaftCore& aCore, TimePoint aNow) {
+    PostEvent([last = aAction.mEntries.back().Id()](RaftCore& aCore, TimePoint aNow) {
       return aCore.OnPersisted(aNow, last);
     });
   }
@@ -206,7 +207,7 @@
     if (entry.mKind == EntryKind::Command) {
       mListener.OnCommand(entry);
     }
-    mApplied = entry.Id();
+    mLastApplied = entry.Id();
     Resolve(mTracker.OnApplied(entry));
   }
   MaybeSnapshot();
@@ -215,18 +216,18 @@
 void RaftRuntime::Do(InstallSnapshotAction& aAction)
 {
   const Snapshot& snapshot = *aAction.mSnapshot;
-  if (!Check(mStore->InstallSnapshot(snapshot, aAction.mKeepSuffix))) {
+  if (!CheckStorage(mStore->InstallSnapshot(snapshot, aAction.mKeepSuffix))) {
     return;
   }
   if (!snapshot.mState.empty()) {
-    if (const auto loaded = mListener.OnState(snapshot.mState); !loaded) {
+    if (const auto loaded = mListener.LoadState(snapshot.mState); !loaded) {
       mFailed = true;
       mListener.OnFatal(loaded.error());
       return;
     }
   }
   mSnapshotIndex = snapshot.mIndex;
-  mApplied = snapshot.Id();
+  mLastApplied = snapshot.Id();
   Resolve(mTracker.OnSnapshotInstalled(snapshot.mIndex));
   for (const auto& message : aAction.mMessagesAfterSync) {
     Send(message);
@@ -283,18 +284,18 @@
 
 void RaftRuntime::MaybeSnapshot()
 {
-  if (mApplied.mIndex - mSnapshotIndex < mSnapshotEntries) {
+  if (mLastApplied.mIndex - mSnapshotIndex < mSnapshotEntries) {
     return;
   }
   auto snapshot = std::make_shared<Snapshot>();
-  snapshot->mIndex = mApplied.mIndex;
-  snapshot->mTerm = mApplied.mTerm;
+  snapshot->mIndex = mLastApplied.mIndex;
+  snapshot->mTerm = mLastApplied.mTerm;
   {
     const std::lock_guard lock(mMutex);
     snapshot->mMembership = mCore->CommittedMembers();
   }
   snapshot->mState = mListener.EncodeState();
-  if (!Check(mStore->SaveSnapshot(*snapshot))) {
+  if (!CheckStorage(mStore->SaveSnapshot(*snapshot))) {
     return;
   }
   mSnapshotIndex = snapshot->mIndex;
@@ -319,16 +320,16 @@
 {
   const std::lock_guard lock(mMutex);
   const auto leader = mCore->Leader();
-  return leader ? AddressLocked(*leader) : "";
+  return leader ? AddressOfLocked(*leader) : "";
 }
 
 std::string RaftRuntime::AddressOf(const ReplicaId& aReplica)
 {
   const std::lock_guard lock(mMutex);
-  return AddressLocked(aReplica);
+  return AddressOfLocked(aReplica);
 }
 
-std::string RaftRuntime::AddressLocked(const ReplicaId& aReplica) const
+std::string RaftRuntime::AddressOfLocked(const ReplicaId& aReplica) const
 {
   if (const auto* info = mCore->Members().Find(aReplica)) {
     return info->mAddress;
--- a/lib/Daemon/RaftRuntime.h
+++ b/lib/Daemon/RaftRuntime.h
@@ -1,4 +1,4 @@
-// Runs a RaftCore: disk, messages to peers and the state machine.
+// Runs a RaftCore: writes to disk, sends messages to peers and applies entries.
 #pragma once
 
 #include "Http2ClientPool.h"
@@ -16,25 +16,26 @@
 
 namespace dandelionslip {
 
-/// What the runtime needs from the state machine.
+/// The state machine, as the runtime sees it. Called on the runtime's strand, except for LoadState
+/// during Start().
 class RaftListener
 {
 public:
   virtual ~RaftListener() = default;
-  /// A committed command entry.
+  /// Applies a committed command entry.
   virtual void OnCommand(const LogEntry& aEntry) = 0;
-  /// The whole state, at start or from the leader.
-  virtual Result<void> OnState(std::span<const std::uint8_t> aState) = 0;
-  /// The whole state for a snapshot.
+  /// Replaces the whole state, at start or by a snapshot from the leader.
+  virtual Result<void> LoadState(std::span<const std::uint8_t> aState) = 0;
+  /// Encodes the whole state for a snapshot.
   virtual Bytes EncodeState() = 0;
   virtual void OnRole(RaftRole aRole, Term aTerm, const std::string& aLeader,
                       const RaftMembership& aMembers) = 0;
-  /// The replica cannot go on, for example after a failed sync.
+  /// The replica must stop, for example after a failed sync.
   virtual void OnFatal(const Error& aError) = 0;
 };
 
 /// Serialises the events of a RaftCore on a strand; disk writes block only this strand. The core's
-/// mutex is not held during writes, so reads of its state never wait for the disk.
+/// mutex is not held during writes, so reading its state never waits for the disk.
 class RaftRuntime
 {
 public:
@@ -53,11 +54,11 @@
   /// Proposes a command; the callback tells whether it was applied.
   void Propose(Bytes aPayload, ProposalCallback aCallback);
   void ProposeChange(const RaftMembershipChange& aChange, ProposalCallback aCallback);
-  /// Asks the function for a membership change and proposes it. The function runs on the strand
-  /// while this replica leads.
+  /// Proposes the membership change that aDecide returns, if any. aDecide is called on the strand,
+  /// and only if this replica leads.
   void MaintainMembers(
     std::function<std::optional<RaftMembershipChange>(const RaftCore&, TimePoint)> aDecide);
-  /// Hands leadership over before a planned stop; the callback runs on the strand.
+  /// Starts a leadership transfer before a planned stop; the callback then runs on the strand.
   void TransferLeadership(std::function<void()> aCallback);
 
   bool Confirmed();
@@ -71,9 +72,9 @@
 private:
   using Event = std::function<RaftActions(RaftCore&, TimePoint)>;
 
-  void Run(const Event& aEvent);
+  void PostEvent(const Event& aEvent);
   void Perform(RaftActions aActions);
-  bool Check(const Status& aStatus);
+  bool CheckStorage(const Status& aStatus);
   void Do(PersistAction& aAction);
   void Do(SendAction& aAction);
   void Do(ApplyAction& aAction);
@@ -81,7 +82,7 @@
   void Do(RoleChangedAction& aAction);
   void Do(PeerRefusedAction& aAction);
   void Do(StopAction& aAction);
-  std::string AddressLocked(const ReplicaId& aReplica) const;
+  std::string AddressOfLocked(const ReplicaId& aReplica) const;
   void Send(const RaftMessage& aMessage);
   void Resolve(const std::vector<ProposalResult>& aResults);
   void MaybeSnapshot();
@@ -97,12 +98,12 @@
   std::mutex mMutex;                         ///< Guards mCore and mSenders.
   std::map<ReplicaId, std::string> mSenders; ///< Endpoints of replicas that sent messages.
   std::unique_ptr<RaftCore> mCore;
-  std::shared_ptr<const Snapshot> mFirstSnapshot;
+  std::shared_ptr<const Snapshot> mRecoveredSnapshot;
   // The members below are used on the strand only.
   ProposalTracker mTracker;
   std::map<EntryId, ProposalCallback> mCallbacks;
   LogIndex mSnapshotIndex = 0;
-  EntryId mApplied;
+  EntryId mLastApplied;
   bool mFailed = false;
 };
 
