--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -359,7 +359,7 @@
       if (!answer) {
         return;
       }
-      mLink.TakeFromPeer(answer.value());
+      mLink.ApplyStateFromAgent(answer.value());
       NodeState state;
       if (state.Apply(answer.value())) {
         ApplyState(state);
--- a/lib/Daemon/ControlLink.cpp
+++ b/lib/Daemon/ControlLink.cpp
@@ -1,4 +1,4 @@
-// Announcements to the control replicas.
+// Announcements to the control replicas, and the choice of the replica.
 #include "ControlLink.h"
 
 #include "dandelionslip/Support/Log.h"
@@ -12,8 +12,8 @@
 
 constexpr Milliseconds kAnswerTimeout{400};
 constexpr Milliseconds kFetchRetry{40};
-// A replica that gives no lease for this long is replaced by the next one.
-constexpr Milliseconds kMaxWithoutLease{1'000};
+// The link switches to the next replica when the current one has granted no lease for this long.
+constexpr Milliseconds kMaxTimeWithoutLease{1'000};
 
 } // namespace
 
@@ -26,18 +26,18 @@
   , mRegistry(aRegistry)
   , mHandlers(std::move(aHandlers))
   , mEndpoints(aSettings.mControlEndpoints)
-  , mLastLease(RuntimeClock::now())
+  , mWithoutLeaseSince(RuntimeClock::now())
 {
 }
 
-std::string ControlLink::Current()
+std::string ControlLink::CurrentEndpoint()
 {
   const std::lock_guard lock(mMutex);
   return mEndpoints[mIndex % mEndpoints.size()];
 }
 
-// The current endpoint stays current if it is still known.
-void ControlLink::LearnEndpoints(const std::vector<std::string>& aEndpoints)
+// The current endpoint stays in use if the new list has it.
+void ControlLink::ReplaceEndpoints(const std::vector<std::string>& aEndpoints)
 {
   if (aEndpoints.empty() || aEndpoints == mEndpoints) {
     return;
@@ -58,22 +58,22 @@
       all.push_back(seed);
     }
   }
-  LearnEndpoints(all);
+  ReplaceEndpoints(all);
 }
 
 bool ControlLink::InContact(Milliseconds aWithin)
 {
   const std::lock_guard lock(mMutex);
-  return mLeaseGranted && RuntimeClock::now() - *mLeaseGranted <= aWithin;
+  return mLastLeaseTime && RuntimeClock::now() - *mLastLeaseTime <= aWithin;
 }
 
-void ControlLink::Rotate(const Error& aReason)
+void ControlLink::SwitchReplica(const Error& aReason)
 {
   std::size_t index = 0;
   {
     const std::lock_guard lock(mMutex);
     index = ++mIndex;
-    mLastLease = RuntimeClock::now();
+    mWithoutLeaseSince = RuntimeClock::now();
     if (std::exchange(mLossLogged, true)) {
       mRegistry.CounterFor("dandelionslip_control_switches_total").Add();
       return;
@@ -82,20 +82,20 @@
   mRegistry.CounterFor("dandelionslip_control_switches_total").Add();
   LogEvent(LogLevel::Warning, "control_replica_changed")
     .With("attempt", index)
-    .With("to", Current())
+    .With("to", CurrentEndpoint())
     .With(aReason);
 }
 
 void ControlLink::FetchState(const std::function<void(const NodeState&)>& aDone)
 {
-  mClients.Post(Current(), "/v1/state", {}, kAnswerTimeout,
-                [this, aDone](auto aResult) { OnState(aResult, aDone); });
+  mClients.Post(CurrentEndpoint(), "/v1/state", {}, kAnswerTimeout,
+                [this, aDone](auto aResult) { OnStateAnswer(aResult, aDone); });
 }
 
-void ControlLink::OnState(const Result<Bytes>& aResult,
-                          const std::function<void(const NodeState&)>& aDone)
+void ControlLink::OnStateAnswer(const Result<Bytes>& aResult,
+                                const std::function<void(const NodeState&)>& aDone)
 {
-  const auto answer = aResult ? FromCbor<AnnouncementAnswer>(aResult.value(), Current())
+  const auto answer = aResult ? FromCbor<AnnouncementAnswer>(aResult.value(), CurrentEndpoint())
                               : Result<AnnouncementAnswer>(aResult.as_failure());
   if (answer && answer.value().mConfirmed) {
     NodeState state;
@@ -108,8 +108,9 @@
     aDone(state);
     return;
   }
-  Rotate(answer ? Error{ErrorCode::Unavailable, "control.fetch", Current(), "not confirmed"}
-                : answer.error());
+  SwitchReplica(
+    answer ? Error{ErrorCode::Unavailable, "control.fetch", CurrentEndpoint(), "not confirmed"}
+           : answer.error());
   CallAfter(mLoop, kFetchRetry, [this, aDone] { FetchState(aDone); });
 }
 
@@ -130,55 +131,55 @@
   Announcement announcement = mHandlers.mAnnounce();
   {
     const std::lock_guard lock(mMutex);
-    if (mInFlight && !aDone) {
+    if (mAwaitingAnswer && !aDone) {
       return;
     }
-    mInFlight = true;
+    mAwaitingAnswer = true;
     announcement.mConfigurationRevision = mState.CurrentConfiguration().mRevision;
     announcement.mViewRevision = mState.CurrentView().mRevision;
   }
   const TimePoint sentAt = RuntimeClock::now();
-  const std::string endpoint = Current();
+  const std::string endpoint = CurrentEndpoint();
   mClients.Post(endpoint, "/v1/announce", ToCbor(announcement), kAnswerTimeout,
                 [this, sentAt, endpoint, done = std::move(aDone)](auto aResult) {
-                  const bool answered = OnAnswer(aResult, sentAt, endpoint);
+                  const bool answered = OnAnnouncementAnswer(aResult, sentAt, endpoint);
                   if (done) {
                     done(answered);
                   }
                 });
 }
 
-bool ControlLink::OnAnswer(const Result<Bytes>& aResult, TimePoint aSentAt,
-                           const std::string& aEndpoint)
+bool ControlLink::OnAnnouncementAnswer(const Result<Bytes>& aResult, TimePoint aSentAt,
+                                       const std::string& aEndpoint)
 {
   const auto answer = aResult ? FromCbor<AnnouncementAnswer>(aResult.value(), aEndpoint)
                               : Result<AnnouncementAnswer>(aResult.as_failure());
   NodeState state;
-  bool silent = false;
+  bool noLease = false;
   {
     const std::lock_guard lock(mMutex);
-    mInFlight = false;
+    mAwaitingAnswer = false;
     if (answer) {
-      if (const auto taken = mState.Apply(answer.value()); !taken) {
+      if (const auto applied = mState.Apply(answer.value()); !applied) {
         mRegistry.CounterFor("dandelionslip_state_not_taken_total").Add();
       }
       if (answer.value().mLease.count() > 0) {
-        mLastLease = aSentAt;
-        mLeaseGranted = aSentAt;
+        mWithoutLeaseSince = aSentAt;
+        mLastLeaseTime = aSentAt;
         if (std::exchange(mLossLogged, false)) {
           LogEvent(LogLevel::Info, "control_regained").With("replica", aEndpoint);
         }
-        LearnEndpoints(answer.value().mControlEndpoints);
+        ReplaceEndpoints(answer.value().mControlEndpoints);
       }
     }
-    // Without a leader in reach the replica has nothing to give; another one may be better placed.
-    silent =
-      (answer && !answer.value().mConfirmed) || RuntimeClock::now() - mLastLease > kMaxWithoutLease;
+    // A replica that does not reach the leader cannot grant a lease; another replica may reach it.
+    noLease = (answer && !answer.value().mConfirmed) ||
+              RuntimeClock::now() - mWithoutLeaseSince > kMaxTimeWithoutLease;
     state = mState;
   }
-  if (!answer || silent) {
-    Rotate(answer ? Error{ErrorCode::Unavailable, "control.announce", aEndpoint, "no lease"}
-                  : answer.error());
+  if (!answer || noLease) {
+    SwitchReplica(answer ? Error{ErrorCode::Unavailable, "control.announce", aEndpoint, "no lease"}
+                         : answer.error());
     CallAfter(mLoop, kFetchRetry, [this] { AnnounceNow(); });
   }
   if (answer) {
@@ -202,10 +203,10 @@
   return bytes;
 }
 
-void ControlLink::TakeFromPeer(const AnnouncementAnswer& aAnswer)
+void ControlLink::ApplyStateFromAgent(const AnnouncementAnswer& aAnswer)
 {
   const std::lock_guard lock(mMutex);
-  if (const auto taken = mState.Apply(aAnswer); !taken) {
+  if (const auto applied = mState.Apply(aAnswer); !applied) {
     mRegistry.CounterFor("dandelionslip_state_not_taken_total").Add();
   }
 }
--- a/lib/Daemon/ControlLink.h
+++ b/lib/Daemon/ControlLink.h
@@ -1,4 +1,4 @@
-// A node's link to the control replicas: periodic announcements and state at start.
+// A node's link to the control replicas: announces the node and fetches the state at start.
 #pragma once
 
 #include "Http2ClientPool.h"
@@ -13,34 +13,36 @@
 
 namespace dandelionslip {
 
-/// Announces the node to one control replica and moves to the next when it gives no lease.
-/// Thread-safe.
+/// Announces the node periodically to one control replica, and switches to the next replica when
+/// that one grants no lease. Thread-safe.
 class ControlLink
 {
 public:
   struct Handlers
   {
-    /// Builds the announcement; revisions are filled in by the link.
+    /// Builds the announcement; the link fills in the revisions.
     std::function<Announcement()> mAnnounce;
-    /// Called after each answer, with the state that the node holds now.
+    /// Called after each answer with the answer, the newest state of the node and the time at which
+    /// the announcement was sent.
     std::function<void(const AnnouncementAnswer&, const NodeState&, TimePoint)> mAnswered;
   };
 
   ControlLink(boost::asio::io_context& aLoop, Http2ClientPool& aClients,
               const CommonSettings& aSettings, MetricsRegistry& aRegistry, Handlers aHandlers);
 
-  /// Fetches the whole state from a replica that confirms it, repeating until one does.
+  /// Fetches the whole state, trying the replicas in turn until one confirms it.
   void FetchState(const std::function<void(const NodeState&)>& aDone);
 
   /// Starts the periodic announcements.
   void Start();
   void Stop();
 
-  /// Announces now; aDone is told whether an answer came.
+  /// Announces the node now; aDone gets whether an answer came. Without aDone nothing is sent while
+  /// an earlier announcement awaits its answer.
   void AnnounceNow(std::function<void(bool)> aDone = {});
 
-  /// Replaces the endpoints of the settings, for example after the file has changed. Endpoints
-  /// learned from control stay in use.
+  /// Replaces the seeds, which are the endpoints of the settings, for example after the settings
+  /// file has changed. Endpoints learned from control stay in use.
   void SetSeeds(std::vector<std::string> aSeeds);
 
   /// Whether a replica has granted a lease within the given time.
@@ -49,15 +51,17 @@
   /// Bytes sent to and received from all control replicas.
   std::uint64_t TrafficBytes();
 
-  /// Takes state that another node passed on. Lower revisions are ignored.
-  void TakeFromPeer(const AnnouncementAnswer& aAnswer);
+  /// Applies state that an agent has sent. Lower revisions are ignored.
+  void ApplyStateFromAgent(const AnnouncementAnswer& aAnswer);
 
 private:
-  std::string Current();
-  void LearnEndpoints(const std::vector<std::string>& aEndpoints);
-  void Rotate(const Error& aReason);
-  bool OnAnswer(const Result<Bytes>& aResult, TimePoint aSentAt, const std::string& aEndpoint);
-  void OnState(const Result<Bytes>& aResult, const std::function<void(const NodeState&)>& aDone);
+  std::string CurrentEndpoint();
+  void ReplaceEndpoints(const std::vector<std::string>& aEndpoints);
+  void SwitchReplica(const Error& aReason);
+  bool OnAnnouncementAnswer(const Result<Bytes>& aResult, TimePoint aSentAt,
+                            const std::string& aEndpoint);
+  void OnStateAnswer(const Result<Bytes>& aResult,
+                     const std::function<void(const NodeState&)>& aDone);
 
   boost::asio::io_context& mLoop;
   Http2ClientPool& mClients;
@@ -66,12 +70,12 @@
   Handlers mHandlers;
   std::mutex mMutex; ///< Guards the members below; not held while handlers run.
   NodeState mState;
-  std::vector<std::string> mEndpoints; ///< Seeds, then those learned from control.
+  std::vector<std::string> mEndpoints; ///< The seeds, until control gives a list of its replicas.
   std::size_t mIndex = 0;
-  TimePoint mLastLease;
-  std::optional<TimePoint> mLeaseGranted;
+  TimePoint mWithoutLeaseSince; ///< Last lease, or last switch of the replica if that was later.
+  std::optional<TimePoint> mLastLeaseTime;
   bool mLossLogged = false; ///< The loss of control was logged and has not ended yet.
-  bool mInFlight = false;
+  bool mAwaitingAnswer = false;
   std::unique_ptr<RepeatingTimer> mTimer;
 };
 
--- a/lib/Daemon/PacketAgentDaemon.cpp
+++ b/lib/Daemon/PacketAgentDaemon.cpp
@@ -15,16 +15,16 @@
 
 constexpr Milliseconds kTick{1'000};
 
-// Placement reacts within this time to a changed load. A report costs each balancer one datagram.
-constexpr Milliseconds kReportInterval{200};
+// Time within which placement follows a changed load. Each balancer gets a datagram per interval.
+constexpr Milliseconds kLoadReportInterval{200};
 
-// Flows that end sooner need no registration.
+// Flows that end within this time need no registration.
 constexpr Milliseconds kRegisterInterval{250};
 
-// A balancer that neither the view nor a packet has named for this long gets no reports.
-constexpr Milliseconds kBalancerMemory{5'000};
+// A balancer gets no more load reports when neither a view nor a packet has shown it for this long.
+constexpr Milliseconds kBalancerTimeout{5'000};
 
-// Time for the last reports and the last packets on their way.
+// Time for the last load reports and packets to arrive.
 constexpr Milliseconds kStopDelay{100};
 
 PacketAgentSettings CoreSettings(const PacketAgentNodeSettings& aSettings)
@@ -46,7 +46,7 @@
   PacketAgentDaemon(const PacketAgentNodeSettings& aSettings,
                     const PacketPlatform<PacketAgentCalls>& aPlatform)
     : mSettings(aSettings)
-    , mNode(aSettings, {[this](Member& aMember) { Describe(aMember); },
+    , mNode(aSettings, {[this](Member& aMember) { FillMember(aMember); },
                         [this](const NodeState& aState) { OnState(aState); }, aPlatform.mReadSeeds})
     , mCore(CoreSettings(aSettings), aPlatform.mCodec, mNode.Registry(), RuntimeClock::now())
     , mOutput(aSettings.mCallerPort, mNode.Registry())
@@ -64,8 +64,8 @@
     mRegisterTimer = std::make_unique<RepeatingTimer>(mNode.Loop(), kRegisterInterval, [this] {
       mCore.RegisterFlows(mOutput, RuntimeClock::now());
     });
-    mReportTimer =
-      std::make_unique<RepeatingTimer>(mNode.Loop(), kReportInterval, [this] { SendReports(); });
+    mLoadReportTimer = std::make_unique<RepeatingTimer>(mNode.Loop(), kLoadReportInterval,
+                                                        [this] { SendLoadReports(); });
     mNode.Pool().OnStop([this] { Stop(); });
     mNode.Start();
     LogEvent(LogLevel::Info, "started")
@@ -80,11 +80,11 @@
   HttpResponse Metrics() override { return RenderMetrics(mNode.Registry()); }
   boost::asio::io_context& Loop() override { return mNode.Loop(); }
 
-  HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aReport) override
+  HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aHeartbeat) override
   {
     const MemberState before = mCore.State(RuntimeClock::now());
-    const HeartbeatOutcome outcome = mCore.OnUpstreamHeartbeat(aReport, RuntimeClock::now());
-    TellChange(before);
+    const HeartbeatOutcome outcome = mCore.OnUpstreamHeartbeat(aHeartbeat, RuntimeClock::now());
+    ReportStateChange(before);
     return outcome;
   }
 
@@ -92,18 +92,19 @@
   {
     const MemberState before = mCore.State(RuntimeClock::now());
     mCore.OnUpstreamLeft(aId);
-    TellChange(before);
+    ReportStateChange(before);
   }
 
 private:
   Result<void> Open()
   {
-    auto nodes = mNode.BindNodes([this](const Endpoint& aFrom, const NodeMessageHeader& aHeader,
-                                        auto aPacket) { OnNode(aFrom, aHeader, aPacket); });
+    auto nodes =
+      mNode.BindNodeSocket([this](const Endpoint& aFrom, const NodeMessageHeader& aHeader,
+                                  auto aPacket) { OnNodePacket(aFrom, aHeader, aPacket); });
     if (!nodes) {
       return nodes.as_failure();
     }
-    mNodes = std::move(nodes.value());
+    mNodeSocket = std::move(nodes.value());
     auto upstream =
       UdpSocket::Bind(mNode.Loop(), Endpoint::Parse(mSettings.mUpstreamOutboundEndpoint).value(),
                       [this](auto aBytes, const Endpoint&) {
@@ -112,8 +113,8 @@
     if (!upstream) {
       return upstream.as_failure();
     }
-    mUpstream = std::move(upstream.value());
-    mOutput.SetSockets({mNodes.get(), mNodes.get(), mUpstream.get(),
+    mUpstreamSocket = std::move(upstream.value());
+    mOutput.SetSockets({mNodeSocket.get(), mNodeSocket.get(), mUpstreamSocket.get(),
                         Endpoint::Parse(mSettings.mUpstreamEndpoint).value()});
     auto adapter = mAdapterFactory(*this);
     if (!adapter) {
@@ -123,18 +124,18 @@
     return Ok();
   }
 
-  void OnNode(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
-              std::span<std::uint8_t> aPacket)
+  void OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
+                    std::span<std::uint8_t> aPacket)
   {
-    // Only other agents register flows and confirm registrations.
+    // Register and RegisterAck come from other agents, all other messages from balancers.
     if (aHeader.mKind != NodeMessageType::Register &&
         aHeader.mKind != NodeMessageType::RegisterAck) {
-      NoteBalancer(aFrom);
+      OnBalancerSeen(aFrom);
     }
     mCore.OnNodePacket(aFrom, aHeader, aPacket, mOutput, RuntimeClock::now());
   }
 
-  void Describe(Member& aMember) const
+  void FillMember(Member& aMember) const
   {
     aMember.mKind = MemberKind::Agent;
     aMember.mService = mSettings.mService;
@@ -148,34 +149,34 @@
     for (const auto& [name, member] : aState.CurrentView().mMembers) {
       const auto endpoint = Endpoint::Parse(member.mDatagramEndpoint);
       if (member.mKind == MemberKind::Balancer && HoldsFlows(member.mState) && endpoint) {
-        NoteBalancer(endpoint.value());
+        OnBalancerSeen(endpoint.value());
       }
     }
   }
 
-  // Balancers are known from the view and from their packets: after a restart of everything,
+  // Called for balancers in the view and for senders of packets: after a restart of all nodes,
   // packets may come before the first view.
-  void NoteBalancer(const Endpoint& aBalancer)
+  void OnBalancerSeen(const Endpoint& aBalancer)
   {
     const auto [item, isNew] = mBalancers.try_emplace(aBalancer);
     item->second = RuntimeClock::now();
     if (isNew) {
       LoadReport report = mCore.Report(RuntimeClock::now());
       report.mOpensAllowed = mShares.ShareForNewBalancer();
-      SendReport(aBalancer, report.Encode());
+      SendLoadReport(aBalancer, report.Encode());
     }
   }
 
-  void SendReport(const Endpoint& aBalancer, const Bytes& aReport)
+  void SendLoadReport(const Endpoint& aBalancer, const Bytes& aReport)
   {
     mOutput.SendToNode(aBalancer, {NodeMessageType::Load, ReturnReason::None}, aReport);
   }
 
-  void SendReports()
+  void SendLoadReports()
   {
     const TimePoint now = RuntimeClock::now();
     std::erase_if(mBalancers,
-                  [&](const auto& aItem) { return now - aItem.second > kBalancerMemory; });
+                  [&](const auto& aItem) { return now - aItem.second > kBalancerTimeout; });
     LoadReport report = mCore.Report(now);
     Bytes encoded = report.Encode();
     const auto shares = mShares.Split(report.mOpensAllowed, mBalancers.size());
@@ -185,16 +186,16 @@
         report.mOpensAllowed = *share;
         encoded = report.Encode();
       }
-      SendReport(balancer, encoded);
+      SendLoadReport(balancer, encoded);
       ++share;
     }
   }
 
-  // A changed state reaches balancers and control without waiting for the next interval.
-  void TellChange(MemberState aBefore)
+  // Reports a changed state to balancers and control at once, before the next interval.
+  void ReportStateChange(MemberState aBefore)
   {
     if (mCore.State(RuntimeClock::now()) != aBefore) {
-      SendReports();
+      SendLoadReports();
       mNode.Link().AnnounceNow();
     }
   }
@@ -203,7 +204,7 @@
   {
     mStopping = true;
     mCore.StopAccepting();
-    SendReports();
+    SendLoadReports();
     mNode.AnnounceAndExit(kStopDelay);
   }
 
@@ -212,12 +213,12 @@
   PacketAgent mCore;
   SocketOutput mOutput;
   PacketAdapterFactory<PacketAgentCalls> mAdapterFactory;
-  std::map<Endpoint, TimePoint> mBalancers; ///< When each was last in the view or heard from.
+  std::map<Endpoint, TimePoint> mBalancers; ///< When each was last in a view or sent a packet.
   OpeningShares mShares;
-  std::unique_ptr<UdpSocket> mNodes;
-  std::unique_ptr<UdpSocket> mUpstream;
+  std::unique_ptr<UdpSocket> mNodeSocket;
+  std::unique_ptr<UdpSocket> mUpstreamSocket;
   std::unique_ptr<RepeatingTimer> mTimer;
-  std::unique_ptr<RepeatingTimer> mReportTimer;
+  std::unique_ptr<RepeatingTimer> mLoadReportTimer;
   std::unique_ptr<RepeatingTimer> mRegisterTimer;
   std::unique_ptr<PacketNodeAdapter> mAdapter;
   bool mStopping = false;
--- a/lib/Daemon/PacketBalancerDaemon.cpp
+++ b/lib/Daemon/PacketBalancerDaemon.cpp
@@ -12,8 +12,9 @@
 
 constexpr Milliseconds kTick{1'000};
 
-// After a stop signal the balancer is not ready, and it still forwards until the fabric has noticed
-// that: two checks half a second apart, and the last packets on their way.
+// After a stop signal the balancer reports that it is not ready, and forwards packets until the
+// network fabric sends it no more: two readiness checks half a second apart, and time for the last
+// packets to arrive.
 constexpr Milliseconds kStopDelay{2'000};
 
 PacketBalancerSettings CoreSettings(const PacketBalancerNodeSettings& aSettings)
@@ -29,7 +30,7 @@
   PacketBalancerDaemon(const PacketBalancerNodeSettings& aSettings,
                        const PacketPlatform<PacketNodeCalls>& aPlatform)
     : mSettings(aSettings)
-    , mNode(aSettings, {[this](Member& aMember) { Describe(aMember); },
+    , mNode(aSettings, {[this](Member& aMember) { FillMember(aMember); },
                         [this](const NodeState& aState) { OnState(aState); }, aPlatform.mReadSeeds})
     , mCore(CoreSettings(aSettings), aPlatform.mCodec, mNode.Registry(), Random(SystemSeed()))
     , mOutput(aSettings.mCallerPort, mNode.Registry())
@@ -67,16 +68,16 @@
     if (!callers) {
       return callers.as_failure();
     }
-    mCallers = std::move(callers.value());
-    auto nodes = mNode.BindNodes(
+    mCallerSocket = std::move(callers.value());
+    auto nodes = mNode.BindNodeSocket(
       [this](const Endpoint& aFrom, const NodeMessageHeader& aHeader, auto aPacket) {
         mCore.OnNodePacket(aFrom, aHeader, aPacket, mOutput, RuntimeClock::now());
       });
     if (!nodes) {
       return nodes.as_failure();
     }
-    mNodes = std::move(nodes.value());
-    mOutput.SetSockets({mNodes.get(), mCallers.get(), nullptr, {}});
+    mNodeSocket = std::move(nodes.value());
+    mOutput.SetSockets({mNodeSocket.get(), mCallerSocket.get(), nullptr, {}});
     auto adapter = mAdapterFactory(*this);
     if (!adapter) {
       return adapter.as_failure();
@@ -85,7 +86,7 @@
     return Ok();
   }
 
-  void Describe(Member& aMember) const
+  void FillMember(Member& aMember) const
   {
     aMember.mKind = MemberKind::Balancer;
     aMember.mState = mStopping ? MemberState::Draining : MemberState::Serving;
@@ -111,8 +112,8 @@
   PacketBalancer mCore;
   SocketOutput mOutput;
   PacketAdapterFactory<PacketNodeCalls> mAdapterFactory;
-  std::unique_ptr<UdpSocket> mCallers;
-  std::unique_ptr<UdpSocket> mNodes;
+  std::unique_ptr<UdpSocket> mCallerSocket;
+  std::unique_ptr<UdpSocket> mNodeSocket;
   std::unique_ptr<RepeatingTimer> mTimer;
   std::unique_ptr<PacketNodeAdapter> mAdapter;
   bool mStopping = false;
--- a/lib/Daemon/PacketNode.cpp
+++ b/lib/Daemon/PacketNode.cpp
@@ -1,4 +1,4 @@
-// Control link and sockets of packet nodes.
+// Control link and sockets of the packet balancers and packet agents.
 #include "PacketNode.h"
 
 #include "dandelionslip/Support/Log.h"
@@ -9,18 +9,18 @@
 
 namespace {
 
-// The settings file may change without a signal; it is read this often while control is out of
-// reach, and only then is a new seed needed.
-constexpr Milliseconds kSeedInterval{2'000};
+// The settings file may change without a signal. It is read again at this interval while no control
+// replica grants a lease; only then are new seeds needed.
+constexpr Milliseconds kSeedCheckInterval{2'000};
 
-// Added to the incarnation when control knows a higher one: the wall clock was set back since the
-// earlier process started. Larger than the steps of the clock that were seen, up to 2.4 s.
+// Added to the incarnation when control knows a higher one, because the wall clock was set back
+// since an earlier process started. Larger than the clock steps that were observed, up to 2.4 s.
 constexpr std::uint64_t kIncarnationStep = 5'000;
 
-// A node that has just started announces itself this often for a short time, so that it takes part
-// in the first views after a restart of everything.
-constexpr Milliseconds kEagerInterval{100};
-constexpr Milliseconds kEagerTime{3'000};
+// After its start a node announces itself at this shorter interval for some time, so that the first
+// views after a restart of all nodes contain it.
+constexpr Milliseconds kStartupAnnounceInterval{100};
+constexpr Milliseconds kStartupAnnounceTime{3'000};
 
 } // namespace
 
@@ -32,12 +32,14 @@
   , mIncarnation(static_cast<std::uint64_t>(WallClockMs()))
   , mSeeds(aSettings.mControlEndpoints)
   , mLink(mPool.Loop(), mClients, aSettings, mRegistry,
-          {[this] { return Describe(); }, [this](const auto& aAnswer, const auto& aState,
-                                                 TimePoint) { OnAnswer(aAnswer, aState); }})
+          {[this] { return MakeAnnouncement(); },
+           [this](const auto& aAnswer, const auto& aState, TimePoint) {
+             OnAnnouncementAnswer(aAnswer, aState);
+           }})
 {
 }
 
-Announcement PacketNode::Describe() const
+Announcement PacketNode::MakeAnnouncement() const
 {
   Announcement announcement;
   Member& member = announcement.mMember;
@@ -46,7 +48,7 @@
   member.mDatagramEndpoint = mSettings.mDatagramEndpoint;
   member.mRequestEndpoint = mSettings.mStatusEndpoint;
   member.mIncarnation = mIncarnation;
-  mHandlers.mDescribe(member);
+  mHandlers.mFillMember(member);
   return announcement;
 }
 
@@ -56,16 +58,16 @@
   mLink.FetchState([this](const NodeState& aState) {
     mHandlers.mOnState(aState);
     mLink.Start();
-    mEagerTimer = std::make_unique<RepeatingTimer>(mPool.Loop(), kEagerInterval,
-                                                   [this] { mLink.AnnounceNow(); });
-    CallAfter(mPool.Loop(), kEagerTime, [this] { mEagerTimer.reset(); });
+    mStartupTimer = std::make_unique<RepeatingTimer>(mPool.Loop(), kStartupAnnounceInterval,
+                                                     [this] { mLink.AnnounceNow(); });
+    CallAfter(mPool.Loop(), kStartupAnnounceTime, [this] { mStartupTimer.reset(); });
   });
   mPool.OnReload([this] { ReadSeeds(); });
   mSeedTimer =
-    std::make_unique<RepeatingTimer>(mPool.Loop(), kSeedInterval, [this] { CheckSeeds(); });
+    std::make_unique<RepeatingTimer>(mPool.Loop(), kSeedCheckInterval, [this] { CheckSeeds(); });
 }
 
-// A node without its metrics still serves callers.
+// A node that cannot serve its metrics still serves callers.
 void PacketNode::OpenMetrics()
 {
   if (mSettings.mMetricsEndpoint.empty()) {
@@ -80,7 +82,7 @@
   mMetrics = std::move(metrics.value());
 }
 
-void PacketNode::OnAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState)
+void PacketNode::OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState)
 {
   if (aAnswer.mFenced) {
     mIncarnation += kIncarnationStep;
@@ -91,7 +93,7 @@
 
 void PacketNode::CheckSeeds()
 {
-  if (!mLink.InContact(kSeedInterval)) {
+  if (!mLink.InContact(kSeedCheckInterval)) {
     ReadSeeds();
   }
 }
@@ -105,7 +107,7 @@
   }
 }
 
-Result<std::unique_ptr<UdpSocket>> PacketNode::BindNodes(NodeHandler aHandler)
+Result<std::unique_ptr<UdpSocket>> PacketNode::BindNodeSocket(NodeHandler aHandler)
 {
   return UdpSocket::Bind(
     mPool.Loop(), Endpoint::Parse(mSettings.mDatagramEndpoint).value(),
@@ -134,7 +136,7 @@
 {
 }
 
-void SocketOutput::Count(bool aSent)
+void SocketOutput::CountIfNotSent(bool aSent)
 {
   if (!aSent) {
     mNotSent.Add();
@@ -145,19 +147,20 @@
                               std::span<const std::uint8_t> aPacket)
 {
   const auto header = aHeader.Encode();
-  mBuffer.assign(header.begin(), header.end());
-  mBuffer.insert(mBuffer.end(), aPacket.begin(), aPacket.end());
-  Count(mSockets.mNodes->Send(mBuffer, aNode));
+  mDatagram.assign(header.begin(), header.end());
+  mDatagram.insert(mDatagram.end(), aPacket.begin(), aPacket.end());
+  CountIfNotSent(mSockets.mNodeSocket->Send(mDatagram, aNode));
 }
 
 void SocketOutput::SendToCaller(const FlowKey& aFlow, std::span<const std::uint8_t> aPacket)
 {
-  Count(mSockets.mCallers->Send(aPacket, Endpoint::FromV4(aFlow.mCallerAddress, mCallerPort)));
+  CountIfNotSent(
+    mSockets.mCallerSocket->Send(aPacket, Endpoint::FromV4(aFlow.mCallerAddress, mCallerPort)));
 }
 
 void SocketOutput::SendToUpstream(std::span<const std::uint8_t> aPacket)
 {
-  Count(mSockets.mUpstream->Send(aPacket, mSockets.mUpstreamEndpoint));
+  CountIfNotSent(mSockets.mUpstreamSocket->Send(aPacket, mSockets.mUpstreamEndpoint));
 }
 
 } // namespace dandelionslip
--- a/lib/Daemon/PacketNode.h
+++ b/lib/Daemon/PacketNode.h
@@ -1,4 +1,4 @@
-// What balancers and agents of the packet plane have in common.
+// The common part of packet balancers and packet agents.
 #pragma once
 
 #include "ControlLink.h"
@@ -23,21 +23,21 @@
 public:
   struct Handlers
   {
-    std::function<void(Member&)> mDescribe; ///< Fills in kind, service and state.
+    std::function<void(Member&)> mFillMember; ///< Fills in kind, service and state.
     std::function<void(const NodeState&)> mOnState;
-    std::function<std::vector<std::string>()> mReadSeeds;
+    std::function<std::vector<std::string>()> mReadSeeds; ///< As PacketPlatform::mReadSeeds.
   };
 
   PacketNode(const PacketNodeSettings& aSettings, Handlers aHandlers);
 
   /// Fetches the state from control and announces the node from then on.
   void Start();
-  /// Opens the socket towards other nodes; the handler gets the datagrams with a valid hop header.
+  /// Opens the socket towards other nodes; the handler gets the datagrams with a valid header.
   using NodeHandler =
     std::function<void(const Endpoint&, const NodeMessageHeader&, std::span<std::uint8_t>)>;
-  Result<std::unique_ptr<UdpSocket>> BindNodes(NodeHandler aHandler);
+  Result<std::unique_ptr<UdpSocket>> BindNodeSocket(NodeHandler aHandler);
 
-  /// Stops announcing after a last announcement.
+  /// Announces the node now, so that control gets its last state, and exits after aDelay.
   void AnnounceAndExit(Milliseconds aDelay);
 
   WorkerPool& Pool() { return mPool; }
@@ -47,8 +47,8 @@
   MetricsRegistry& Registry() { return mRegistry; }
 
 private:
-  Announcement Describe() const;
-  void OnAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState);
+  Announcement MakeAnnouncement() const;
+  void OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState);
   void OpenMetrics();
   void CheckSeeds();
   void ReadSeeds();
@@ -63,19 +63,19 @@
   std::vector<std::string> mSeeds;
   ControlLink mLink;
   std::unique_ptr<RepeatingTimer> mSeedTimer;
-  std::unique_ptr<RepeatingTimer> mEagerTimer;
+  std::unique_ptr<RepeatingTimer> mStartupTimer;
 };
 
-/// The sockets of a node as the output of its core.
+/// Sends the packets of a node's core through the node's sockets.
 class SocketOutput : public PacketOutput
 {
 public:
-  /// Sockets are owned by the caller and must be set before the first packet.
+  /// Owned by the daemon; must be set before the first packet.
   struct Sockets
   {
-    UdpSocket* mNodes = nullptr;
-    UdpSocket* mCallers = nullptr;
-    UdpSocket* mUpstream = nullptr;
+    UdpSocket* mNodeSocket = nullptr;
+    UdpSocket* mCallerSocket = nullptr;
+    UdpSocket* mUpstreamSocket = nullptr;
     Endpoint mUpstreamEndpoint;
   };
 
@@ -89,12 +89,12 @@
   void SendToUpstream(std::span<const std::uint8_t> aPacket) override;
 
 private:
-  void Count(bool aSent);
+  void CountIfNotSent(bool aSent);
 
   std::uint16_t mCallerPort;
   Counter& mNotSent;
   Sockets mSockets;
-  std::vector<std::uint8_t> mBuffer;
+  std::vector<std::uint8_t> mDatagram;
 };
 
 } // namespace dandelionslip
