--- a/include/dandelionslip/Daemon/RequestRecordTransfer.h
+++ b/include/dandelionslip/Daemon/RequestRecordTransfer.h
@@ -1,4 +1,4 @@
-// Moves the request records of an agent together with its bucket directory.
+// Transfers an agent's request records together with its flow directory.
 #pragma once
 
 #include "dandelionslip/Agent/BucketRecords.h"
@@ -8,35 +8,36 @@
 
 namespace dandelionslip {
 
-/// Connects the bucket hand-off of the flow core to the records of the request core. Not
+/// Connects the bucket transfer of the flow core to the records of the request core. Not
 /// thread-safe.
 ///
-/// Every transfer raises the bucket's number by one, so that a record table recognises outdated
-/// messages. After a loss the number starts from the wall clock, because the lost owner's is not
-/// known; if it turns out too low for a later owner, that owner starts without records.
+/// Every transfer raises the generation of the bucket's records by one, so that the request core
+/// recognises outdated messages. The generation of a lost owner is not known: its successor uses
+/// the wall clock in seconds, unless it already knows a higher generation. If a later owner knows a
+/// generation above the one that is transferred to it, it starts without records.
 class RequestRecordTransfer : public BucketRecords
 {
 public:
   /// aClock gives the time of each event.
   explicit RequestRecordTransfer(std::function<RequestTime()> aClock);
 
-  /// Sets the request core; call before any other function. aHome must outlive this object.
-  void Attach(AgentRequestCore& aHome) { mHome = &aHome; }
+  /// Sets the request core; call before any other function. aRequestCore must outlive this object.
+  void SetRequestCore(AgentRequestCore& aRequestCore) { mRequestCore = &aRequestCore; }
 
   Json Export(std::span<const std::uint32_t> aBuckets, const std::string& aNewOwner) override;
   void Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords) override;
   void StartAsFirstOwner(std::span<const std::uint32_t> aBuckets) override;
   void StartWithoutRecords(std::span<const std::uint32_t> aBuckets) override;
 
-  /// The request actions that the calls since the last one have caused.
+  /// Returns the actions of the request core since the last call.
   AgentRequestActions TakeActions();
 
 private:
-  void TakeOver(const Json& aTable);
+  void ImportTable(const Json& aTable);
   void Append(AgentRequestActions aActions);
 
   std::function<RequestTime()> mClock;
-  AgentRequestCore* mHome = nullptr;
+  AgentRequestCore* mRequestCore = nullptr;
   AgentRequestActions mActions;
 };
 
--- a/lib/Daemon/AgentDaemon.cpp
+++ b/lib/Daemon/AgentDaemon.cpp
@@ -1,4 +1,5 @@
-// Connects the flow, admission and request cores to the upstream, other nodes and control.
+// Connects the flow core, the admission and the request core to the upstream, other nodes and
+// control.
 #include "dandelionslip/Daemon/AgentDaemon.h"
 
 #include "ControlLink.h"
@@ -27,16 +28,16 @@
 constexpr Milliseconds kPeerTimeout{1'000};
 constexpr Milliseconds kStopPoll{50};
 constexpr Milliseconds kStartPoll{100};
-// Retry-after time of requests that the upstream shed or that did not reach it.
+// Retry-after time of a request that the upstream shed or that did not reach it.
 constexpr Milliseconds kUpstreamRetryAfter{200};
-// Balancers send no new work this long after the draining announcement.
+// Time after the draining announcement until balancers send this agent no new work.
 constexpr Milliseconds kDrainTime{1'200};
 
-// Request slots are taken from the upstream's admission.
-class AdmissionSlots : public SlotAdmission
+// Takes the request core's slots from the admission that also counts the upstream's flows.
+class UpstreamSlotAdmission : public SlotAdmission
 {
 public:
-  explicit AdmissionSlots(UpstreamAdmission& aAdmission)
+  explicit UpstreamSlotAdmission(UpstreamAdmission& aAdmission)
     : mAdmission(aAdmission)
   {
   }
@@ -78,9 +79,9 @@
     , mLink(mPool.Loop(), mClients, aSettings, mRegistry,
             {[this] { return Announce(); },
              [this](const auto& aAnswer, const auto& aState, TimePoint aSentAt) {
-               OnAnswer(aAnswer, aState, aSentAt);
+               OnAnnouncementAnswer(aAnswer, aState, aSentAt);
              }})
-    , mSelf(Endpoint::Parse(aSettings.mDatagramEndpoint).value())
+    , mSelfEndpoint(Endpoint::Parse(aSettings.mDatagramEndpoint).value())
     , mPorts(mPool.Loop(), Endpoint::Parse(aSettings.mLocalAddress + ":1").value(),
              Endpoint::Parse(aSettings.mUpstreamDatagramEndpoint).value(),
              [this](FlowId aFlow, auto aPayload) { OnUpstreamDatagram(aFlow, aPayload); })
@@ -90,9 +91,9 @@
 
   Result<int> Run()
   {
-    auto socket = UdpSocket::Bind(mPool.Loop(), mSelf, [this](auto aBytes, const Endpoint& aFrom) {
-      OnDatagram(aBytes, aFrom);
-    });
+    auto socket =
+      UdpSocket::Bind(mPool.Loop(), mSelfEndpoint,
+                      [this](auto aBytes, const Endpoint& aFrom) { OnDatagram(aBytes, aFrom); });
     if (!socket) {
       return socket.as_failure();
     }
@@ -119,22 +120,23 @@
       .With("endpoint", mSettings.mDatagramEndpoint)
       .With("incarnation", mIncarnation)
       .With("version", DANDELIONSLIP_VERSION);
-    mLink.FetchState([this](const NodeState& aState) { Begin(aState); });
+    mLink.FetchState([this](const NodeState& aState) { StartWithState(aState); });
     return mPool.Run();
   }
 
 private:
   // --- Start ---
 
-  // Waits until the service is declared and an earlier process has ended, then builds the cores for
-  // its declaration.
-  void Begin(const NodeState& aState)
+  // Creates the cores and starts the timers. Fetches the state again as long as the service is not
+  // declared or an earlier process of this agent has not ended.
+  void StartWithState(const NodeState& aState)
   {
     const ServiceEntry* entry = aState.CurrentConfiguration().FindService(mSettings.mService);
     const Member* self = aState.CurrentView().FindMember(mSettings.mNode);
-    if (entry == nullptr || IsStillRunning(self)) {
-      CallAfter(mPool.Loop(), kStartPoll,
-                [this] { mLink.FetchState([this](const NodeState& aNext) { Begin(aNext); }); });
+    if (entry == nullptr || IsEarlierProcessRunning(self)) {
+      CallAfter(mPool.Loop(), kStartPoll, [this] {
+        mLink.FetchState([this](const NodeState& aNext) { StartWithState(aNext); });
+      });
       return;
     }
     const TimePoint now = RuntimeClock::now();
@@ -147,9 +149,9 @@
       if (self != nullptr && self->mState == MemberState::Restarting && !self->mBackup.empty()) {
         LogEvent(LogLevel::Info, "resuming").With("custodian", self->mBackup);
         mResuming = true;
-        mFlows->BeginResumption(self->mBackup, now, actions);
+        mFlowCore->BeginResumption(self->mBackup, now, actions);
       }
-      mFlows->OnState(aState.CurrentView(), aState.CurrentConfiguration(), now, actions);
+      mFlowCore->OnState(aState.CurrentView(), aState.CurrentConfiguration(), now, actions);
     }
     Perform(std::move(actions));
     mFlowTimer =
@@ -163,10 +165,10 @@
     }
   }
 
-  // Whether the view shows an earlier process of this agent at work. Until control has heard of its
-  // planned stop, or its lease has ended, the new process cannot know whether a peer holds its
+  // Whether the view shows an earlier process of this agent as running. Until control knows of its
+  // planned stop, or its lease has expired, the new process cannot know whether a backup keeps its
   // state.
-  static bool IsStillRunning(const Member* aSelf)
+  static bool IsEarlierProcessRunning(const Member* aSelf)
   {
     return aSelf != nullptr && HoldsFlows(aSelf->mState) &&
            aSelf->mState != MemberState::Restarting;
@@ -177,31 +179,32 @@
     mSpec = aEntry.mSpec;
     mServiceId = aEntry.mId;
     mAdmission = std::make_unique<UpstreamAdmission>(mSpec, aNow);
-    mSlots = std::make_unique<AdmissionSlots>(*mAdmission);
-    AgentRequestSettings home;
-    home.mSelf = mSettings.mNode;
-    home.mIncarnation = mIncarnation;
-    home.mBuckets = mSpec.mBuckets;
-    home.mSlots = mSpec.mSlots;
-    home.mRecords.mMaxRecords = mSettings.mMaxRecords;
-    home.mRecords.mMaxBytes = std::size_t{mSettings.mMaxRecordMebibytes} << 20U;
-    home.mRecords.mRetention = mSettings.mRecordRetention;
-    mHome = std::make_unique<AgentRequestCore>(
-      home, *mSlots, [this](std::uint32_t aBucket) { return AlternateOf(aBucket); }, mRegistry);
-    mRecords.Attach(*mHome);
-    FlowSettings flows;
-    flows.mName = mSettings.mNode;
-    flows.mService = mSettings.mService;
-    flows.mEndpoint = mSelf;
-    flows.mIncarnation = mIncarnation;
-    flows.mMaxFlows = mSettings.mMaxFlows;
-    mFlows = std::make_unique<FlowCore>(flows, *mAdmission, &mRecords);
+    mSlots = std::make_unique<UpstreamSlotAdmission>(*mAdmission);
+    AgentRequestSettings requestSettings;
+    requestSettings.mSelf = mSettings.mNode;
+    requestSettings.mIncarnation = mIncarnation;
+    requestSettings.mBuckets = mSpec.mBuckets;
+    requestSettings.mSlots = mSpec.mSlots;
+    requestSettings.mRecords.mMaxRecords = mSettings.mMaxRecords;
+    requestSettings.mRecords.mMaxBytes = std::size_t{mSettings.mMaxRecordMebibytes} << 20U;
+    requestSettings.mRecords.mRetention = mSettings.mRecordRetention;
+    mRequestCore = std::make_unique<AgentRequestCore>(
+      requestSettings, *mSlots, [this](std::uint32_t aBucket) { return AlternateOf(aBucket); },
+      mRegistry);
+    mRecordTransfer.SetRequestCore(*mRequestCore);
+    FlowSettings flowSettings;
+    flowSettings.mName = mSettings.mNode;
+    flowSettings.mService = mSettings.mService;
+    flowSettings.mEndpoint = mSelfEndpoint;
+    flowSettings.mIncarnation = mIncarnation;
+    flowSettings.mMaxFlows = mSettings.mMaxFlows;
+    mFlowCore = std::make_unique<FlowCore>(flowSettings, *mAdmission, &mRecordTransfer);
   }
 
   // Called by the request core while mMutex is held.
   std::optional<AlternateAgent> AlternateOf(std::uint32_t aBucket)
   {
-    const ServiceTable& table = mFlows->Table();
+    const ServiceTable& table = mFlowCore->Table();
     const MemberIndex index = table.Assignment().Alternate(aBucket);
     if (index == kNoMember || table.Members()[index].mName == mSettings.mNode) {
       return std::nullopt;
@@ -226,7 +229,7 @@
     member.mIncarnation = mIncarnation;
     const std::lock_guard lock(mMutex);
     announcement.mWeight = mAdmission->UpdateWeight(RuntimeClock::now());
-    announcement.mAckedGeneration = mFlows->AckedGeneration();
+    announcement.mAckedGeneration = mFlowCore->AckedGeneration();
     member.mState = AnnouncedState();
     member.mBackup = mBackup;
     return announcement;
@@ -240,7 +243,8 @@
     return mAdmission->State() == UpstreamState::Cold ? MemberState::Cold : MemberState::Serving;
   }
 
-  void OnAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState, TimePoint aSentAt)
+  void OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState,
+                            TimePoint aSentAt)
   {
     if (aAnswer.mFenced) {
       LogEvent(LogLevel::Error, "fenced").With("incarnation", mIncarnation);
@@ -250,28 +254,28 @@
     }
     const TimePoint now = RuntimeClock::now();
     FlowActions flowActions;
-    AgentRequestActions homeActions;
+    AgentRequestActions requestActions;
     {
       const std::lock_guard lock(mMutex);
       if (aAnswer.mLease.count() > 0) {
         mLeaseEnd = std::max(mLeaseEnd, aSentAt + aAnswer.mLease);
       }
-      // State comes first: buckets that had other owners in between must be known before the lease
-      // allows requests again.
-      ApplyState(aState, now, flowActions, homeActions);
-      AppendTo(homeActions, mRecords.TakeActions());
+      // The state is applied before the lease: a valid lease allows requests again, and by then the
+      // request core must know which buckets have had another owner in the meantime.
+      ApplyState(aState, now, flowActions, requestActions);
+      AppendTo(requestActions, mRecordTransfer.TakeActions());
       if (now < mLeaseEnd) {
-        mLeased = true;
-        mFlows->OnLeaseRenewed();
+        mFlowCoreHasLease = true;
+        mFlowCore->OnLeaseRenewed();
       }
-      AppendTo(homeActions, mHome->OnLease(now < mLeaseEnd, Now()));
+      AppendTo(requestActions, mRequestCore->OnLease(now < mLeaseEnd, Now()));
     }
     Perform(std::move(flowActions));
-    Perform(std::move(homeActions));
+    Perform(std::move(requestActions));
   }
 
   void ApplyState(const NodeState& aState, TimePoint aNow, FlowActions& aFlowActions,
-                  AgentRequestActions& aHomeActions)
+                  AgentRequestActions& aRequestActions)
   {
     const Configuration& configuration = aState.CurrentConfiguration();
     const View& view = aState.CurrentView();
@@ -284,56 +288,58 @@
       configuration.IsDrained(mSettings.mNode) ? mAdmission->Drain() : mAdmission->Undrain();
     }
     if (view.mRevision <= mLastView.mRevision &&
-        configuration.mRevision <= mFlows->ConfigurationRevision()) {
+        configuration.mRevision <= mFlowCore->ConfigurationRevision()) {
       return;
     }
-    NoteLostAgents(view, aHomeActions);
+    ReportLostAgents(view, aRequestActions);
     mLastView = view;
     mConfiguration = configuration;
-    mFlows->OnState(view, configuration, aNow, aFlowActions);
+    mFlowCore->OnState(view, configuration, aNow, aFlowActions);
   }
 
-  // Requests that a lost agent was still running for this one have an unknown outcome.
-  void NoteLostAgents(const View& aView, AgentRequestActions& aHomeActions)
+  // Reports newly lost agents to the request core: the outcome of requests that they were still
+  // running for this agent is unknown.
+  void ReportLostAgents(const View& aView, AgentRequestActions& aRequestActions)
   {
     for (const auto& [name, member] : aView.mMembers) {
       const Member* before = mLastView.FindMember(name);
       const bool lostNow = member.mState == MemberState::Lost &&
                            (before == nullptr || before->mState != MemberState::Lost);
       if (lostNow && member.mService == mSettings.mService) {
-        AppendTo(aHomeActions, mHome->OnAgentLost(name, Now()));
+        AppendTo(aRequestActions, mRequestCore->OnAgentLost(name, Now()));
       }
     }
   }
 
-  // Runs an event of the flow core and performs what it asks for.
+  // Calls aEvent with the flow core and performs the actions of both cores that result.
   template <typename Event>
-  void WithFlows(Event aEvent)
+  void WithFlowCore(Event aEvent)
   {
     FlowActions flowActions;
-    AgentRequestActions homeActions;
+    AgentRequestActions requestActions;
     {
       const std::lock_guard lock(mMutex);
-      if (!mFlows) {
+      if (!mFlowCore) {
         return;
       }
-      aEvent(*mFlows, flowActions);
-      homeActions = mRecords.TakeActions();
+      aEvent(*mFlowCore, flowActions);
+      requestActions = mRecordTransfer.TakeActions();
     }
     Perform(std::move(flowActions));
-    Perform(std::move(homeActions));
+    Perform(std::move(requestActions));
   }
 
+  // Calls aEvent with the request core and performs the actions that it returns.
   template <typename Event>
-  void WithHome(Event aEvent)
+  void WithRequestCore(Event aEvent)
   {
     AgentRequestActions actions;
     {
       const std::lock_guard lock(mMutex);
-      if (!mHome) {
+      if (!mRequestCore) {
         return;
       }
-      actions = aEvent(*mHome);
+      actions = aEvent(*mRequestCore);
     }
     Perform(std::move(actions));
   }
@@ -349,7 +355,7 @@
     }
     const DatagramHeader& header = frame.value().mHeader;
     const auto payload = frame.value().mPayload;
-    WithFlows([&](FlowCore& aCore, FlowActions& aOut) {
+    WithFlowCore([&](FlowCore& aCore, FlowActions& aOut) {
       const TimePoint now = RuntimeClock::now();
       if (header.mKind == DatagramKind::Forward) {
         mForwards.Add();
@@ -362,9 +368,9 @@
 
   void OnUpstreamDatagram(FlowId aFlow, std::span<const std::uint8_t> aPayload)
   {
-    WithFlows([&](FlowCore& aCore, FlowActions& aOut) {
+    WithFlowCore([&](FlowCore& aCore, FlowActions& aOut) {
       const TimePoint now = RuntimeClock::now();
-      if (const auto sent = mSentToUpstream.extract(aFlow); !sent.empty()) {
+      if (const auto sent = mOldestUnanswered.extract(aFlow); !sent.empty()) {
         mAdmission->ObserveReply(now, now - sent.mapped());
       }
       aCore.OnUpstreamDatagram(aFlow, aPayload, now, aOut);
@@ -373,10 +379,10 @@
 
   void OnFlowTick()
   {
-    WithFlows([this](FlowCore& aCore, FlowActions& aOut) {
+    WithFlowCore([this](FlowCore& aCore, FlowActions& aOut) {
       const TimePoint now = RuntimeClock::now();
-      if (mLeased && now >= mLeaseEnd) {
-        mLeased = false;
+      if (mFlowCoreHasLease && now >= mLeaseEnd) {
+        mFlowCoreHasLease = false;
         aCore.OnLeaseExpired();
       }
       aCore.OnTick(now, aOut);
@@ -401,7 +407,7 @@
   void Do(OpenUpstreamPort& aAction)
   {
     const std::uint16_t port = mPorts.Open(aAction.mFlow, aAction.mPort);
-    WithFlows([&](FlowCore& aCore, FlowActions& aOut) {
+    WithFlowCore([&](FlowCore& aCore, FlowActions& aOut) {
       aCore.OnUpstreamPortOpened(aAction.mFlow, port, RuntimeClock::now(), aOut);
     });
   }
@@ -410,7 +416,7 @@
   {
     {
       const std::lock_guard lock(mMutex);
-      mSentToUpstream.try_emplace(aAction.mFlow, RuntimeClock::now());
+      mOldestUnanswered.try_emplace(aAction.mFlow, RuntimeClock::now());
     }
     mPorts.Send(aAction.mFlow, aAction.mPayload);
   }
@@ -419,7 +425,7 @@
   {
     {
       const std::lock_guard lock(mMutex);
-      mSentToUpstream.erase(aAction.mFlow);
+      mOldestUnanswered.erase(aAction.mFlow);
     }
     mPorts.Close(aAction.mFlow);
   }
@@ -458,7 +464,8 @@
     AnnounceStop();
   }
 
-  // The new process finds the state only if control knows the custodian.
+  // Announces the stop until control answers or the stop deadline has passed. The new process finds
+  // the kept state only if control knows the backup.
   void AnnounceStop()
   {
     mLink.AnnounceNow([this](bool aAnswered) {
@@ -510,7 +517,7 @@
     }
     const std::string from(FindHeader(aExchange->Request().mHeaders, "dslip-from"));
     aExchange->Respond({});
-    WithFlows([&](FlowCore& aCore, FlowActions& aOut) {
+    WithFlowCore([&](FlowCore& aCore, FlowActions& aOut) {
       aCore.OnPeerMessage(from, message.value(), RuntimeClock::now(), aOut);
     });
   }
@@ -522,20 +529,20 @@
     if (!record) {
       return;
     }
-    WithHome([&](AgentRequestCore& aCore) {
+    WithRequestCore([&](AgentRequestCore& aCore) {
       auto actions = aCore.OnRecordUpdate(record.value(), aExchange->Peer(), Now());
       return actions ? std::move(actions.value()) : AgentRequestActions{};
     });
   }
 
-  // Passes on the newest state to a balancer that control does not reach.
+  // Sends the newest state to a balancer that does not reach control.
   void OnStateRequest(const std::shared_ptr<HttpExchange>& aExchange)
   {
     AnnouncementAnswer answer;
     {
       const std::lock_guard lock(mMutex);
-      answer.mConfirmed = mFlows != nullptr;
-      if (mFlows) {
+      answer.mConfirmed = mFlowCore != nullptr;
+      if (mFlowCore) {
         answer.mConfiguration = mConfiguration;
         answer.mView = mLastView;
         answer.mConfigurationRevision = answer.mConfiguration->mRevision;
@@ -551,23 +558,24 @@
   {
     const ReplyHandle handle = mNextHandle++;
     const auto& headers = aExchange->Request().mHeaders;
-    bool known = false;
+    bool isOurService = false;
     {
       const std::lock_guard lock(mMutex);
-      known = mHome && NumberHeader(headers, kHeaderService) == mServiceId;
-      if (known) {
+      isOurService = mRequestCore && FindNumberHeader(headers, kHeaderService) == mServiceId;
+      if (isOurService) {
         mExchanges[handle] = aExchange;
       }
     }
-    if (!known) {
+    if (!isOurService) {
       mRegistry.CounterFor("dandelionslip_agent_refusals_total", "reason=\"wrong_service\"").Add();
       aExchange->Respond(ToResponse(NotOwnerReply(RefusalReason::WrongService)));
       return;
     }
     ReceivedRequest request = DecodeRequest(*aExchange, handle);
-    WithHome([&](AgentRequestCore& aCore) { return aCore.OnRequest(std::move(request), Now()); });
+    WithRequestCore(
+      [&](AgentRequestCore& aCore) { return aCore.OnRequest(std::move(request), Now()); });
     aExchange->OnCancel([this, handle] {
-      WithHome([&](AgentRequestCore& aCore) { return aCore.OnCancel(handle, Now()); });
+      WithRequestCore([&](AgentRequestCore& aCore) { return aCore.OnCancel(handle, Now()); });
     });
   }
 
@@ -579,14 +587,14 @@
     if (const auto id = RequestId::Parse(FindHeader(headers, kHeaderRequestId))) {
       request.mId = id.value();
     }
-    request.mAttempt = static_cast<Attempt>(NumberHeader(headers, kHeaderAttempt).value_or(0));
+    request.mAttempt = static_cast<Attempt>(FindNumberHeader(headers, kHeaderAttempt).value_or(0));
     request.mIdempotent = FindHeader(headers, kHeaderIdempotent) == "true";
     request.mMayHaveRun = FindHeader(headers, kHeaderMayHaveRun) != "false";
     request.mRelayed = FindHeader(headers, kHeaderRelayed) == "true";
-    request.mTargetIncarnation = NumberHeader(headers, kHeaderIncarnation).value_or(0);
-    request.mRemaining =
-      Milliseconds(static_cast<std::int64_t>(NumberHeader(headers, kHeaderDeadline).value_or(0)));
-    request.mCaller = NumberHeader(headers, kHeaderCaller).value_or(0);
+    request.mTargetIncarnation = FindNumberHeader(headers, kHeaderIncarnation).value_or(0);
+    request.mRemaining = Milliseconds(
+      static_cast<std::int64_t>(FindNumberHeader(headers, kHeaderDeadline).value_or(0)));
+    request.mCaller = FindNumberHeader(headers, kHeaderCaller).value_or(0);
     const auto trafficClass = FindHeader(headers, kHeaderClass);
     for (const auto& [value, name] : EnumNames(TrafficClass{})) {
       request.mClass = name == trafficClass ? value : request.mClass;
@@ -597,7 +605,7 @@
 
   void OnRequestTick()
   {
-    WithHome([this](AgentRequestCore& aCore) {
+    WithRequestCore([this](AgentRequestCore& aCore) {
       AgentRequestActions actions = aCore.OnLease(RuntimeClock::now() < mLeaseEnd, Now());
       AppendTo(actions, aCore.OnTick(Now()));
       return actions;
@@ -611,7 +619,7 @@
     }
   }
 
-  void Forget(RunId aRun)
+  void RemoveRun(RunId aRun)
   {
     const std::lock_guard lock(mRunsMutex);
     mRuns.erase(aRun);
@@ -627,17 +635,17 @@
     const auto client = mClients.ClientFor(mSettings.mUpstreamRequestEndpoint);
     const auto timeout = std::max(aAction.mRemaining, Milliseconds(1));
     const RunId run = aAction.mRun;
-    // Send only posts; holding the mutex keeps its callback from running before the id is stored.
+    // Send only posts the request; its callback waits for this mutex, so the entry is stored first.
     const std::lock_guard lock(mRunsMutex);
     mRuns[run] = {client, client->Send(std::move(request), timeout, [this, run](auto aResult) {
-                    Forget(run);
+                    RemoveRun(run);
                     OnUpstreamResult(run, std::move(aResult));
                   })};
   }
 
   void OnUpstreamResult(RunId aRun, Result<HttpResponse> aResult)
   {
-    WithHome([&](AgentRequestCore& aCore) {
+    WithRequestCore([&](AgentRequestCore& aCore) {
       if (!aResult) {
         const bool sent = aResult.error().mCode != ErrorCode::Unavailable;
         const Refusal unreachable{RefusalReason::NoUpstream, kUpstreamRetryAfter};
@@ -648,7 +656,7 @@
         return aCore.OnUpstreamShed(aRun, {RefusalReason::UpstreamShed, kUpstreamRetryAfter},
                                     Now());
       }
-      return aCore.OnUpstreamAnswer(aRun, ReceivedFrom(std::move(aResult.value())), Now());
+      return aCore.OnUpstreamAnswer(aRun, ToReceivedAnswer(std::move(aResult.value())), Now());
     });
   }
 
@@ -664,7 +672,7 @@
     const RunId run = aAction.mRun;
     const auto client = mClients.ClientFor(endpoint);
     if (!client) {
-      WithHome(
+      WithRequestCore(
         [run](AgentRequestCore& aCore) { return aCore.OnAlternateLinkFailed(run, false, Now()); });
       return;
     }
@@ -685,14 +693,14 @@
     const auto timeout = std::max(aAction.mRemaining, Milliseconds(1));
     const std::lock_guard lock(mRunsMutex);
     mRuns[run] = {client, client->Send(std::move(request), timeout, [this, run](auto aResult) {
-                    Forget(run);
+                    RemoveRun(run);
                     OnAlternateResult(run, std::move(aResult));
                   })};
   }
 
   void OnAlternateResult(RunId aRun, Result<HttpResponse> aResult)
   {
-    WithHome([&](AgentRequestCore& aCore) {
+    WithRequestCore([&](AgentRequestCore& aCore) {
       if (!aResult) {
         const bool sent = aResult.error().mCode != ErrorCode::Unavailable;
         return aCore.OnAlternateLinkFailed(aRun, sent, Now());
@@ -770,7 +778,7 @@
     bool running = false;
     {
       const std::lock_guard lock(mMutex);
-      running = mFlows != nullptr && !mResuming;
+      running = mFlowCore != nullptr && !mResuming;
       if (running) {
         mStopState = MemberState::Draining;
         mAdmission->Drain();
@@ -782,28 +790,28 @@
     }
     mLink.AnnounceNow();
     CallAfter(mPool.Loop(), kDrainTime, [this] {
-      WithHome([](AgentRequestCore& aCore) { return aCore.OnPlannedStop(Now()); });
-      AwaitRequests();
+      WithRequestCore([](AgentRequestCore& aCore) { return aCore.OnPlannedStop(Now()); });
+      AwaitRequestsEnd();
     });
   }
 
-  void AwaitRequests()
+  void AwaitRequestsEnd()
   {
     bool active = false;
     {
       const std::lock_guard lock(mMutex);
-      active = mHome->Active();
+      active = mRequestCore->Active();
     }
     const bool late = RuntimeClock::now() > mStopBy;
     if (active && !late) {
-      CallAfter(mPool.Loop(), kStopPoll, [this] { AwaitRequests(); });
+      CallAfter(mPool.Loop(), kStopPoll, [this] { AwaitRequestsEnd(); });
       return;
     }
     if (late) {
       LogEvent(LogLevel::Warning, "stop_deadline_passed")
         .With("open_requests", mServer->OpenRequests());
     }
-    WithFlows([this](FlowCore& aCore, FlowActions& aOut) {
+    WithFlowCore([this](FlowCore& aCore, FlowActions& aOut) {
       aCore.BeginHandover(ToJson(mAdmission->Snapshot()), RuntimeClock::now(), aOut);
     });
   }
@@ -813,7 +821,7 @@
     mRegistry.GaugeFor("dandelionslip_control_bytes")
       .Set(static_cast<double>(mLink.TrafficBytes()));
     const std::lock_guard lock(mMutex);
-    if (!mFlows) {
+    if (!mFlowCore) {
       return;
     }
     const auto gauge = [this](const char* aName, auto aValue) {
@@ -824,21 +832,21 @@
     gauge("dandelionslip_agent_connection_limit",
           mAdmission->Limit(RuntimeClock::now()).mConnections);
     gauge("dandelionslip_agent_slot_limit", mAdmission->Limit(RuntimeClock::now()).mSlots);
-    gauge("dandelionslip_agent_acked_generation", mFlows->AckedGeneration());
+    gauge("dandelionslip_agent_acked_generation", mFlowCore->AckedGeneration());
     gauge("dandelionslip_view_revision", mLastView.mRevision);
     gauge("dandelionslip_configuration_revision", mConfiguration.mRevision);
     gauge("dandelionslip_lease_valid", RuntimeClock::now() < mLeaseEnd ? 1 : 0);
-    gauge("dandelionslip_agent_requests_running", mHome->Running());
-    gauge("dandelionslip_agent_requests_queued", mHome->Queued());
-    for (const auto& [reason, count] : mFlows->Drops()) {
-      SetReason("dandelionslip_agent_drops", reason, count);
+    gauge("dandelionslip_agent_requests_running", mRequestCore->Running());
+    gauge("dandelionslip_agent_requests_queued", mRequestCore->Queued());
+    for (const auto& [reason, count] : mFlowCore->Drops()) {
+      SetGaugeByReason("dandelionslip_agent_drops", reason, count);
     }
-    for (const auto& [reason, count] : mFlows->Refusals()) {
-      SetReason("dandelionslip_agent_flow_refusals", reason, count);
+    for (const auto& [reason, count] : mFlowCore->Refusals()) {
+      SetGaugeByReason("dandelionslip_agent_flow_refusals", reason, count);
     }
   }
 
-  void SetReason(const char* aName, RefusalReason aReason, std::uint64_t aCount)
+  void SetGaugeByReason(const char* aName, RefusalReason aReason, std::uint64_t aCount)
   {
     mRegistry.GaugeFor(aName, "reason=\"" + std::string(ToString(aReason)) + "\"")
       .Set(static_cast<double>(aCount));
@@ -850,28 +858,30 @@
   WorkerPool mPool;
   Http2ClientPool mClients;
   ControlLink mLink;
-  Endpoint mSelf;
+  Endpoint mSelfEndpoint;
   UpstreamPorts mPorts;
   std::uint64_t mIncarnation;
   // Lock order: mMutex, then the ports' mutex, then mRunsMutex.
-  std::mutex mMutex; ///< Guards the cores and the members below up to mLastView.
+  std::mutex mMutex; ///< Guards the cores and the members below up to mConfiguration.
   ServiceSpec mSpec;
   ServiceId mServiceId = 0;
   std::unique_ptr<UpstreamAdmission> mAdmission;
-  std::unique_ptr<AdmissionSlots> mSlots;
-  std::unique_ptr<AgentRequestCore> mHome;
-  RequestRecordTransfer mRecords{&Now};
-  std::unique_ptr<FlowCore> mFlows;
+  std::unique_ptr<UpstreamSlotAdmission> mSlots;
+  std::unique_ptr<AgentRequestCore> mRequestCore;
+  RequestRecordTransfer mRecordTransfer{&Now};
+  std::unique_ptr<FlowCore> mFlowCore;
   std::map<ReplyHandle, std::shared_ptr<HttpExchange>> mExchanges;
-  std::unordered_map<FlowId, TimePoint> mSentToUpstream; ///< Oldest unanswered datagram of a flow.
+  /// For each flow the time at which its oldest datagram without a reply went to the upstream.
+  std::unordered_map<FlowId, TimePoint> mOldestUnanswered;
   TimePoint mLeaseEnd;
-  bool mLeased = false; ///< The end of the newest lease has not been reported yet.
+  bool mFlowCoreHasLease = false; ///< The flow core was not told yet of the newest lease's end.
   std::optional<MemberState> mStopState;
   std::string mBackup;
   bool mResuming = false;
   View mLastView;
   Configuration mConfiguration;
   std::mutex mRunsMutex; ///< Guards mRuns.
+  /// The HTTP/2 client and its request id of each run in progress.
   std::map<RunId, std::pair<std::shared_ptr<Http2Client>, std::uint64_t>> mRuns;
   std::atomic<ReplyHandle> mNextHandle{1};
   TimePoint mStopBy;
--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -1,4 +1,4 @@
-// Connects the routing and relay cores to sockets, agents and control.
+// Connects the routing and request cores to callers' sockets, agents and control.
 #include "dandelionslip/Daemon/BalancerDaemon.h"
 
 #include "ControlLink.h"
@@ -24,29 +24,30 @@
 // A request without an attempt number may be a resend; only an explicit 1 says that it is not.
 constexpr std::uint32_t kAssumedAttempt = 2;
 constexpr Milliseconds kRoutingTick{100};
-constexpr Milliseconds kRelayTick{10};
+constexpr Milliseconds kRequestTick{10};
 constexpr Milliseconds kStopPoll{50};
-// Agents move replies to other balancers within this time after the draining announcement.
+// Time after the draining announcement until agents send replies through other balancers.
 constexpr Milliseconds kDrainTime{1'500};
-constexpr Milliseconds kPeerTimeout{500};
+constexpr Milliseconds kStateFetchTimeout{500};
 
-// The agents of the newest snapshot for the relay core.
+// Finds the agents for a request in the newest routing snapshot. Agents are identified by their
+// request endpoints.
 class SnapshotTargets : public RequestTargets
 {
 public:
   void Update(std::shared_ptr<const RoutingSnapshot> aSnapshot, const Configuration& aConfiguration)
   {
     mSnapshot = std::move(aSnapshot);
-    mNames.clear();
+    mServiceNames.clear();
     for (const auto& [name, entry] : aConfiguration.mServices) {
-      mNames[entry.mId] = name;
+      mServiceNames[entry.mId] = name;
     }
   }
 
   std::optional<std::string> OwnerOf(ServiceId aService, const RequestId& aId) const override
   {
-    const auto name = mNames.find(aService);
-    if (name == mNames.end()) {
+    const auto name = mServiceNames.find(aService);
+    if (name == mServiceNames.end()) {
       return std::nullopt;
     }
     const auto route = mSnapshot->RouteRequest(name->second, aId.Hash(), RuntimeClock::now());
@@ -58,8 +59,8 @@
 
   std::vector<std::string> CandidatesOf(ServiceId aService) const override
   {
-    const auto name = mNames.find(aService);
-    if (name == mNames.end()) {
+    const auto name = mServiceNames.find(aService);
+    if (name == mServiceNames.end()) {
       return {};
     }
     const auto candidates =
@@ -79,11 +80,11 @@
 
 private:
   std::shared_ptr<const RoutingSnapshot> mSnapshot = std::make_shared<RoutingSnapshot>();
-  std::map<ServiceId, std::string> mNames;
+  std::map<ServiceId, std::string> mServiceNames;
   mutable Random mRandom{SystemSeed()};
 };
 
-std::pair<std::string, Attempt> MapKey(const AttemptKey& aKey)
+std::pair<std::string, Attempt> AttemptMapKey(const AttemptKey& aKey)
 {
   return {aKey.mId.ToString(), aKey.mAttempt};
 }
@@ -98,19 +99,21 @@
     , mLink(mPool.Loop(), mClients, aSettings, mRegistry,
             {[this] { return Announce(); },
              [this](const auto& aAnswer, const auto& aState, TimePoint aSentAt) {
-               OnAnswer(aAnswer, aState, aSentAt);
+               OnAnnouncementAnswer(aAnswer, aState, aSentAt);
              }})
-    , mSelf(Endpoint::Parse(aSettings.mDatagramEndpoint).value())
-    , mRouting(RoutingSettings{mSelf})
-    , mRelay(BalancerRequestSettings{}, mTargets, SystemSeed(), mRegistry)
+    , mSelfEndpoint(Endpoint::Parse(aSettings.mDatagramEndpoint).value())
+    , mRouting(RoutingSettings{mSelfEndpoint})
+    , mRequestCore(BalancerRequestSettings{}, mTargets, SystemSeed(), mRegistry)
     , mIncarnation(static_cast<std::uint64_t>(WallClockMs()))
   {
   }
 
   Result<int> Run()
   {
-    auto socket = UdpSocket::Bind(
-      mPool.Loop(), mSelf, [this](auto aBytes, const Endpoint& aFrom) { OnAgent(aBytes, aFrom); });
+    auto socket =
+      UdpSocket::Bind(mPool.Loop(), mSelfEndpoint, [this](auto aBytes, const Endpoint& aFrom) {
+        OnAgentDatagram(aBytes, aFrom);
+      });
     if (!socket) {
       return socket.as_failure();
     }
@@ -126,8 +129,8 @@
     }
     mRoutingTimer =
       std::make_unique<RepeatingTimer>(mPool.Loop(), kRoutingTick, [this] { OnRoutingTick(); });
-    mRelayTimer =
-      std::make_unique<RepeatingTimer>(mPool.Loop(), kRelayTick, [this] { OnRelayTick(); });
+    mRequestTimer =
+      std::make_unique<RepeatingTimer>(mPool.Loop(), kRequestTick, [this] { OnRequestTick(); });
     mPool.OnStop([this] { Stop(); });
     LogEvent(LogLevel::Info, "started")
       .With("endpoint", mSettings.mDatagramEndpoint)
@@ -161,7 +164,8 @@
     return announcement;
   }
 
-  void OnAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState, TimePoint aSentAt)
+  void OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState,
+                            TimePoint aSentAt)
   {
     if (aAnswer.mFenced) {
       LogEvent(LogLevel::Error, "fenced").With("incarnation", mIncarnation);
@@ -191,7 +195,7 @@
       return;
     }
     {
-      const std::lock_guard lock(mRelayMutex);
+      const std::lock_guard lock(mRequestMutex);
       mTargets.Update(mRouting.Snapshot(), configuration);
     }
     UpdateListeners(configuration);
@@ -221,60 +225,62 @@
     }
   }
 
-  void Listen(const Endpoint& aService)
+  void Listen(const Endpoint& aServiceAddress)
   {
-    Endpoint local = aService;
+    Endpoint local = aServiceAddress;
     if (!mSettings.mListenAddress.empty()) {
       const auto bound =
-        Endpoint::Parse(mSettings.mListenAddress + ":" + std::to_string(aService.mPort));
+        Endpoint::Parse(mSettings.mListenAddress + ":" + std::to_string(aServiceAddress.mPort));
       local = bound ? bound.value() : local;
     }
-    auto datagrams =
-      UdpSocket::Bind(mPool.Loop(), local, [this, aService](auto aBytes, const Endpoint& aFrom) {
-        OnCaller(aService, aBytes, aFrom);
+    auto datagrams = UdpSocket::Bind(mPool.Loop(), local,
+                                     [this, aServiceAddress](auto aBytes, const Endpoint& aFrom) {
+                                       OnCallerDatagram(aServiceAddress, aBytes, aFrom);
+                                     });
+    auto requests =
+      Http2Server::Listen(mPool.Loop(), local, [this, aServiceAddress](auto aExchange) {
+        OnRequest(aServiceAddress, aExchange);
       });
-    auto requests = Http2Server::Listen(
-      mPool.Loop(), local, [this, aService](auto aExchange) { OnRequest(aService, aExchange); });
     if (!datagrams || !requests) {
       LogEvent(LogLevel::Error, "listen_failed")
-        .With("service_address", aService.ToString())
+        .With("service_address", aServiceAddress.ToString())
         .With(datagrams ? requests.error() : datagrams.error());
       return;
     }
-    mListeners[aService] = {std::move(datagrams.value()), std::move(requests.value())};
+    mListeners[aServiceAddress] = {std::move(datagrams.value()), std::move(requests.value())};
     LogEvent(LogLevel::Info, "listening")
-      .With("service_address", aService.ToString())
+      .With("service_address", aServiceAddress.ToString())
       .With("local", local.ToString());
   }
 
-  void CountRefusal(RefusalReason aReason, std::string_view aKind)
+  void CountByReason(RefusalReason aReason, std::string_view aCounter)
   {
     mRegistry
-      .CounterFor("dandelionslip_balancer_" + std::string(aKind) + "_total",
+      .CounterFor("dandelionslip_balancer_" + std::string(aCounter) + "_total",
                   "reason=\"" + std::string(ToString(aReason)) + "\"")
       .Add();
   }
 
-  void OnCaller(const Endpoint& aService, std::span<const std::uint8_t> aBytes,
-                const Endpoint& aCaller)
+  void OnCallerDatagram(const Endpoint& aServiceAddress, std::span<const std::uint8_t> aBytes,
+                        const Endpoint& aCaller)
   {
     const auto datagram = DecodeCallerDatagram(aBytes);
     if (!datagram || datagram.value().mKind == CallerDatagramKind::Refused ||
         aBytes.size() > kMaxDatagramPayload) {
-      CountRefusal(RefusalReason::Malformed, "drops");
+      CountByReason(RefusalReason::Malformed, "drops");
       return;
     }
     const bool opening = datagram.value().mKind == CallerDatagramKind::Open;
-    const auto decision =
-      mRouting.Snapshot()->Route(aCaller, aService, opening, mSelf, RuntimeClock::now());
+    const auto decision = mRouting.Snapshot()->Route(aCaller, aServiceAddress, opening,
+                                                     mSelfEndpoint, RuntimeClock::now());
     if (const auto* forward = std::get_if<ForwardDatagram>(&decision)) {
       SendFrame(forward->mHeader, aBytes, forward->mTo);
       mForwarded.Add();
     } else if (const auto* refusal = std::get_if<Refusal>(&decision)) {
-      CountRefusal(refusal->mReason, "refusals");
-      Refuse(aService, aCaller, datagram.value().mSessionTag, *refusal);
+      CountByReason(refusal->mReason, "refusals");
+      Refuse(aServiceAddress, aCaller, datagram.value().mSessionTag, *refusal);
     } else {
-      CountRefusal(std::get<DropDatagram>(decision).mReason, "drops");
+      CountByReason(std::get<DropDatagram>(decision).mReason, "drops");
     }
   }
 
@@ -288,7 +294,7 @@
     mAgentSocket->Send({frame.data(), header.size() + aPayload.size()}, aTo);
   }
 
-  void Refuse(const Endpoint& aService, const Endpoint& aCaller, std::uint64_t aTag,
+  void Refuse(const Endpoint& aServiceAddress, const Endpoint& aCaller, std::uint64_t aTag,
               const Refusal& aRefusal)
   {
     CallerDatagram refused;
@@ -296,25 +302,25 @@
     refused.mSessionTag = aTag;
     refused.mReason = aRefusal.mReason;
     refused.mRetryAfter = aRefusal.mRetryAfter;
-    SendToCaller(aService, EncodeCallerDatagram(refused), aCaller);
+    SendToCaller(aServiceAddress, EncodeCallerDatagram(refused), aCaller);
   }
 
-  void SendToCaller(const Endpoint& aService, std::span<const std::uint8_t> aBytes,
+  void SendToCaller(const Endpoint& aServiceAddress, std::span<const std::uint8_t> aBytes,
                     const Endpoint& aCaller)
   {
     const std::shared_lock lock(mListenersMutex);
-    if (const auto found = mListeners.find(aService); found != mListeners.end()) {
+    if (const auto found = mListeners.find(aServiceAddress); found != mListeners.end()) {
       found->second.mDatagrams->Send(aBytes, aCaller);
       return;
     }
-    CountRefusal(RefusalReason::NoService, "drops");
+    CountByReason(RefusalReason::NoService, "drops");
   }
 
-  void OnAgent(std::span<const std::uint8_t> aBytes, const Endpoint& aFrom)
+  void OnAgentDatagram(std::span<const std::uint8_t> aBytes, const Endpoint& aFrom)
   {
     const auto frame = DecodeDatagram(aBytes);
     if (!frame) {
-      CountRefusal(RefusalReason::Malformed, "drops");
+      CountByReason(RefusalReason::Malformed, "drops");
       return;
     }
     const auto& [header, payload] = frame.value();
@@ -347,13 +353,13 @@
         SendFrame(probe->mHeader, {}, probe->mTo);
         continue;
       }
-      FetchFromPeer(std::get<FetchStateFromAgent>(action).mRequestEndpoint);
+      FetchStateFrom(std::get<FetchStateFromAgent>(action).mRequestEndpoint);
     }
   }
 
-  void FetchFromPeer(const std::string& aEndpoint)
+  void FetchStateFrom(const std::string& aEndpoint)
   {
-    mClients.Post(aEndpoint, "/v1/state", {}, kPeerTimeout, [this, aEndpoint](auto aResult) {
+    mClients.Post(aEndpoint, "/v1/state", {}, kStateFetchTimeout, [this, aEndpoint](auto aResult) {
       const auto answer = aResult ? FromCbor<AnnouncementAnswer>(aResult.value(), aEndpoint)
                                   : Result<AnnouncementAnswer>(aResult.as_failure());
       if (!answer) {
@@ -369,14 +375,14 @@
 
   // --- Requests ---
 
-  void OnRequest(const Endpoint& aService, const std::shared_ptr<HttpExchange>& aExchange)
+  void OnRequest(const Endpoint& aServiceAddress, const std::shared_ptr<HttpExchange>& aExchange)
   {
     std::shared_ptr<const Configuration> configuration;
     {
       const std::shared_lock lock(mListenersMutex);
       configuration = mConfiguration;
     }
-    const ServiceEntry* entry = FindByAddress(*configuration, aService);
+    const ServiceEntry* entry = FindByAddress(*configuration, aServiceAddress);
     if (entry == nullptr) {
       aExchange->Respond(
         ToResponse(NotRunReply({RefusalReason::NoService, kBalancerRetryAfterMs})));
@@ -385,23 +391,23 @@
     CallerRequest request = DecodeRequest(*entry, *aExchange);
     const ReplyHandle handle = request.mHandle;
     {
-      const std::lock_guard lock(mRelayMutex);
+      const std::lock_guard lock(mRequestMutex);
       mExchanges[handle] = aExchange;
     }
-    PerformRelay([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
+    WithRequestCore([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
       return aCore.OnRequest(std::move(request), aTime);
     });
     aExchange->OnCancel([this, handle] {
-      PerformRelay([handle](BalancerRequestCore& aCore, const RequestTime& aTime) {
+      WithRequestCore([handle](BalancerRequestCore& aCore, const RequestTime& aTime) {
         return aCore.OnCallerCancelled(handle, aTime);
       });
     });
   }
 
   static const ServiceEntry* FindByAddress(const Configuration& aConfiguration,
-                                           const Endpoint& aService)
+                                           const Endpoint& aServiceAddress)
   {
-    const std::string address = aService.ToString();
+    const std::string address = aServiceAddress.ToString();
     for (const auto& [name, entry] : aConfiguration.mServices) {
       const auto& addresses = entry.mSpec.mAddresses;
       if (std::find(addresses.begin(), addresses.end(), address) != addresses.end()) {
@@ -421,12 +427,12 @@
       request.mIdText = std::string(id);
     }
     request.mCallerAttempt = static_cast<std::uint32_t>(std::min<std::uint64_t>(
-      NumberHeader(headers, kHeaderAttempt).value_or(kAssumedAttempt), kMaxCallerAttempt));
+      FindNumberHeader(headers, kHeaderAttempt).value_or(kAssumedAttempt), kMaxCallerAttempt));
     request.mIdempotent =
       aEntry.mSpec.mIdempotent && FindHeader(headers, kHeaderIdempotent) != "false";
     const auto limit = static_cast<std::uint64_t>(aEntry.mSpec.mRequestTimeout.count());
     request.mRemaining = Milliseconds(static_cast<std::int64_t>(
-      std::min(NumberHeader(headers, kHeaderDeadline).value_or(limit), limit)));
+      std::min(FindNumberHeader(headers, kHeaderDeadline).value_or(limit), limit)));
     const std::string& peer = aExchange.Peer();
     request.mCaller = Hash64(std::string_view(peer).substr(0, peer.rfind(':')));
     request.mClass = aEntry.mSpec.mTrafficClass;
@@ -434,22 +440,23 @@
     return request;
   }
 
+  // Calls aEvent with the request core and performs the actions that it returns.
   template <typename Event>
-  void PerformRelay(Event aEvent)
+  void WithRequestCore(Event aEvent)
   {
     BalancerRequestActions actions;
     {
-      const std::lock_guard lock(mRelayMutex);
-      actions = aEvent(mRelay, RequestTime{RuntimeClock::now(), WallClockMs()});
+      const std::lock_guard lock(mRequestMutex);
+      actions = aEvent(mRequestCore, RequestTime{RuntimeClock::now(), WallClockMs()});
     }
     for (auto& action : actions) {
       std::visit([this](auto& aAction) { this->Do(aAction); }, action);
     }
   }
 
-  void OnRelayTick()
+  void OnRequestTick()
   {
-    PerformRelay(
+    WithRequestCore(
       [](BalancerRequestCore& aCore, const RequestTime& aTime) { return aCore.OnTick(aTime); });
   }
 
@@ -471,28 +478,28 @@
     const auto client = mClients.ClientFor(aAction.mAgent);
     const AttemptKey key = aAction.mKey;
     const auto timeout = std::max(aAction.mRemaining, Milliseconds(1));
-    // Send only posts; holding the mutex keeps its callback from running before the id is stored.
-    const std::lock_guard lock(mRelayMutex);
-    mAttempts[MapKey(key)] = client->Send(std::move(request), timeout, [this, key](auto aResult) {
-      OnAgentResult(key, std::move(aResult));
-    });
+    // Send only posts the request; its callback waits for this mutex, so the id is stored first.
+    const std::lock_guard lock(mRequestMutex);
+    mHttpRequestIds[AttemptMapKey(key)] =
+      client->Send(std::move(request), timeout,
+                   [this, key](auto aResult) { OnAgentResult(key, std::move(aResult)); });
   }
 
   void OnAgentResult(const AttemptKey& aKey, Result<HttpResponse> aResult)
   {
     {
-      const std::lock_guard lock(mRelayMutex);
-      mAttempts.erase(MapKey(aKey));
+      const std::lock_guard lock(mRequestMutex);
+      mHttpRequestIds.erase(AttemptMapKey(aKey));
     }
     if (!aResult) {
       const bool sent = aResult.error().mCode != ErrorCode::Unavailable;
-      PerformRelay([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
+      WithRequestCore([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
         return aCore.OnAgentLinkFailed(aKey, sent, aTime);
       });
       return;
     }
     auto response = FromResponse(std::move(aResult.value()));
-    PerformRelay([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
+    WithRequestCore([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
       return aCore.OnAgentAnswer(aKey, response.mOutcome, response.mRefusal,
                                  std::move(response.mReceived), aTime);
     });
@@ -502,8 +509,9 @@
   {
     std::optional<std::uint64_t> id;
     {
-      const std::lock_guard lock(mRelayMutex);
-      if (const auto found = mAttempts.find(MapKey(aAction.mKey)); found != mAttempts.end()) {
+      const std::lock_guard lock(mRequestMutex);
+      if (const auto found = mHttpRequestIds.find(AttemptMapKey(aAction.mKey));
+          found != mHttpRequestIds.end()) {
         id = found->second;
       }
     }
@@ -516,7 +524,7 @@
   {
     std::shared_ptr<HttpExchange> exchange;
     {
-      const std::lock_guard lock(mRelayMutex);
+      const std::lock_guard lock(mRequestMutex);
       if (auto node = mExchanges.extract(aAction.mHandle); !node.empty()) {
         exchange = node.mapped();
       }
@@ -543,7 +551,7 @@
           listener.mRequests->StopAccepting();
         }
       }
-      AwaitRequests();
+      AwaitRequestsEnd();
     });
   }
 
@@ -557,12 +565,12 @@
     return open;
   }
 
-  void AwaitRequests()
+  void AwaitRequestsEnd()
   {
     const std::size_t open = OpenRequests();
     const bool late = RuntimeClock::now() > mStopBy;
     if (open > 0 && !late) {
-      CallAfter(mPool.Loop(), kStopPoll, [this] { AwaitRequests(); });
+      CallAfter(mPool.Loop(), kStopPoll, [this] { AwaitRequestsEnd(); });
       return;
     }
     LogEvent(late ? LogLevel::Warning : LogLevel::Info, late ? "stop_deadline_passed" : "stopped")
@@ -593,18 +601,19 @@
   WorkerPool mPool;
   Http2ClientPool mClients;
   ControlLink mLink;
-  Endpoint mSelf;
-  // Lock order: routing, listeners, relay.
-  std::mutex mRoutingMutex; ///< Guards mRouting except for its snapshot.
+  Endpoint mSelfEndpoint;
+  // Lock order: mRoutingMutex, mListenersMutex, mRequestMutex.
+  std::mutex mRoutingMutex; ///< Guards mRouting; its snapshot is read without it.
   RoutingCore mRouting;
   std::shared_mutex mListenersMutex; ///< Guards mListeners and mConfiguration.
   std::map<Endpoint, Listener> mListeners;
   std::shared_ptr<const Configuration> mConfiguration = std::make_shared<Configuration>();
-  std::mutex mRelayMutex; ///< Guards the members below up to mAttempts.
+  std::mutex mRequestMutex; ///< Guards the members below up to mHttpRequestIds.
   SnapshotTargets mTargets;
-  BalancerRequestCore mRelay;
+  BalancerRequestCore mRequestCore;
   std::map<ReplyHandle, std::shared_ptr<HttpExchange>> mExchanges;
-  std::map<std::pair<std::string, Attempt>, std::uint64_t> mAttempts; ///< Client's request ids.
+  /// The HTTP/2 client's request id of each attempt in progress.
+  std::map<std::pair<std::string, Attempt>, std::uint64_t> mHttpRequestIds;
   std::atomic<ReplyHandle> mNextHandle{1};
   std::atomic<MemberState> mState{MemberState::Serving};
   std::uint64_t mIncarnation;
@@ -612,7 +621,7 @@
   std::unique_ptr<UdpSocket> mAgentSocket;
   std::unique_ptr<MetricsEndpoint> mMetrics;
   std::unique_ptr<RepeatingTimer> mRoutingTimer;
-  std::unique_ptr<RepeatingTimer> mRelayTimer;
+  std::unique_ptr<RepeatingTimer> mRequestTimer;
 };
 
 } // namespace
--- a/lib/Daemon/RequestHeaders.cpp
+++ b/lib/Daemon/RequestHeaders.cpp
@@ -1,4 +1,4 @@
-// Conversion between request outcomes and HTTP responses.
+// Conversion between replies and HTTP responses.
 #include "RequestHeaders.h"
 
 #include <array>
@@ -8,6 +8,7 @@
 
 namespace {
 
+// Indexed by RequestOutcome.
 constexpr int kStatusByOutcome[] = {200, 503, 502, 499, 421};
 constexpr char kContentType[] = "content-type";
 constexpr char kUpstreamStatus[] = "dslip-upstream-status";
@@ -25,8 +26,8 @@
 
 } // namespace
 
-std::optional<std::uint64_t> NumberHeader(const std::vector<HttpHeader>& aHeaders,
-                                          std::string_view aName)
+std::optional<std::uint64_t> FindNumberHeader(const std::vector<HttpHeader>& aHeaders,
+                                              std::string_view aName)
 {
   const auto text = FindHeader(aHeaders, aName);
   std::uint64_t number = 0;
@@ -37,27 +38,27 @@
   return number;
 }
 
-HttpResponse ToResponse(const RequestReply& aAnswer)
+HttpResponse ToResponse(const RequestReply& aReply)
 {
   HttpResponse response;
-  response.mStatus = kStatusByOutcome[static_cast<std::size_t>(aAnswer.mOutcome)];
-  response.mHeaders.push_back({kHeaderOutcome, std::string(ToString(aAnswer.mOutcome))});
-  if (aAnswer.mRefusal) {
-    response.mHeaders.push_back({kHeaderReason, std::string(ToString(aAnswer.mRefusal->mReason))});
+  response.mStatus = kStatusByOutcome[static_cast<std::size_t>(aReply.mOutcome)];
+  response.mHeaders.push_back({kHeaderOutcome, std::string(ToString(aReply.mOutcome))});
+  if (aReply.mRefusal) {
+    response.mHeaders.push_back({kHeaderReason, std::string(ToString(aReply.mRefusal->mReason))});
     response.mHeaders.push_back(
-      {kHeaderRetryAfter, std::to_string(aAnswer.mRefusal->mRetryAfter.count())});
+      {kHeaderRetryAfter, std::to_string(aReply.mRefusal->mRetryAfter.count())});
   }
-  if (aAnswer.mDigest) {
-    response.mHeaders.push_back({kHeaderDigest, std::to_string(aAnswer.mDigest->mLength) + "-" +
-                                                  std::to_string(aAnswer.mDigest->mHash)});
+  if (aReply.mDigest) {
+    response.mHeaders.push_back({kHeaderDigest, std::to_string(aReply.mDigest->mLength) + "-" +
+                                                  std::to_string(aReply.mDigest->mHash)});
   }
-  if (aAnswer.mOutcome == RequestOutcome::Answered) {
-    response.mHeaders.push_back({kUpstreamStatus, std::to_string(aAnswer.mAnswer.mStatus)});
-    if (!aAnswer.mAnswer.mContentType.empty()) {
-      response.mHeaders.push_back({kContentType, aAnswer.mAnswer.mContentType});
+  if (aReply.mOutcome == RequestOutcome::Answered) {
+    response.mHeaders.push_back({kUpstreamStatus, std::to_string(aReply.mAnswer.mStatus)});
+    if (!aReply.mAnswer.mContentType.empty()) {
+      response.mHeaders.push_back({kContentType, aReply.mAnswer.mContentType});
     }
-    response.mStatus = static_cast<int>(aAnswer.mAnswer.mStatus);
-    response.mBody = aAnswer.mAnswer.mBody;
+    response.mStatus = static_cast<int>(aReply.mAnswer.mStatus);
+    response.mBody = aReply.mAnswer.mBody;
   }
   return response;
 }
@@ -69,19 +70,20 @@
   response.mOutcome =
     FindEnum<RequestOutcome>(FindHeader(headers, kHeaderOutcome)).value_or(RequestOutcome::Unknown);
   if (const auto reason = FindEnum<RefusalReason>(FindHeader(headers, kHeaderReason))) {
-    response.mRefusal = Refusal{*reason, Milliseconds(static_cast<std::int64_t>(
-                                           NumberHeader(headers, kHeaderRetryAfter).value_or(0)))};
+    response.mRefusal =
+      Refusal{*reason, Milliseconds(static_cast<std::int64_t>(
+                         FindNumberHeader(headers, kHeaderRetryAfter).value_or(0)))};
   }
-  response.mReceived = ReceivedFrom(std::move(aResponse));
+  response.mReceived = ToReceivedAnswer(std::move(aResponse));
   return response;
 }
 
-ReceivedAnswer ReceivedFrom(HttpResponse aResponse)
+ReceivedAnswer ToReceivedAnswer(HttpResponse aResponse)
 {
   ReceivedAnswer received;
   received.mAnswer.mStatus = static_cast<std::uint32_t>(aResponse.mStatus);
   received.mAnswer.mContentType = FindHeader(aResponse.mHeaders, kContentType);
-  received.mDeclaredLength = NumberHeader(aResponse.mHeaders, "content-length");
+  received.mDeclaredLength = FindNumberHeader(aResponse.mHeaders, "content-length");
   // The HTTP/2 client delivers only messages that ended with END_STREAM.
   received.mEndOfStream = true;
   received.mAnswer.mBody = std::move(aResponse.mBody);
--- a/lib/Daemon/RequestHeaders.h
+++ b/lib/Daemon/RequestHeaders.h
@@ -1,4 +1,4 @@
-// HTTP/2 headers of requests between callers, balancers, agents and upstreams.
+// HTTP/2 headers of requests and replies between callers, balancers, agents and upstreams.
 #pragma once
 
 #include "dandelionslip/Net/HttpMessage.h"
@@ -27,14 +27,15 @@
 /// Set by an upstream that refused a request before running it.
 inline constexpr char kHeaderNotRun[] = "dslip-not-run";
 
-/// Reads an unsigned decimal header; no value when absent or malformed.
-std::optional<std::uint64_t> NumberHeader(const std::vector<HttpHeader>& aHeaders,
-                                          std::string_view aName);
+/// Finds a header with an unsigned decimal number; no value if it is absent or malformed.
+std::optional<std::uint64_t> FindNumberHeader(const std::vector<HttpHeader>& aHeaders,
+                                              std::string_view aName);
 
-/// The answer as an HTTP response: 200 answered, 503 not run, 502 unknown, 499 cancelled.
-HttpResponse ToResponse(const RequestReply& aAnswer);
+/// Converts a reply to an HTTP response. Its status is the upstream's for an answer, else 503 not
+/// run, 502 unknown, 499 cancelled, 421 not owner.
+HttpResponse ToResponse(const RequestReply& aReply);
 
-/// A response of an agent or balancer as outcome, refusal and received answer.
+/// The contents of an agent's response.
 struct AgentResponse
 {
   RequestOutcome mOutcome = RequestOutcome::Unknown;
@@ -42,10 +43,10 @@
   ReceivedAnswer mReceived;
 };
 
-/// Reads what ToResponse wrote. A response without outcome header counts as unknown.
+/// The inverse of ToResponse. The outcome of a response without outcome header is unknown.
 AgentResponse FromResponse(HttpResponse aResponse);
 
-/// The response of an upstream as a received answer.
-ReceivedAnswer ReceivedFrom(HttpResponse aResponse);
+/// Converts an upstream's response.
+ReceivedAnswer ToReceivedAnswer(HttpResponse aResponse);
 
 } // namespace dandelionslip
--- a/lib/Daemon/RequestRecordTransfer.cpp
+++ b/lib/Daemon/RequestRecordTransfer.cpp
@@ -1,4 +1,4 @@
-// Bucket hand-off of request records.
+// Transfer of request records to the new owner of their buckets.
 #include "dandelionslip/Daemon/RequestRecordTransfer.h"
 
 #include "dandelionslip/Request/TransferredBuckets.h"
@@ -26,20 +26,20 @@
 Json RequestRecordTransfer::Export(std::span<const std::uint32_t> aBuckets,
                                    const std::string& aNewOwner)
 {
-  const RequestRecords& records = mHome->Records();
-  std::map<std::uint32_t, std::set<std::uint32_t>> byNumber;
+  const RequestRecords& records = mRequestCore->Records();
+  std::map<std::uint32_t, std::set<std::uint32_t>> byGeneration;
   for (const std::uint32_t bucket : aBuckets) {
     const RecordBucketState state = records.StateOf(bucket);
-    const std::uint32_t number = records.GenerationOf(bucket);
+    const std::uint32_t generation = records.GenerationOf(bucket);
     if (state == RecordBucketState::Complete) {
-      byNumber[number + 1].insert(bucket);
+      byGeneration[generation + 1].insert(bucket);
     } else if (state == RecordBucketState::Frozen && records.NewOwner(bucket) == aNewOwner) {
-      byNumber[number].insert(bucket);
+      byGeneration[generation].insert(bucket);
     }
   }
   Json tables = Json::array();
-  for (const auto& [number, buckets] : byNumber) {
-    auto table = mHome->FreezeAndExport(buckets, aNewOwner, number, mClock());
+  for (const auto& [generation, buckets] : byGeneration) {
+    auto table = mRequestCore->FreezeAndExport(buckets, aNewOwner, generation, mClock());
     if (!table) {
       LogEvent(LogLevel::Warning, "records_not_exported").With(table.error());
       continue;
@@ -53,19 +53,19 @@
 {
   if (aRecords.is_array()) {
     for (const Json& table : aRecords) {
-      TakeOver(table);
+      ImportTable(table);
     }
   }
   std::vector<std::uint32_t> missing;
   for (const std::uint32_t bucket : aBuckets) {
-    if (mHome->Records().StateOf(bucket) != RecordBucketState::Complete) {
+    if (mRequestCore->Records().StateOf(bucket) != RecordBucketState::Complete) {
       missing.push_back(bucket);
     }
   }
   StartWithoutRecords(missing);
 }
 
-void RequestRecordTransfer::TakeOver(const Json& aTable)
+void RequestRecordTransfer::ImportTable(const Json& aTable)
 {
   const auto buckets = ListTransferredBuckets(aTable, kPeer);
   if (!buckets) {
@@ -73,10 +73,10 @@
     return;
   }
   const RequestTime now = mClock();
-  for (const auto& [bucket, number] : buckets.value()) {
-    Append(mHome->OnBucketAcquired(bucket, number, now));
+  for (const auto& [bucket, generation] : buckets.value()) {
+    Append(mRequestCore->OnBucketAcquired(bucket, generation, now));
   }
-  auto actions = mHome->OnHandoff(aTable, kPeer, now);
+  auto actions = mRequestCore->OnHandoff(aTable, kPeer, now);
   if (!actions) {
     LogEvent(LogLevel::Warning, "records_not_imported").With(actions.error());
     return;
@@ -88,7 +88,8 @@
 {
   const RequestTime now = mClock();
   for (const std::uint32_t bucket : aBuckets) {
-    Append(mHome->OnBucketFirstOwner(bucket, mHome->Records().GenerationOf(bucket) + 1, now));
+    Append(mRequestCore->OnBucketFirstOwner(bucket,
+                                            mRequestCore->Records().GenerationOf(bucket) + 1, now));
   }
 }
 
@@ -101,9 +102,9 @@
   const RequestTime now = mClock();
   const auto seconds = static_cast<std::uint32_t>(now.mWallMs / kMsInSecond);
   for (const std::uint32_t bucket : aBuckets) {
-    const std::uint32_t number = mHome->Records().GenerationOf(bucket) + 1;
-    Append(mHome->OnBucketAcquired(bucket, std::max(number, seconds), now));
-    Append(mHome->OnPreviousOwnerLost(bucket, now));
+    const std::uint32_t generation = mRequestCore->Records().GenerationOf(bucket) + 1;
+    Append(mRequestCore->OnBucketAcquired(bucket, std::max(generation, seconds), now));
+    Append(mRequestCore->OnPreviousOwnerLost(bucket, now));
   }
 }
 
--- a/unittests/Daemon/RequestRecordTransferTest.cpp
+++ b/unittests/Daemon/RequestRecordTransferTest.cpp
@@ -1,4 +1,4 @@
-// Tests of request records that move with their buckets between agents.
+// Tests the transfer of request records to the new owner of their buckets.
 #include "dandelionslip/Daemon/RequestRecordTransfer.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,25 +12,25 @@
 constexpr std::uint32_t kBuckets = 16;
 constexpr std::int64_t kStartWallMs = 1'796'000'000'000;
 
-class OpenSlots : public SlotAdmission
+class UnlimitedSlots : public SlotAdmission
 {
 public:
   std::optional<Refusal> TryStart(TimePoint) override { return std::nullopt; }
   void Finished(TimePoint, RuntimeClock::duration, RunResult) override {}
 };
 
-// One agent's request core with its hand-off.
+// An agent's request core and the transfer of its records.
 struct Agent
 {
   Agent(const std::string& aName, std::int64_t& aWallMs)
-    : mHome(
+    : mRequestCore(
         SettingsFor(aName), mSlots, [](std::uint32_t) { return std::nullopt; }, mRegistry)
-    , mRecords([&aWallMs] {
+    , mTransfer([&aWallMs] {
       return RequestTime{RuntimeClock::now(), aWallMs};
     })
   {
-    mRecords.Attach(mHome);
-    mHome.OnLease(true, {RuntimeClock::now(), aWallMs});
+    mTransfer.SetRequestCore(mRequestCore);
+    mRequestCore.OnLease(true, {RuntimeClock::now(), aWallMs});
   }
 
   static AgentRequestSettings SettingsFor(const std::string& aName)
@@ -42,27 +42,27 @@
     return settings;
   }
 
-  OpenSlots mSlots;
+  UnlimitedSlots mSlots;
   MetricsRegistry mRegistry;
-  AgentRequestCore mHome;
-  RequestRecordTransfer mRecords;
+  AgentRequestCore mRequestCore;
+  RequestRecordTransfer mTransfer;
 };
 
 class RequestRecordTransferTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RequestRecordTransferTest);
   CPPUNIT_TEST(ResendAtTheNewOwnerGetsTheFirstAnswer);
-  CPPUNIT_TEST(OldOwnerDecidesNothingAfterTheExport);
+  CPPUNIT_TEST(PreviousOwnerRunsNothingAfterTheExport);
   CPPUNIT_TEST(RepeatedExportGivesTheSameRecords);
   CPPUNIT_TEST(BucketsReturnToAnEarlierOwner);
   CPPUNIT_TEST(ResendWithoutRecordsNeverRuns);
   CPPUNIT_TEST(FirstAttemptRunsWithoutRecords);
-  CPPUNIT_TEST(LowNumberAfterALossDoesNotBlockTheBucket);
+  CPPUNIT_TEST(LowGenerationAfterALossDoesNotBlockTheBucket);
   CPPUNIT_TEST_SUITE_END();
 
   std::int64_t mWallMs = kStartWallMs;
   Random mRandom{7};
-  std::vector<std::uint32_t> mAll = std::vector<std::uint32_t>(kBuckets);
+  std::vector<std::uint32_t> mAllBuckets = std::vector<std::uint32_t>(kBuckets);
   std::uint64_t mHandle = 0;
 
   RequestTime Now() const { return {RuntimeClock::now(), mWallMs}; }
@@ -75,7 +75,7 @@
     request.mAttempt = MakeAttempt(aCallerAttempt, 0);
     request.mRemaining = Milliseconds(1'000);
     request.mBody = {1, 2, 3};
-    return aAgent.mHome.OnRequest(request, Now());
+    return aAgent.mRequestCore.OnRequest(request, Now());
   }
 
   template <typename Action>
@@ -89,7 +89,7 @@
     return nullptr;
   }
 
-  // Runs one request to its end at an agent and returns its id.
+  // Runs a request at an agent, answers it with aAnswer and returns its id.
   RequestId RunAt(Agent& aAgent, const std::string& aAnswer)
   {
     const RequestId id = RequestId::Make(mWallMs, mRandom);
@@ -99,7 +99,7 @@
     ReceivedAnswer answer;
     answer.mAnswer.mBody.assign(aAnswer.begin(), aAnswer.end());
     answer.mEndOfStream = true;
-    aAgent.mHome.OnUpstreamAnswer(run->mRun, answer, Now());
+    aAgent.mRequestCore.OnUpstreamAnswer(run->mRun, answer, Now());
     return id;
   }
 
@@ -107,60 +107,60 @@
   {
     const AgentRequestActions actions = Send(aAgent, aId, 2);
     CPPUNIT_ASSERT(Find<RunAtUpstream>(actions) == nullptr);
-    const auto* answer = Find<ReplyToSender>(actions);
-    CPPUNIT_ASSERT(answer != nullptr);
-    CPPUNIT_ASSERT(answer->mReply.mOutcome == RequestOutcome::Answered);
-    CPPUNIT_ASSERT(answer->mReply.mAnswer.mBody == Bytes(aAnswer.begin(), aAnswer.end()));
+    const auto* reply = Find<ReplyToSender>(actions);
+    CPPUNIT_ASSERT(reply != nullptr);
+    CPPUNIT_ASSERT(reply->mReply.mOutcome == RequestOutcome::Answered);
+    CPPUNIT_ASSERT(reply->mReply.mAnswer.mBody == Bytes(aAnswer.begin(), aAnswer.end()));
   }
 
   void CheckResendIsUnknown(Agent& aAgent, const RequestId& aId)
   {
     const AgentRequestActions actions = Send(aAgent, aId, 2);
     CPPUNIT_ASSERT(Find<RunAtUpstream>(actions) == nullptr);
-    const auto* answer = Find<ReplyToSender>(actions);
-    CPPUNIT_ASSERT(answer != nullptr);
-    CPPUNIT_ASSERT(answer->mReply.mOutcome == RequestOutcome::Unknown);
+    const auto* reply = Find<ReplyToSender>(actions);
+    CPPUNIT_ASSERT(reply != nullptr);
+    CPPUNIT_ASSERT(reply->mReply.mOutcome == RequestOutcome::Unknown);
   }
 
 public:
-  void setUp() override { std::iota(mAll.begin(), mAll.end(), 0U); }
+  void setUp() override { std::iota(mAllBuckets.begin(), mAllBuckets.end(), 0U); }
 
-  // Guards against a second run when a caller resends after the bucket has moved.
+  // Guards against a second run when a caller resends after a bucket transfer.
   void ResendAtTheNewOwnerGetsTheFirstAnswer()
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartAsFirstOwner(mAll);
+    first.mTransfer.StartAsFirstOwner(mAllBuckets);
     const RequestId id = RunAt(first, "price");
-    second.mRecords.Import(mAll, first.mRecords.Export(mAll, "b"));
+    second.mTransfer.Import(mAllBuckets, first.mTransfer.Export(mAllBuckets, "b"));
     CheckResendIsAnswered(second, id, "price");
     RunAt(second, "new work runs");
   }
 
   // Guards against two owners that both run requests of a bucket.
-  void OldOwnerDecidesNothingAfterTheExport()
+  void PreviousOwnerRunsNothingAfterTheExport()
   {
     Agent first("a", mWallMs);
-    first.mRecords.StartAsFirstOwner(mAll);
-    first.mRecords.Export(mAll, "b");
+    first.mTransfer.StartAsFirstOwner(mAllBuckets);
+    first.mTransfer.Export(mAllBuckets, "b");
     const AgentRequestActions actions = Send(first, RequestId::Make(mWallMs, mRandom), 1);
     CPPUNIT_ASSERT(Find<RunAtUpstream>(actions) == nullptr);
-    const auto* answer = Find<ReplyToSender>(actions);
-    CPPUNIT_ASSERT(answer != nullptr);
-    CPPUNIT_ASSERT(answer->mReply.mOutcome == RequestOutcome::NotOwner);
+    const auto* reply = Find<ReplyToSender>(actions);
+    CPPUNIT_ASSERT(reply != nullptr);
+    CPPUNIT_ASSERT(reply->mReply.mOutcome == RequestOutcome::NotOwner);
   }
 
-  // Guards against records that are lost with the first answer to a transfer request.
+  // Guards against losing the records when the first answer to a transfer request is lost.
   void RepeatedExportGivesTheSameRecords()
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartAsFirstOwner(mAll);
+    first.mTransfer.StartAsFirstOwner(mAllBuckets);
     const RequestId id = RunAt(first, "price");
-    const Json lost = first.mRecords.Export(mAll, "b");
-    const Json repeated = first.mRecords.Export(mAll, "b");
+    const Json lost = first.mTransfer.Export(mAllBuckets, "b");
+    const Json repeated = first.mTransfer.Export(mAllBuckets, "b");
     CPPUNIT_ASSERT(lost == repeated);
-    second.mRecords.Import(mAll, repeated);
+    second.mTransfer.Import(mAllBuckets, repeated);
     CheckResendIsAnswered(second, id, "price");
   }
 
@@ -169,53 +169,53 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartAsFirstOwner(mAll);
-    second.mRecords.Import(mAll, first.mRecords.Export(mAll, "b"));
+    first.mTransfer.StartAsFirstOwner(mAllBuckets);
+    second.mTransfer.Import(mAllBuckets, first.mTransfer.Export(mAllBuckets, "b"));
     const RequestId id = RunAt(second, "drawing");
-    first.mRecords.Import(mAll, second.mRecords.Export(mAll, "a"));
+    first.mTransfer.Import(mAllBuckets, second.mTransfer.Export(mAllBuckets, "a"));
     CheckResendIsAnswered(first, id, "drawing");
   }
 
-  // Guards against a second run when the records were lost with their owner.
+  // Guards against a second run of a request whose record was lost with its owner.
   void ResendWithoutRecordsNeverRuns()
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartAsFirstOwner(mAll);
+    first.mTransfer.StartAsFirstOwner(mAllBuckets);
     const RequestId id = RunAt(first, "hold");
-    second.mRecords.StartWithoutRecords(mAll);
+    second.mTransfer.StartWithoutRecords(mAllBuckets);
     CheckResendIsUnknown(second, id);
     mWallMs += kClockSkewBound.count() + 1;
     RunAt(second, "work made after the loss runs");
   }
 
-  // Guards against unknown outcomes of requests that certainly never ran before.
+  // Guards against an unknown outcome for a request that cannot have run before.
   void FirstAttemptRunsWithoutRecords()
   {
     Agent agent("a", mWallMs);
-    agent.mRecords.StartWithoutRecords(mAll);
+    agent.mTransfer.StartWithoutRecords(mAllBuckets);
     ReceivedRequest request;
     request.mHandle = ++mHandle;
     request.mId = RequestId::Make(mWallMs, mRandom);
     request.mAttempt = MakeAttempt(1, 0);
     request.mMayHaveRun = false;
     request.mRemaining = Milliseconds(1'000);
-    CPPUNIT_ASSERT(Find<RunAtUpstream>(agent.mHome.OnRequest(request, Now())) != nullptr);
+    CPPUNIT_ASSERT(Find<RunAtUpstream>(agent.mRequestCore.OnRequest(request, Now())) != nullptr);
   }
 
-  // Guards against a bucket that stays without an owner because a lost owner's successor, whose
-  // clock is behind, numbered it too low.
-  void LowNumberAfterALossDoesNotBlockTheBucket()
+  // Guards against a bucket that cannot be taken over again: the successor of a lost owner takes
+  // the generation from its clock, which is behind, so the bucket's next owner knows a higher one.
+  void LowGenerationAfterALossDoesNotBlockTheBucket()
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mRecords.StartWithoutRecords(mAll);
-    first.mRecords.Export(mAll, "c");
+    first.mTransfer.StartWithoutRecords(mAllBuckets);
+    first.mTransfer.Export(mAllBuckets, "c");
     mWallMs -= 60'000;
-    second.mRecords.StartWithoutRecords(mAll);
-    const Json handoff = second.mRecords.Export(mAll, "a");
+    second.mTransfer.StartWithoutRecords(mAllBuckets);
+    const Json tables = second.mTransfer.Export(mAllBuckets, "a");
     mWallMs += 60'000;
-    first.mRecords.Import(mAll, handoff);
+    first.mTransfer.Import(mAllBuckets, tables);
     CheckResendIsUnknown(first, RequestId::Make(mWallMs, mRandom));
     mWallMs += kClockSkewBound.count() + 1;
     RunAt(first, "work made after the loss runs");
