--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -126,7 +126,7 @@
     if (emptyLog && !aSettings.mJoin) {
       return Fail(
         ErrorCode::InvalidInput, "control.start", aSettings.mDataFolder,
-        "the data folder is empty: found a new group with --bootstrap, or set \"join\" for "
+        "the data folder is empty: create a new group with --bootstrap, or set \"join\" for "
         "a replica that joins an existing group");
     }
     return store;
@@ -634,13 +634,14 @@
       return {CommandOutcome::NotApplied, 0, aResult.error().Message()};
     }
     if (aResult.value() == ProposalOutcome::NotApplied) {
-      return {CommandOutcome::NotApplied, 0, "another leader's entry took its place"};
+      return {CommandOutcome::NotApplied, 0, "another leader's entry replaced it in the log"};
     }
     if (aResult.value() == ProposalOutcome::Applied) {
       const std::lock_guard lock(mMutex);
       return mLastAnswer;
     }
-    return {CommandOutcome::OutcomeUnknown, 0, "resend with the same publication id"};
+    return {CommandOutcome::OutcomeUnknown, 0,
+            "the outcome is unknown; resend with the same publication id"};
   }
 
   void OnReplicaRequest(const std::shared_ptr<HttpExchange>& aExchange)
--- a/lib/Daemon/ControlLink.cpp
+++ b/lib/Daemon/ControlLink.cpp
@@ -108,9 +108,9 @@
     aDone(state);
     return;
   }
-  SwitchReplica(
-    answer ? Error{ErrorCode::Unavailable, "control.fetch", CurrentEndpoint(), "not confirmed"}
-           : answer.error());
+  SwitchReplica(answer ? Error{ErrorCode::Unavailable, "control.fetch", CurrentEndpoint(),
+                               "the replica is not confirmed by a quorum"}
+                       : answer.error());
   CallAfter(mLoop, kFetchRetry, [this, aDone] { FetchState(aDone); });
 }
 
@@ -178,7 +178,8 @@
     state = mState;
   }
   if (!answer || noLease) {
-    SwitchReplica(answer ? Error{ErrorCode::Unavailable, "control.announce", aEndpoint, "no lease"}
+    SwitchReplica(answer ? Error{ErrorCode::Unavailable, "control.announce", aEndpoint,
+                                 "the replica grants no lease"}
                          : answer.error());
     CallAfter(mLoop, kFetchRetry, [this] { AnnounceNow(); });
   }
--- a/lib/Daemon/Http2ClientPool.cpp
+++ b/lib/Daemon/Http2ClientPool.cpp
@@ -20,7 +20,8 @@
 {
   const auto client = ClientFor(aEndpoint);
   if (!client) {
-    aCallback(Fail(ErrorCode::InvalidInput, "post " + aPath, aEndpoint, "not an endpoint"));
+    aCallback(Fail(ErrorCode::InvalidInput, "post " + aPath, aEndpoint,
+                   "not an endpoint of the form address:port"));
     return;
   }
   HttpRequest request;
@@ -35,7 +36,7 @@
                  constexpr int kStatusOk = 200;
                  if (aResult.value().mStatus != kStatusOk) {
                    callback(Fail(ErrorCode::Unavailable, "post " + aPath, aEndpoint,
-                                 "status " + std::to_string(aResult.value().mStatus)));
+                                 "HTTP status " + std::to_string(aResult.value().mStatus)));
                    return;
                  }
                  callback(std::move(aResult.value().mBody));
--- a/lib/Daemon/RequestRecordTransfer.cpp
+++ b/lib/Daemon/RequestRecordTransfer.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr char kPeer[] = "bucket hand-off";
+constexpr char kPeer[] = "bucket transfer";
 constexpr std::int64_t kMsInSecond = 1'000;
 
 } // namespace
