--- a/unittests/Daemon/RequestRecordTransferTest.cpp
+++ b/unittests/Daemon/RequestRecordTransferTest.cpp
@@ -25,11 +25,11 @@
   Agent(const std::string& aName, std::int64_t& aWallMs)
     : mRequestCore(
         SettingsFor(aName), mSlots, [](std::uint32_t) { return std::nullopt; }, mRegistry)
-    , mTransfer([&aWallMs] {
+    , mRecordTransfer([&aWallMs] {
       return RequestTime{RuntimeClock::now(), aWallMs};
     })
   {
-    mTransfer.SetRequestCore(mRequestCore);
+    mRecordTransfer.SetRequestCore(mRequestCore);
     mRequestCore.OnLease(true, {RuntimeClock::now(), aWallMs});
   }
 
@@ -45,7 +45,7 @@
   UnlimitedSlots mSlots;
   MetricsRegistry mRegistry;
   AgentRequestCore mRequestCore;
-  RequestRecordTransfer mTransfer;
+  RequestRecordTransfer mRecordTransfer;
 };
 
 class RequestRecordTransferTest : public CppUnit::TestFixture
@@ -130,9 +130,9 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mTransfer.StartAsFirstOwner(mAllBuckets);
+    first.mRecordTransfer.StartAsFirstOwner(mAllBuckets);
     const RequestId id = RunAt(first, "price");
-    second.mTransfer.Import(mAllBuckets, first.mTransfer.Export(mAllBuckets, "b"));
+    second.mRecordTransfer.Import(mAllBuckets, first.mRecordTransfer.Export(mAllBuckets, "b"));
     CheckResendIsAnswered(second, id, "price");
     RunAt(second, "new work runs");
   }
@@ -141,8 +141,8 @@
   void PreviousOwnerRunsNothingAfterTheExport()
   {
     Agent first("a", mWallMs);
-    first.mTransfer.StartAsFirstOwner(mAllBuckets);
-    first.mTransfer.Export(mAllBuckets, "b");
+    first.mRecordTransfer.StartAsFirstOwner(mAllBuckets);
+    first.mRecordTransfer.Export(mAllBuckets, "b");
     const AgentRequestActions actions = Send(first, RequestId::Make(mWallMs, mRandom), 1);
     CPPUNIT_ASSERT(Find<RunAtUpstream>(actions) == nullptr);
     const auto* reply = Find<ReplyToSender>(actions);
@@ -155,12 +155,12 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mTransfer.StartAsFirstOwner(mAllBuckets);
+    first.mRecordTransfer.StartAsFirstOwner(mAllBuckets);
     const RequestId id = RunAt(first, "price");
-    const Json lost = first.mTransfer.Export(mAllBuckets, "b");
-    const Json repeated = first.mTransfer.Export(mAllBuckets, "b");
+    const Json lost = first.mRecordTransfer.Export(mAllBuckets, "b");
+    const Json repeated = first.mRecordTransfer.Export(mAllBuckets, "b");
     CPPUNIT_ASSERT(lost == repeated);
-    second.mTransfer.Import(mAllBuckets, repeated);
+    second.mRecordTransfer.Import(mAllBuckets, repeated);
     CheckResendIsAnswered(second, id, "price");
   }
 
@@ -169,10 +169,10 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mTransfer.StartAsFirstOwner(mAllBuckets);
-    second.mTransfer.Import(mAllBuckets, first.mTransfer.Export(mAllBuckets, "b"));
+    first.mRecordTransfer.StartAsFirstOwner(mAllBuckets);
+    second.mRecordTransfer.Import(mAllBuckets, first.mRecordTransfer.Export(mAllBuckets, "b"));
     const RequestId id = RunAt(second, "drawing");
-    first.mTransfer.Import(mAllBuckets, second.mTransfer.Export(mAllBuckets, "a"));
+    first.mRecordTransfer.Import(mAllBuckets, second.mRecordTransfer.Export(mAllBuckets, "a"));
     CheckResendIsAnswered(first, id, "drawing");
   }
 
@@ -181,9 +181,9 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mTransfer.StartAsFirstOwner(mAllBuckets);
+    first.mRecordTransfer.StartAsFirstOwner(mAllBuckets);
     const RequestId id = RunAt(first, "hold");
-    second.mTransfer.StartWithoutRecords(mAllBuckets);
+    second.mRecordTransfer.StartWithoutRecords(mAllBuckets);
     CheckResendIsUnknown(second, id);
     mWallMs += kClockSkewBound.count() + 1;
     RunAt(second, "work made after the loss runs");
@@ -193,7 +193,7 @@
   void FirstAttemptRunsWithoutRecords()
   {
     Agent agent("a", mWallMs);
-    agent.mTransfer.StartWithoutRecords(mAllBuckets);
+    agent.mRecordTransfer.StartWithoutRecords(mAllBuckets);
     ReceivedRequest request;
     request.mHandle = ++mHandle;
     request.mId = RequestId::Make(mWallMs, mRandom);
@@ -209,13 +209,13 @@
   {
     Agent first("a", mWallMs);
     Agent second("b", mWallMs);
-    first.mTransfer.StartWithoutRecords(mAllBuckets);
-    first.mTransfer.Export(mAllBuckets, "c");
+    first.mRecordTransfer.StartWithoutRecords(mAllBuckets);
+    first.mRecordTransfer.Export(mAllBuckets, "c");
     mWallMs -= 60'000;
-    second.mTransfer.StartWithoutRecords(mAllBuckets);
-    const Json tables = second.mTransfer.Export(mAllBuckets, "a");
+    second.mRecordTransfer.StartWithoutRecords(mAllBuckets);
+    const Json tables = second.mRecordTransfer.Export(mAllBuckets, "a");
     mWallMs += 60'000;
-    first.mTransfer.Import(mAllBuckets, tables);
+    first.mRecordTransfer.Import(mAllBuckets, tables);
     CheckResendIsUnknown(first, RequestId::Make(mWallMs, mRandom));
     mWallMs += kClockSkewBound.count() + 1;
     RunAt(first, "work made after the loss runs");
