--- a/include/dandelionslip/Net/CallerDatagram.h
+++ b/include/dandelionslip/Net/CallerDatagram.h
@@ -1,4 +1,4 @@
-// Codec of the datagrams between callers and balancers.
+// Encoding of the UDP datagrams between callers and balancers.
 #pragma once
 
 #include "dandelionslip/Model/RefusalReason.h"
@@ -16,7 +16,7 @@
   Open = 1,    ///< Opens the flow; repeated until answered.
   Data = 2,    ///< Belongs to an open flow; either direction.
   Close = 3,   ///< Ends the flow; either direction.
-  Refused = 4, ///< To the caller: the datagram was not passed on.
+  Refused = 4, ///< Balancer to caller: the datagram was not delivered.
 };
 
 /// Bytes before the payload: kind, version and session tag.
@@ -32,11 +32,12 @@
   Milliseconds mRetryAfter{0};                       ///< Kind Refused only.
 };
 
-/// Encodes open, data and close datagrams with their payload, and refused ones with reason and
-/// retry-after time (at most 2^32 - 1 ms) in place of the payload.
+/// Encodes a caller datagram. Kind Refused carries the reason and the retry-after time instead of
+/// the payload; a time over 2^32 - 1 ms is clamped to that value.
 Bytes EncodeCallerDatagram(const CallerDatagram& aDatagram);
 
-/// Decodes a caller datagram. Error: InvalidInput for a wrong kind, version, length or reason.
+/// Decodes a caller datagram. Error: InvalidInput for an unknown kind, version or reason, or a
+/// wrong length.
 Result<CallerDatagram> DecodeCallerDatagram(std::span<const std::uint8_t> aBytes);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Net/DatagramHeader.h
+++ b/include/dandelionslip/Net/DatagramHeader.h
@@ -1,4 +1,4 @@
-// Codec of the fixed header between balancers and agents.
+// Encoding of the datagrams between balancers and agents: a fixed-size header and a payload.
 #pragma once
 
 #include "dandelionslip/Model/Configuration.h"
@@ -16,29 +16,30 @@
   Forward = 1,     ///< Balancer or agent to agent; the payload is the caller's datagram.
   Reply = 2,       ///< Agent to balancer; the payload goes to the caller unchanged.
   Refuse = 3,      ///< Agent to balancer; the payload is a caller datagram of kind refused.
-  Probe = 4,       ///< Unconfirmed balancer to agent.
-  ProbeAnswer = 5, ///< Agent to balancer.
+  Probe = 4,       ///< State probe of a balancer without a valid lease to an agent.
+  ProbeAnswer = 5, ///< Agent to balancer, in answer to Probe.
 };
 
 /// Size of the encoded header in bytes.
 inline constexpr std::size_t kDatagramHeaderSize = 98;
 
-/// Largest payload behind the header in bytes.
+/// Largest payload after the header in bytes.
 inline constexpr std::size_t kMaxDatagramPayload = 1400;
 
-/// Fields of the header. Probe kinds use only the revisions, mConfirmed and mBalancer.
+/// Fields of the header. Probe and ProbeAnswer use only mViewRevision, mFlowHash, mConfirmed and
+/// mBalancer.
 struct DatagramHeader
 {
   DatagramKind mKind = DatagramKind::Forward;
   bool mOpening = false;    ///< The caller's datagram opens a flow.
-  bool mRedirected = false; ///< The owner chose the receiver to hold the flow.
+  bool mRedirected = false; ///< The owner chose the receiving agent as holder of the flow.
   bool mConfirmed = false;  ///< Probe answer: the agent's lease is valid.
   std::uint8_t mHops = 0;   ///< Forwards between agents so far.
   ServiceId mServiceId = 0;
   std::uint64_t mViewRevision = 0;
   std::uint32_t mGeneration = 0;
-  /// Flow hash; in a probe and its answer the sender's configuration revision, because a data
-  /// centre taken out changes the configuration and not the view.
+  /// Forward, Reply, Refuse: flow hash. Probe, ProbeAnswer: configuration revision of the sender,
+  /// needed because taking a data centre out changes the configuration but not the view.
   std::uint64_t mFlowHash = 0;
   Endpoint mCaller;
   Endpoint mService;
@@ -57,8 +58,8 @@
 /// Encodes the header into exactly kDatagramHeaderSize bytes.
 std::array<std::uint8_t, kDatagramHeaderSize> EncodeDatagramHeader(const DatagramHeader& aHeader);
 
-/// Checks and decodes a datagram. Errors: InvalidInput for a wrong magic, version, kind, flag or
-/// length, Corrupt for a wrong checksum.
+/// Validates and decodes a datagram. Errors: InvalidInput for a wrong magic number or length, or an
+/// unknown version, kind or flag; Corrupt for a wrong checksum.
 Result<DatagramView> DecodeDatagram(std::span<const std::uint8_t> aBytes);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Net/Http1Server.h
+++ b/include/dandelionslip/Net/Http1Server.h
@@ -7,8 +7,8 @@
 
 namespace dandelionslip {
 
-/// Accepts connections and hands whole requests to a handler on the loop's threads. A connection
-/// carries one request at a time and stays open between requests.
+/// Accepts connections and calls a handler with each complete request on the event loop's threads.
+/// A connection carries one request at a time and stays open between requests.
 class Http1Server
 {
 public:
--- a/include/dandelionslip/Net/Http2Client.h
+++ b/include/dandelionslip/Net/Http2Client.h
@@ -1,4 +1,4 @@
-// HTTP/2 client over one cleartext TCP connection, reopened on demand.
+// HTTP/2 client over one cleartext TCP connection.
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
@@ -16,32 +16,34 @@
 
 namespace dandelionslip {
 
-/// Bytes on the wire of one client, frames included.
+/// Bytes received and sent by one client, HTTP/2 framing included.
 struct TrafficCount
 {
   std::atomic<std::uint64_t> mRead{0};
   std::atomic<std::uint64_t> mWritten{0};
 };
 
-/// Sends requests to one peer. Thread-safe.
+/// Sends requests to one peer over one connection, which is opened when a request needs it.
+/// Thread-safe.
 class Http2Client
 {
 public:
-  /// Receives a complete response or an error:
-  /// Unavailable when the request certainly never reached the peer's application,
-  /// Unknown when it may have, Timeout and Cancelled when the wait ended first.
+  /// Receives the complete response or an error: Unavailable when the peer certainly did not
+  /// process the request, Unknown when it may have, Timeout when it was sent and no complete
+  /// response arrived in time, Cancelled after Cancel.
   using Callback = std::function<void(Result<HttpResponse>)>;
 
   Http2Client(boost::asio::io_context& aLoop, const Endpoint& aPeer);
   ~Http2Client();
 
-  /// Sends a request and returns an id for Cancel. The callback runs once on a loop thread.
+  /// Sends a request and returns its id for Cancel. The callback runs once, on a thread of the
+  /// event loop.
   std::uint64_t Send(HttpRequest aRequest, Milliseconds aTimeout, Callback aCallback);
 
-  /// Resets the stream of a request; its callback receives Cancelled.
+  /// Cancels a pending request: resets its stream and calls its callback with Cancelled.
   void Cancel(std::uint64_t aRequestId);
 
-  /// Closes the connection; requests in flight fail.
+  /// Closes the connection. Requests in progress and later ones fail.
   void Close();
 
   const TrafficCount& Traffic() const;
--- a/include/dandelionslip/Net/Http2Server.h
+++ b/include/dandelionslip/Net/Http2Server.h
@@ -13,7 +13,7 @@
 
 namespace dandelionslip {
 
-/// One request at the server, to be answered once from any thread.
+/// A request received by a server. Respond may be called from any thread.
 class HttpExchange
 {
 public:
@@ -24,15 +24,15 @@
   /// The remote address and port.
   virtual const std::string& Peer() const = 0;
 
-  /// Sends the answer. Ignored when the stream is gone or was answered before.
+  /// Sends the response. Ignored after an earlier response and when the stream no longer exists.
   virtual void Respond(HttpResponse aResponse) = 0;
 
-  /// Calls the function once if the caller resets the stream or its connection is lost before the
-  /// answer was given. Calls it at once if that has already happened.
+  /// Calls the function once if the client resets the stream or the connection is lost before
+  /// Respond. Calls it immediately if that has already happened. HTTP/1.1 servers never call it.
   virtual void OnCancel(std::function<void()> aFunction) = 0;
 };
 
-/// Accepts connections and hands whole requests to a handler on the loop's threads.
+/// Accepts connections and calls a handler with each complete request on the event loop's threads.
 class Http2Server
 {
 public:
@@ -43,10 +43,10 @@
                                                      const Endpoint& aEndpoint, Handler aHandler);
   ~Http2Server();
 
-  /// Stops accepting and sends GOAWAY on every connection; running requests continue.
+  /// Stops accepting connections and sends GOAWAY on the open ones; requests in progress continue.
   void StopAccepting();
 
-  /// Number of requests that have not been answered and written yet.
+  /// Number of received requests whose response has not been sent completely.
   std::size_t OpenRequests() const;
 
 private:
--- a/include/dandelionslip/Net/HttpMessage.h
+++ b/include/dandelionslip/Net/HttpMessage.h
@@ -1,4 +1,4 @@
-// Whole HTTP requests and responses.
+// HTTP requests and responses.
 #pragma once
 
 #include "dandelionslip/Support/Json.h"
@@ -9,17 +9,17 @@
 
 namespace dandelionslip {
 
-/// Largest body accepted by sessions, in bytes.
+/// Largest request or response body accepted over HTTP/2, in bytes.
 inline constexpr std::size_t kMaxBodyBytes = std::size_t{16} * 1024 * 1024;
 
-/// One header field; names are lower case.
+/// A header field. Names are lower case.
 struct HttpHeader
 {
   std::string mName;
   std::string mValue;
 };
 
-/// Finds a header by its lower-case name; empty when absent.
+/// Returns the value of the header with this lower-case name; empty if there is none.
 std::string_view FindHeader(const std::vector<HttpHeader>& aHeaders, std::string_view aName);
 
 struct HttpRequest
--- a/include/dandelionslip/Net/MetricsEndpoint.h
+++ b/include/dandelionslip/Net/MetricsEndpoint.h
@@ -14,14 +14,14 @@
 
 namespace dandelionslip {
 
-/// The registry and the process's own usage in the text exposition format.
+/// Renders the registry and the CPU and memory usage of the process in the Prometheus text format.
 HttpResponse RenderMetrics(const MetricsRegistry& aRegistry);
 
-/// Answers GET /metrics with the text exposition format.
+/// Responds to /metrics with RenderMetrics and to other paths with status 404.
 class MetricsEndpoint
 {
 public:
-  /// aRefresh runs before each rendering, for gauges that are computed on demand.
+  /// aRefresh is called before each rendering to update gauges that are computed on demand.
   static Result<std::unique_ptr<MetricsEndpoint>> Listen(boost::asio::io_context& aLoop,
                                                          const Endpoint& aEndpoint,
                                                          const MetricsRegistry& aRegistry,
--- a/include/dandelionslip/Net/Timer.h
+++ b/include/dandelionslip/Net/Timer.h
@@ -1,4 +1,4 @@
-// Repeating timers on the runtime's clock.
+// Timers on RuntimeClock.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
@@ -12,7 +12,8 @@
 
 namespace dandelionslip {
 
-/// Calls a function at a fixed interval on a loop thread until destroyed.
+/// Calls a function repeatedly on a thread of the event loop until destroyed. The interval runs
+/// from the end of one call to the start of the next.
 class RepeatingTimer
 {
 public:
@@ -27,7 +28,7 @@
   std::shared_ptr<State> mState;
 };
 
-/// Calls a function once after a delay.
+/// Calls a function once after a delay, on a thread of the event loop.
 void CallAfter(boost::asio::io_context& aLoop, Milliseconds aDelay,
                std::function<void()> aFunction);
 
--- a/lib/Net/AsioEndpoint.h
+++ b/lib/Net/AsioEndpoint.h
@@ -1,4 +1,4 @@
-// Conversion between endpoints of the library and of Asio.
+// Conversion between Endpoint and Asio's endpoints, and opening of listening sockets.
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
@@ -37,7 +37,7 @@
   return endpoint;
 }
 
-/// Opens, binds and listens. Fails with ErrorCode::Io, naming the step and the address.
+/// Opens, binds and listens. Fails with ErrorCode::Io; the error names aStep and the address.
 inline Result<void> OpenAcceptor(boost::asio::ip::tcp::acceptor& aAcceptor,
                                  const Endpoint& aEndpoint, const char* aStep)
 {
--- a/lib/Net/ByteOrder.h
+++ b/lib/Net/ByteOrder.h
@@ -7,7 +7,7 @@
 
 namespace dandelionslip {
 
-/// Writes fields one after another; the caller provides enough room.
+/// Writes consecutive fields in big-endian order. The buffer must be large enough for all of them.
 class ByteWriter
 {
 public:
@@ -35,7 +35,7 @@
   std::uint8_t* mNext;
 };
 
-/// Reads fields one after another; the caller has checked the length.
+/// Reads consecutive big-endian fields. The length of the input must have been checked before.
 class ByteReader
 {
 public:
--- a/lib/Net/CallerDatagram.cpp
+++ b/lib/Net/CallerDatagram.cpp
@@ -1,4 +1,4 @@
-// Encoding and checked decoding of caller datagrams.
+// Encoding and validating decoding of caller datagrams.
 #include "dandelionslip/Net/CallerDatagram.h"
 
 #include "ByteOrder.h"
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
-// Reason (1) and retry-after in milliseconds (4).
+// Reason (1 byte) and retry-after time in milliseconds (4 bytes).
 constexpr std::size_t kRefusalSize = 5;
 
-auto Refuse(std::string aDetail)
+auto DecodeFailure(std::string aDetail)
 {
   return Fail(ErrorCode::InvalidInput, "caller_datagram.decode", "", std::move(aDetail));
 }
@@ -28,13 +28,13 @@
 Result<CallerDatagram> DecodeRefusal(CallerDatagram aDatagram)
 {
   if (aDatagram.mPayload.size() != kRefusalSize) {
-    return Refuse("a refusal of " + std::to_string(aDatagram.mPayload.size()) +
-                  " bytes, expected " + std::to_string(kRefusalSize));
+    return DecodeFailure("a refusal of " + std::to_string(aDatagram.mPayload.size()) +
+                         " bytes, expected " + std::to_string(kRefusalSize));
   }
   ByteReader reader(aDatagram.mPayload.data());
   const auto reason = reader.Integer<std::uint8_t>();
   if (reason >= EnumNames(RefusalReason{}).size()) {
-    return Refuse("unknown refusal reason " + std::to_string(reason));
+    return DecodeFailure("unknown refusal reason " + std::to_string(reason));
   }
   aDatagram.mReason = static_cast<RefusalReason>(reason);
   aDatagram.mRetryAfter = Milliseconds(reader.Integer<std::uint32_t>());
@@ -64,17 +64,18 @@
 Result<CallerDatagram> DecodeCallerDatagram(std::span<const std::uint8_t> aBytes)
 {
   if (aBytes.size() < kCallerDatagramHeaderSize) {
-    return Refuse("length " + std::to_string(aBytes.size()) + ", expected at least " +
-                  std::to_string(kCallerDatagramHeaderSize));
+    return DecodeFailure("length " + std::to_string(aBytes.size()) + ", expected at least " +
+                         std::to_string(kCallerDatagramHeaderSize));
   }
   ByteReader reader(aBytes.data());
   const auto kind = reader.Integer<std::uint8_t>();
   if (kind < static_cast<std::uint8_t>(CallerDatagramKind::Open) ||
       kind > static_cast<std::uint8_t>(CallerDatagramKind::Refused)) {
-    return Refuse("unknown kind " + std::to_string(kind));
+    return DecodeFailure("unknown kind " + std::to_string(kind));
   }
   if (const auto version = reader.Integer<std::uint8_t>(); version != kVersion) {
-    return Refuse("version " + std::to_string(version) + ", expected " + std::to_string(kVersion));
+    return DecodeFailure("version " + std::to_string(version) + ", expected " +
+                         std::to_string(kVersion));
   }
   CallerDatagram datagram;
   datagram.mKind = static_cast<CallerDatagramKind>(kind);
--- a/lib/Net/DatagramHeader.cpp
+++ b/lib/Net/DatagramHeader.cpp
@@ -1,4 +1,4 @@
-// Encoding and checked decoding of the datagram header.
+// Encoding and validating decoding of datagrams between balancers and agents.
 #include "dandelionslip/Net/DatagramHeader.h"
 
 #include "ByteOrder.h"
@@ -10,7 +10,8 @@
 
 constexpr std::uint32_t kMagic = 0x44534c50; // "DSLP"
 constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kCheckedSize = kDatagramHeaderSize - sizeof(std::uint64_t);
+// The checksum is the last field and covers all bytes before it.
+constexpr std::size_t kChecksummedSize = kDatagramHeaderSize - sizeof(std::uint64_t);
 constexpr std::uint8_t kOpeningFlag = 1;
 constexpr std::uint8_t kRedirectedFlag = 2;
 constexpr std::uint8_t kConfirmedFlag = 4;
@@ -37,7 +38,7 @@
   return endpoint;
 }
 
-auto Refuse(ErrorCode aCode, std::string aDetail)
+auto DecodeFailure(ErrorCode aCode, std::string aDetail)
 {
   return Fail(aCode, "datagram.decode", "", std::move(aDetail));
 }
@@ -78,7 +79,7 @@
   Write(writer, aHeader.mCaller);
   Write(writer, aHeader.mService);
   Write(writer, aHeader.mBalancer);
-  writer.Integer(Hash64(std::span(bytes).first(kCheckedSize)));
+  writer.Integer(Hash64(std::span(bytes).first(kChecksummedSize)));
   return bytes;
 }
 
@@ -86,29 +87,29 @@
 {
   if (aBytes.size() < kDatagramHeaderSize ||
       aBytes.size() > kDatagramHeaderSize + kMaxDatagramPayload) {
-    return Refuse(ErrorCode::InvalidInput,
-                  "length " + std::to_string(aBytes.size()) + " is out of range");
+    return DecodeFailure(ErrorCode::InvalidInput,
+                         "length " + std::to_string(aBytes.size()) + " is out of range");
   }
   ByteReader reader(aBytes.data());
   if (reader.Integer<std::uint32_t>() != kMagic) {
-    return Refuse(ErrorCode::InvalidInput, "wrong magic");
+    return DecodeFailure(ErrorCode::InvalidInput, "wrong magic");
   }
   if (const auto version = reader.Integer<std::uint8_t>(); version != kVersion) {
-    return Refuse(ErrorCode::InvalidInput,
-                  "version " + std::to_string(version) + ", expected " + std::to_string(kVersion));
+    return DecodeFailure(ErrorCode::InvalidInput, "version " + std::to_string(version) +
+                                                    ", expected " + std::to_string(kVersion));
   }
-  ByteReader checksum(aBytes.data() + kCheckedSize);
-  if (checksum.Integer<std::uint64_t>() != Hash64(aBytes.first(kCheckedSize))) {
-    return Refuse(ErrorCode::Corrupt, "wrong checksum");
+  ByteReader checksum(aBytes.data() + kChecksummedSize);
+  if (checksum.Integer<std::uint64_t>() != Hash64(aBytes.first(kChecksummedSize))) {
+    return DecodeFailure(ErrorCode::Corrupt, "wrong checksum");
   }
   const auto kind = reader.Integer<std::uint8_t>();
   const auto flags = reader.Integer<std::uint8_t>();
   if (kind < static_cast<std::uint8_t>(DatagramKind::Forward) ||
       kind > static_cast<std::uint8_t>(DatagramKind::ProbeAnswer)) {
-    return Refuse(ErrorCode::InvalidInput, "unknown kind " + std::to_string(kind));
+    return DecodeFailure(ErrorCode::InvalidInput, "unknown kind " + std::to_string(kind));
   }
   if ((flags & ~kAllFlags) != 0) {
-    return Refuse(ErrorCode::InvalidInput, "unknown flags " + std::to_string(flags));
+    return DecodeFailure(ErrorCode::InvalidInput, "unknown flags " + std::to_string(flags));
   }
   return DatagramView{ReadFields(reader, kind, flags), aBytes.subspan(kDatagramHeaderSize)};
 }
--- a/lib/Net/Http1Server.cpp
+++ b/lib/Net/Http1Server.cpp
@@ -20,11 +20,12 @@
 
 namespace {
 
-// Time for one request to arrive and its answer to be written; idle connections are closed after
-// it. Callers of the control interface repeat themselves within a few seconds.
+// Limit for receiving a request and, separately, for writing its response. An idle connection is
+// closed after this time; clients of the control interface send again within a few seconds.
 constexpr std::chrono::seconds kConnectionTimeout{30};
 
-// Largest accepted request body: 16 times the largest route table of the target size (64 KiB).
+// Largest accepted request body, 1 MiB: 16 times the largest route table (64 KiB) of a deployment
+// of the size that the system is designed for.
 constexpr std::uint64_t kMaxRequestBytes = 1U << 20U;
 
 using BeastRequest = http::request<http::vector_body<std::uint8_t>>;
@@ -82,11 +83,11 @@
     , mRequest(std::move(aRequest))
   {
   }
-  // A handler that drops the exchange without an answer ends the connection, so that the caller
-  // does not wait for its own timeout.
+  // Closes the connection if the handler released the exchange without a response, so that the
+  // client does not wait for its own timeout.
   ~Exchange() override
   {
-    if (!mAnswered) {
+    if (!mResponded) {
       asio::post(mConnection->mStream.get_executor(),
                  [connection = mConnection] { connection->Close(); });
     }
@@ -99,7 +100,7 @@
 
   void Respond(HttpResponse aResponse) override
   {
-    if (mAnswered.exchange(true)) {
+    if (mResponded.exchange(true)) {
       return;
     }
     asio::dispatch(mConnection->mStream.get_executor(),
@@ -108,14 +109,14 @@
                    });
   }
 
-  // The connection is not read while a request runs, so a lost caller is noticed only when the
-  // answer is written.
+  // Not supported: the connection is not read while a request is handled, so a client that
+  // disconnects is noticed only when the response is written.
   void OnCancel(std::function<void()> /*aFunction*/) override {}
 
 private:
   std::shared_ptr<Connection> mConnection;
   HttpRequest mRequest;
-  std::atomic<bool> mAnswered{false};
+  std::atomic<bool> mResponded{false};
 };
 
 void Connection::Read()
--- a/lib/Net/Http2Client.cpp
+++ b/lib/Net/Http2Client.cpp
@@ -1,4 +1,4 @@
-// Client side of HTTP/2: one connection to a peer, reopened when a request needs it.
+// HTTP/2 client: pending requests, and one connection that is opened when a request needs it.
 #include "dandelionslip/Net/Http2Client.h"
 
 #include "AsioEndpoint.h"
@@ -20,14 +20,15 @@
 namespace {
 
 using Timer = asio::basic_waitable_timer<RuntimeClock>;
-// A peer that is off or cut off does not answer the connection attempt at all, and the operating
-// system repeats it only after seconds. The peers are at most a few milliseconds away.
+// A connection attempt to a peer that is powered off or unreachable gets no answer, and the
+// operating system retries it only after seconds. A reachable peer answers within a few
+// milliseconds.
 constexpr Milliseconds kConnectTimeout{700};
 
 using Strand = asio::strand<asio::io_context::executor_type>;
 
-// A request from Send until its callback has run.
-struct Pending
+// A request whose callback has not been called yet.
+struct PendingRequest
 {
   std::uint64_t mId = 0;
   HttpRequest mRequest;
@@ -44,8 +45,9 @@
   struct Listener
   {
     virtual ~Listener() = default;
-    virtual void Finished(std::shared_ptr<Pending> aPending, Result<HttpResponse> aResult) = 0;
-    virtual void Disconnected(const ClientSession* aSession) = 0;
+    virtual void OnFinished(std::shared_ptr<PendingRequest> aPending,
+                            Result<HttpResponse> aResult) = 0;
+    virtual void OnDisconnected(const ClientSession* aSession) = 0;
   };
 
   ClientSession(Socket aSocket, std::string aPeer, std::shared_ptr<TrafficCount> aTraffic,
@@ -55,8 +57,8 @@
   {
   }
 
-  // False when the session takes no new streams; the request was not sent.
-  bool Begin(const std::shared_ptr<Pending>& aPending)
+  // Sends the request. Returns false without sending it if the session accepts no new streams.
+  bool Begin(const std::shared_ptr<PendingRequest>& aPending)
   {
     if (!IsOpen()) {
       return false;
@@ -80,13 +82,14 @@
     return true;
   }
 
-  bool HasReadSinceMark() const { return mReadSinceMark; }
-  void Mark() { mReadSinceMark = false; }
+  // Whether response data has arrived since the last call of ClearReceivedFlag.
+  bool HasReceived() const { return mReceived; }
+  void ClearReceivedFlag() { mReceived = false; }
 
 protected:
   void OnHeader(std::int32_t aStream, std::string_view aName, std::string_view aValue) override
   {
-    mReadSinceMark = true;
+    mReceived = true;
     const auto found = mPending.find(aStream);
     if (found == mPending.end()) {
       return;
@@ -101,7 +104,7 @@
 
   void OnBody(std::int32_t aStream, std::span<const std::uint8_t> aBytes) override
   {
-    mReadSinceMark = true;
+    mReceived = true;
     const auto found = mPending.find(aStream);
     if (found == mPending.end()) {
       return;
@@ -132,7 +135,7 @@
       Finish(pending, std::move(pending->mResponse));
       return;
     }
-    // REFUSED_STREAM is the peer's guarantee that the request was not processed.
+    // With REFUSED_STREAM the peer guarantees that the request was not processed.
     const ErrorCode code =
       aCode == NGHTTP2_REFUSED_STREAM ? ErrorCode::Unavailable : ErrorCode::Unknown;
     Finish(pending, Fail(code, "http2.response", Peer(),
@@ -147,21 +150,21 @@
     }
     mPending.clear();
     if (auto listener = mListener.lock()) {
-      listener->Disconnected(this);
+      listener->OnDisconnected(this);
     }
   }
 
 private:
-  void Finish(const std::shared_ptr<Pending>& aPending, Result<HttpResponse> aResult)
+  void Finish(const std::shared_ptr<PendingRequest>& aPending, Result<HttpResponse> aResult)
   {
     if (auto listener = mListener.lock()) {
-      listener->Finished(aPending, std::move(aResult));
+      listener->OnFinished(aPending, std::move(aResult));
     }
   }
 
   std::weak_ptr<Listener> mListener;
-  std::map<std::int32_t, std::shared_ptr<Pending>> mPending;
-  bool mReadSinceMark = true;
+  std::map<std::int32_t, std::shared_ptr<PendingRequest>> mPending;
+  bool mReceived = true;
 };
 
 } // namespace
@@ -176,34 +179,34 @@
   {
   }
 
-  void Begin(const std::shared_ptr<Pending>& aPending, Milliseconds aTimeout)
+  void Begin(const std::shared_ptr<PendingRequest>& aPending, Milliseconds aTimeout)
   {
-    mActive[aPending->mId] = aPending;
+    mRequests[aPending->mId] = aPending;
     aPending->mTimer = std::make_unique<Timer>(mStrand, aTimeout);
     aPending->mTimer->async_wait(
       [self = shared_from_this(), pending = aPending](const boost::system::error_code& aError) {
         if (!aError) {
-          self->Expire(pending);
+          self->OnTimeout(pending);
         }
       });
     if (!mSession) {
-      mWaiting.push_back(aPending);
+      mWaitingForConnection.push_back(aPending);
       Connect();
       return;
     }
     Dispatch(aPending);
   }
 
-  void Dispatch(const std::shared_ptr<Pending>& aPending)
+  void Dispatch(const std::shared_ptr<PendingRequest>& aPending)
   {
-    if (!mActive.contains(aPending->mId)) {
+    if (!mRequests.contains(aPending->mId)) {
       return;
     }
-    mSession->Mark();
+    mSession->ClearReceivedFlag();
     if (!mSession->Begin(aPending)) {
-      // The session refuses new streams, for example after GOAWAY; the next one gets the request.
+      // The session accepts no new streams, for example after GOAWAY: send on a new connection.
       mSession.reset();
-      mWaiting.push_back(aPending);
+      mWaitingForConnection.push_back(aPending);
       Connect();
     }
   }
@@ -226,10 +229,10 @@
                                                timer](const boost::system::error_code& aError) {
       timer->cancel();
       self->mConnecting = false;
-      auto waiting = std::move(self->mWaiting);
-      self->mWaiting.clear();
+      auto waiting = std::move(self->mWaitingForConnection);
+      self->mWaitingForConnection.clear();
       if (aError || self->mClosed) {
-        self->FailAll(waiting, aError.message());
+        self->FailWaiting(waiting, aError.message());
         return;
       }
       self->mSession = std::make_shared<ClientSession>(std::move(*socket), self->mPeer.ToString(),
@@ -239,34 +242,36 @@
         if (self->mSession) {
           self->Dispatch(pending);
         } else {
-          self->mWaiting.push_back(pending);
+          self->mWaitingForConnection.push_back(pending);
         }
       }
     });
   }
 
-  void FailAll(const std::vector<std::shared_ptr<Pending>>& aWaiting, const std::string& aReason)
+  void FailWaiting(const std::vector<std::shared_ptr<PendingRequest>>& aWaiting,
+                   const std::string& aReason)
   {
     for (const auto& pending : aWaiting) {
-      Finished(pending, Fail(ErrorCode::Unavailable, "http2.connect", mPeer.ToString(), aReason));
+      OnFinished(pending, Fail(ErrorCode::Unavailable, "http2.connect", mPeer.ToString(), aReason));
     }
   }
 
-  void Expire(const std::shared_ptr<Pending>& aPending)
+  void OnTimeout(const std::shared_ptr<PendingRequest>& aPending)
   {
-    if (!mActive.contains(aPending->mId)) {
+    if (!mRequests.contains(aPending->mId)) {
       return;
     }
     const bool sent = aPending->mStream != 0;
-    Finished(aPending, Fail(sent ? ErrorCode::Timeout : ErrorCode::Unavailable, "http2.response",
-                            mPeer.ToString(), "no complete response before the timeout"));
+    OnFinished(aPending, Fail(sent ? ErrorCode::Timeout : ErrorCode::Unavailable, "http2.response",
+                              mPeer.ToString(), "no complete response before the timeout"));
     if (!sent || !mSession) {
       return;
     }
-    // A connection that has not delivered anything since the last request may be cut off silently.
-    if (!mSession->HasReadSinceMark()) {
+    // If no response data has arrived since the last request was sent, the connection may be dead
+    // without an error from the network. Close it, so that the next request opens a new one.
+    if (!mSession->HasReceived()) {
       const auto session = mSession;
-      session->Shut("no data from the peer");
+      session->Close("no data from the peer");
       return;
     }
     mSession->Reset(aPending->mStream, NGHTTP2_CANCEL);
@@ -274,28 +279,28 @@
 
   void CancelById(std::uint64_t aId)
   {
-    const auto found = mActive.find(aId);
-    if (found == mActive.end()) {
+    const auto found = mRequests.find(aId);
+    if (found == mRequests.end()) {
       return;
     }
     const auto pending = found->second;
     const std::int32_t stream = pending->mStream;
-    Finished(pending, Fail(ErrorCode::Cancelled, "http2.request", mPeer.ToString(), "cancelled"));
+    OnFinished(pending, Fail(ErrorCode::Cancelled, "http2.request", mPeer.ToString(), "cancelled"));
     if (stream != 0 && mSession) {
       mSession->Reset(stream, NGHTTP2_CANCEL);
     }
   }
 
-  void Finished(std::shared_ptr<Pending> aPending, Result<HttpResponse> aResult) override
+  void OnFinished(std::shared_ptr<PendingRequest> aPending, Result<HttpResponse> aResult) override
   {
-    if (mActive.erase(aPending->mId) == 0) {
+    if (mRequests.erase(aPending->mId) == 0) {
       return;
     }
     aPending->mTimer->cancel();
     aPending->mCallback(std::move(aResult));
   }
 
-  void Disconnected(const ClientSession* aSession) override
+  void OnDisconnected(const ClientSession* aSession) override
   {
     if (mSession.get() == aSession) {
       mSession.reset();
@@ -306,8 +311,8 @@
   Endpoint mPeer;
   std::shared_ptr<TrafficCount> mTraffic = std::make_shared<TrafficCount>();
   std::shared_ptr<ClientSession> mSession;
-  std::vector<std::shared_ptr<Pending>> mWaiting;
-  std::map<std::uint64_t, std::shared_ptr<Pending>> mActive;
+  std::vector<std::shared_ptr<PendingRequest>> mWaitingForConnection;
+  std::map<std::uint64_t, std::shared_ptr<PendingRequest>> mRequests;
   std::atomic<std::uint64_t> mNextId{1};
   bool mConnecting = false;
   bool mClosed = false;
@@ -325,7 +330,7 @@
 
 std::uint64_t Http2Client::Send(HttpRequest aRequest, Milliseconds aTimeout, Callback aCallback)
 {
-  auto pending = std::make_shared<Pending>();
+  auto pending = std::make_shared<PendingRequest>();
   pending->mId = mState->mNextId++;
   pending->mRequest = std::move(aRequest);
   pending->mCallback = std::move(aCallback);
@@ -344,7 +349,7 @@
   asio::post(mState->mStrand, [state = mState] {
     state->mClosed = true;
     if (const auto session = state->mSession) {
-      session->Shut("closed by the client");
+      session->Close("closed by the client");
     }
   });
 }
--- a/lib/Net/Http2Server.cpp
+++ b/lib/Net/Http2Server.cpp
@@ -1,4 +1,4 @@
-// Server side of HTTP/2: accepts connections and assembles whole requests.
+// HTTP/2 server: accepts connections, assembles complete requests and sends responses.
 #include "dandelionslip/Net/Http2Server.h"
 
 #include "AsioEndpoint.h"
@@ -48,7 +48,7 @@
     aFunction();
   }
 
-  // Runs the cancel function unless the exchange was answered.
+  // Calls the OnCancel function unless Respond was called before.
   void Cancel()
   {
     std::function<void()> function;
@@ -57,14 +57,14 @@
       mCancelled = true;
       function.swap(mOnCancel);
     }
-    if (function && !mAnswered.load()) {
+    if (function && !mResponded.load()) {
       function();
     }
   }
 
   HttpRequest mRequest;
   bool mComplete = false;
-  std::atomic<bool> mAnswered{false};
+  std::atomic<bool> mResponded{false};
 
 private:
   std::weak_ptr<ServerSession> mSession;
@@ -79,10 +79,10 @@
 {
 public:
   ServerSession(Socket aSocket, std::string aPeer, Http2Server::Handler aHandler,
-                std::shared_ptr<std::atomic<std::size_t>> aOpen)
+                std::shared_ptr<std::atomic<std::size_t>> aOpenRequests)
     : Http2Session(std::move(aSocket), Side::Server, std::move(aPeer))
     , mHandler(std::move(aHandler))
-    , mOpenCount(std::move(aOpen))
+    , mOpenRequests(std::move(aOpenRequests))
   {
   }
 
@@ -91,7 +91,7 @@
     return std::static_pointer_cast<ServerSession>(shared_from_this());
   }
 
-  void Answer(std::int32_t aStream, HttpResponse aResponse)
+  void SendResponse(std::int32_t aStream, HttpResponse aResponse)
   {
     if (!IsOpen() || !mExchanges.contains(aStream)) {
       return;
@@ -108,7 +108,7 @@
 protected:
   void OnHeader(std::int32_t aStream, std::string_view aName, std::string_view aValue) override
   {
-    auto& request = At(aStream).mRequest;
+    auto& request = FindOrCreate(aStream).mRequest;
     if (aName == ":method") {
       request.mMethod = aValue;
     } else if (aName == ":path") {
@@ -120,7 +120,7 @@
 
   void OnBody(std::int32_t aStream, std::span<const std::uint8_t> aBytes) override
   {
-    auto& body = At(aStream).mRequest.mBody;
+    auto& body = FindOrCreate(aStream).mRequest.mBody;
     if (body.size() + aBytes.size() > kMaxBodyBytes) {
       Reset(aStream, NGHTTP2_ENHANCE_YOUR_CALM);
       return;
@@ -130,28 +130,28 @@
 
   void OnMessageEnd(std::int32_t aStream) override
   {
-    At(aStream).mComplete = true;
-    ++*mOpenCount;
+    FindOrCreate(aStream).mComplete = true;
+    ++*mOpenRequests;
     mHandler(mExchanges[aStream]);
   }
 
   void OnStreamClosed(std::int32_t aStream, std::uint32_t /*aCode*/) override
   {
     if (const auto node = mExchanges.extract(aStream); !node.empty()) {
-      Release(*node.mapped());
+      OnExchangeEnded(*node.mapped());
     }
   }
 
   void OnClosed(const std::string& /*aReason*/) override
   {
     for (auto exchanges = std::move(mExchanges); auto& [stream, exchange] : exchanges) {
-      Release(*exchange);
+      OnExchangeEnded(*exchange);
     }
     mExchanges.clear();
   }
 
 private:
-  Exchange& At(std::int32_t aStream)
+  Exchange& FindOrCreate(std::int32_t aStream)
   {
     auto& slot = mExchanges[aStream];
     if (!slot) {
@@ -160,28 +160,28 @@
     return *slot;
   }
 
-  void Release(Exchange& aExchange)
+  void OnExchangeEnded(Exchange& aExchange)
   {
     if (aExchange.mComplete) {
-      --*mOpenCount;
+      --*mOpenRequests;
     }
     aExchange.Cancel();
   }
 
   Http2Server::Handler mHandler;
-  std::shared_ptr<std::atomic<std::size_t>> mOpenCount;
+  std::shared_ptr<std::atomic<std::size_t>> mOpenRequests;
   std::map<std::int32_t, std::shared_ptr<Exchange>> mExchanges;
 };
 
 void Exchange::Respond(HttpResponse aResponse)
 {
-  if (mAnswered.exchange(true)) {
+  if (mResponded.exchange(true)) {
     return;
   }
   if (auto session = mSession.lock()) {
     asio::post(session->Transport().get_executor(),
                [session, stream = mStream, response = std::move(aResponse)]() mutable {
-                 session->Answer(stream, std::move(response));
+                 session->SendResponse(stream, std::move(response));
                });
   }
 }
@@ -220,7 +220,7 @@
       return;
     }
     auto session = std::make_shared<ServerSession>(std::move(aSocket), FromAsio(remote).ToString(),
-                                                   mHandler, mOpenCount);
+                                                   mHandler, mOpenRequests);
     std::erase_if(mSessions, [](const auto& aSession) { return aSession.expired(); });
     mSessions.push_back(session);
     asio::post(session->Transport().get_executor(), [session] { session->Start(); });
@@ -230,7 +230,7 @@
   tcp::acceptor mAcceptor;
   Handler mHandler;
   std::vector<std::weak_ptr<ServerSession>> mSessions;
-  std::shared_ptr<std::atomic<std::size_t>> mOpenCount =
+  std::shared_ptr<std::atomic<std::size_t>> mOpenRequests =
     std::make_shared<std::atomic<std::size_t>>(0);
 };
 
@@ -272,7 +272,7 @@
 
 std::size_t Http2Server::OpenRequests() const
 {
-  return mState->mOpenCount->load();
+  return mState->mOpenRequests->load();
 }
 
 } // namespace dandelionslip
--- a/lib/Net/Http2Session.cpp
+++ b/lib/Net/Http2Session.cpp
@@ -1,4 +1,4 @@
-// Frame reading and writing of HTTP/2 connections.
+// Reading and writing of HTTP/2 frames on a connection.
 #include "Http2Session.h"
 
 #include <boost/asio/write.hpp>
@@ -18,7 +18,7 @@
 
 nghttp2_nv MakeField(const HttpHeader& aHeader)
 {
-  // nghttp2 copies names and values, so the const_cast does not lead to writes.
+  // nghttp2 copies names and values and does not write through these pointers.
   return {reinterpret_cast<std::uint8_t*>(const_cast<char*>(aHeader.mName.data())),
           reinterpret_cast<std::uint8_t*>(const_cast<char*>(aHeader.mValue.data())),
           aHeader.mName.size(), aHeader.mValue.size(), NGHTTP2_NV_FLAG_NONE};
@@ -97,7 +97,7 @@
   Read();
 }
 
-void Http2Session::Shut(const std::string& aReason)
+void Http2Session::Close(const std::string& aReason)
 {
   if (!mOpen) {
     return;
@@ -168,7 +168,8 @@
 
 void Http2Session::Flush()
 {
-  // nghttp2 forbids sending from its own callbacks; Read flushes after them.
+  // nghttp2 must not be asked for output from within its callbacks. Read flushes after they return,
+  // and Write after the previous write.
   if (mWriting || mReceiving || !mOpen) {
     return;
   }
@@ -177,7 +178,7 @@
     const std::uint8_t* data = nullptr;
     const ssize_t size = nghttp2_session_mem_send(mSession, &data);
     if (size < 0) {
-      Shut(nghttp2_strerror(static_cast<int>(size)));
+      Close(nghttp2_strerror(static_cast<int>(size)));
       return;
     }
     if (size == 0) {
@@ -189,7 +190,7 @@
     Write();
   } else if (nghttp2_session_want_read(mSession) == 0 &&
              nghttp2_session_want_write(mSession) == 0) {
-    Shut("the session ended");
+    Close("the session ended");
   }
 }
 
@@ -202,7 +203,7 @@
     [self = shared_from_this()](const boost::system::error_code& aError, std::size_t) {
       self->mWriting = false;
       if (aError) {
-        self->Shut(aError.message());
+        self->Close(aError.message());
       } else {
         self->Flush();
       }
@@ -215,7 +216,7 @@
     asio::buffer(mReadBuffer),
     [self = shared_from_this()](const boost::system::error_code& aError, std::size_t aSize) {
       if (aError) {
-        self->Shut(aError.message());
+        self->Close(aError.message());
         return;
       }
       self->mTraffic->mRead += aSize;
@@ -224,7 +225,7 @@
         nghttp2_session_mem_recv(self->mSession, self->mReadBuffer.data(), aSize);
       self->mReceiving = false;
       if (used < 0) {
-        self->Shut(nghttp2_strerror(static_cast<int>(used)));
+        self->Close(nghttp2_strerror(static_cast<int>(used)));
         return;
       }
       self->Flush();
--- a/lib/Net/Http2Session.h
+++ b/lib/Net/Http2Session.h
@@ -1,4 +1,4 @@
-// One HTTP/2 connection: nghttp2 on an Asio socket, shared by server and client.
+// One HTTP/2 connection: nghttp2 on an Asio socket. Base of the client and server sessions.
 #pragma once
 
 #include "dandelionslip/Net/Http2Client.h"
@@ -19,7 +19,7 @@
 
 namespace dandelionslip {
 
-/// Reads and writes frames. All methods run on the socket's strand.
+/// Reads and writes frames. All methods must be called on the socket's strand.
 class Http2Session : public std::enable_shared_from_this<Http2Session>
 {
 public:
@@ -29,11 +29,11 @@
   Http2Session(const Http2Session&) = delete;
   Http2Session& operator=(const Http2Session&) = delete;
 
-  /// Sends the settings and starts reading.
+  /// Sends the SETTINGS frame and starts reading.
   void Start();
 
-  /// Closes the socket and reports aReason through OnClosed once.
-  void Shut(const std::string& aReason);
+  /// Closes the socket and calls OnClosed with aReason. Does nothing if already closed.
+  void Close(const std::string& aReason);
 
   /// Sends GOAWAY; streams in progress continue.
   void SendGoAway();
@@ -57,16 +57,17 @@
 
   virtual void OnHeader(std::int32_t aStream, std::string_view aName, std::string_view aValue) = 0;
   virtual void OnBody(std::int32_t aStream, std::span<const std::uint8_t> aBytes) = 0;
-  /// The peer's whole message has arrived, with its length checked.
+  /// The complete message has been received; nghttp2 has checked its body against content-length.
   virtual void OnMessageEnd(std::int32_t aStream) = 0;
-  /// aCode is an HTTP/2 error code; 0 after a regular end.
+  /// aCode is an HTTP/2 error code, 0 if the stream ended normally.
   virtual void OnStreamClosed(std::int32_t aStream, std::uint32_t aCode) = 0;
   virtual void OnClosed(const std::string& aReason) = 0;
 
-  /// Submits a response or request with a body; returns the stream or an nghttp2 error.
+  /// Queues a request (client; aStream is ignored) or the response on aStream (server). Returns the
+  /// stream or a negative nghttp2 error code.
   std::int32_t Submit(std::int32_t aStream, const std::vector<HttpHeader>& aHeaders, Bytes aBody);
 
-  /// Hands pending frames to the socket.
+  /// Writes queued frames to the socket.
   void Flush();
 
 private:
--- a/lib/Net/MetricsEndpoint.cpp
+++ b/lib/Net/MetricsEndpoint.cpp
@@ -1,4 +1,4 @@
-// Metrics endpoint on the HTTP/1.1 server.
+// Metrics endpoint on Http1Server.
 #include "dandelionslip/Net/MetricsEndpoint.h"
 
 #include "dandelionslip/Net/Http1Server.h"
@@ -10,7 +10,7 @@
 
 constexpr int kStatusNotFound = 404;
 
-std::string RenderProcess()
+std::string RenderProcessUsage()
 {
   const ProcessUsage usage = ReadProcessUsage();
   return "# TYPE process_cpu_seconds_total counter\nprocess_cpu_seconds_total " +
@@ -30,7 +30,7 @@
 {
   HttpResponse response;
   response.mHeaders.push_back({"content-type", "text/plain; version=0.0.4"});
-  const std::string text = aRegistry.Render() + RenderProcess();
+  const std::string text = aRegistry.Render() + RenderProcessUsage();
   response.mBody.assign(text.begin(), text.end());
   return response;
 }
@@ -40,7 +40,7 @@
                                                                  const MetricsRegistry& aRegistry,
                                                                  std::function<void()> aRefresh)
 {
-  auto answer = [&aRegistry, refresh = std::move(aRefresh)](const auto& aExchange) {
+  auto handler = [&aRegistry, refresh = std::move(aRefresh)](const auto& aExchange) {
     HttpResponse response;
     response.mStatus = kStatusNotFound;
     if (aExchange->Request().mPath == "/metrics") {
@@ -49,7 +49,7 @@
     }
     aExchange->Respond(std::move(response));
   };
-  auto server = Http1Server::Listen(aLoop, aEndpoint, std::move(answer));
+  auto server = Http1Server::Listen(aLoop, aEndpoint, std::move(handler));
   if (!server) {
     return server.as_failure();
   }
--- a/lib/Net/Timer.cpp
+++ b/lib/Net/Timer.cpp
@@ -1,4 +1,4 @@
-// Timers on Asio with the runtime's clock.
+// Timers on Asio and RuntimeClock.
 #include "dandelionslip/Net/Timer.h"
 
 #include <boost/asio/basic_waitable_timer.hpp>
--- a/lib/Net/UdpSocket.cpp
+++ b/lib/Net/UdpSocket.cpp
@@ -1,4 +1,4 @@
-// UDP socket on Asio; sends go straight to the kernel.
+// UDP socket: Asio for receiving, sendto for sending.
 #include "dandelionslip/Net/UdpSocket.h"
 
 #include "AsioEndpoint.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Datagrams read for each wake-up, so that one busy socket does not starve others.
+// Most datagrams read per wake-up, so that a busy socket does not starve the others.
 constexpr int kReadBatch = 64;
 constexpr std::size_t kMaxDatagramBytes = 65'536;
 constexpr int kReceiveBufferBytes = 4 * 1024 * 1024;
@@ -50,7 +50,8 @@
       if (error == asio::error::would_block) {
         return;
       }
-      // A refused port at the peer is reported here; it concerns an earlier send.
+      // An ICMP "port unreachable" caused by an earlier send is reported here as an error; ignore
+      // it.
       if (!error && mHandler) {
         mHandler(std::span(mBuffer.data(), size), FromAsio(from));
       }
@@ -100,7 +101,7 @@
 
 bool UdpSocket::Send(std::span<const std::uint8_t> aBytes, const Endpoint& aTo)
 {
-  // The socket object is not thread-safe but sendto on its descriptor is.
+  // The Asio socket is not thread-safe; sendto on its descriptor is.
   const auto to = ToAsio<udp>(aTo);
   return ::sendto(mState->mSocket.native_handle(), aBytes.data(), aBytes.size(), MSG_DONTWAIT,
                   to.data(),
--- a/unittests/Net/DatagramTest.cpp
+++ b/unittests/Net/DatagramTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the datagram codecs.
+// Tests of the encoding and decoding of datagrams.
 #include "dandelionslip/Net/CallerDatagram.h"
 #include "dandelionslip/Net/DatagramHeader.h"
 #include "dandelionslip/Support/Random.h"
@@ -14,11 +14,11 @@
 class DatagramTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DatagramTest);
-  CPPUNIT_TEST(HeaderSurvivesARoundTrip);
-  CPPUNIT_TEST(AlteredHeadersAreRefused);
-  CPPUNIT_TEST(OversizedPayloadIsRefused);
-  CPPUNIT_TEST(RefusalCarriesReasonAndTime);
-  CPPUNIT_TEST(MutatedCallerDatagramsNeverCrash);
+  CPPUNIT_TEST(EncodedHeaderDecodesToSameFields);
+  CPPUNIT_TEST(CorruptedHeadersAreRejected);
+  CPPUNIT_TEST(OversizedPayloadIsRejected);
+  CPPUNIT_TEST(RefusalCarriesReasonAndRetryAfter);
+  CPPUNIT_TEST(RandomCallerDatagramsDoNotCrash);
   CPPUNIT_TEST_SUITE_END();
 
   static DatagramHeader Sample()
@@ -46,8 +46,8 @@
     return bytes;
   }
 
-  // Guards against fields that are lost or swapped on the wire.
-  void HeaderSurvivesARoundTrip()
+  // Guards against fields that are lost or swapped by encoding and decoding.
+  void EncodedHeaderDecodesToSameFields()
   {
     const Bytes bytes = Encoded(5);
     const auto decoded = DecodeDatagram(bytes);
@@ -57,8 +57,8 @@
     CPPUNIT_ASSERT_EQUAL(static_cast<int>('D'), static_cast<int>(bytes[0]));
   }
 
-  // Guards against crashes on, and acceptance of, damaged headers.
-  void AlteredHeadersAreRefused()
+  // Guards against crashes on corrupted or truncated headers, and against accepting them.
+  void CorruptedHeadersAreRejected()
   {
     Random random(1);
     for (int round = 0; round < 20'000; ++round) {
@@ -71,15 +71,15 @@
     }
   }
 
-  // Guards against payloads over the limit of the header's definition.
-  void OversizedPayloadIsRefused()
+  // Guards against accepting payloads larger than kMaxDatagramPayload.
+  void OversizedPayloadIsRejected()
   {
     CPPUNIT_ASSERT(DecodeDatagram(Encoded(kMaxDatagramPayload)));
     CPPUNIT_ASSERT(!DecodeDatagram(Encoded(kMaxDatagramPayload + 1)));
   }
 
-  // Guards against callers that do not learn why and for how long they are refused.
-  void RefusalCarriesReasonAndTime()
+  // Guards against refusals that lose their reason or retry-after time.
+  void RefusalCarriesReasonAndRetryAfter()
   {
     const Bytes bytes = EncodeCallerDatagram(
       {CallerDatagramKind::Refused, 42, {}, RefusalReason::Cold, Milliseconds(1'500)});
@@ -90,23 +90,23 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{42}, decoded.value().mSessionTag);
   }
 
-  // Guards against crashes on any bytes from callers.
-  void MutatedCallerDatagramsNeverCrash()
+  // Guards against crashes on arbitrary bytes from callers.
+  void RandomCallerDatagramsDoNotCrash()
   {
     Random random(2);
     std::size_t accepted = 0;
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     for (int round = 0; round < 20'000; ++round) {
       Bytes bytes(random.Below(24));
       for (std::uint8_t& byte : bytes) {
         byte = static_cast<std::uint8_t>(random.Below(6));
       }
       const auto decoded = DecodeCallerDatagram(bytes);
-      (decoded ? accepted : refused) += 1;
+      (decoded ? accepted : rejected) += 1;
       CPPUNIT_ASSERT(!decoded || decoded.value().mKind != CallerDatagramKind::Refused ||
                      bytes.size() == 15);
     }
-    CPPUNIT_ASSERT(accepted > 100 && refused > 100);
+    CPPUNIT_ASSERT(accepted > 100 && rejected > 100);
   }
 };
 
--- a/unittests/Net/Http1Test.cpp
+++ b/unittests/Net/Http1Test.cpp
@@ -24,7 +24,7 @@
   CPPUNIT_TEST_SUITE(Http1Test);
   CPPUNIT_TEST(ConnectionsCarrySeveralRequests);
   CPPUNIT_TEST(DroppedExchangesEndTheConnection);
-  CPPUNIT_TEST(UnreadableRequestsEndTheConnection);
+  CPPUNIT_TEST(MalformedRequestsEndTheConnection);
   CPPUNIT_TEST_SUITE_END();
 
   asio::io_context mLoop;
@@ -59,14 +59,15 @@
   }
 
 private:
-  // Sends a text and returns what comes back until the connection ends or the marker is read.
-  static std::string Ask(tcp::socket& aSocket, const std::string& aText, const std::string& aMarker)
+  // Sends a text and returns what is received until the marker or the end of the connection.
+  static std::string SendAndReceive(tcp::socket& aSocket, const std::string& aText,
+                                    const std::string& aMarker)
   {
     asio::write(aSocket, asio::buffer(aText));
-    std::string answer;
+    std::string received;
     boost::system::error_code ignored;
-    asio::read_until(aSocket, asio::dynamic_buffer(answer), aMarker, ignored);
-    return answer;
+    asio::read_until(aSocket, asio::dynamic_buffer(received), aMarker, ignored);
+    return received;
   }
 
   static tcp::socket Connect(asio::io_context& aLoop)
@@ -76,33 +77,37 @@
     return socket;
   }
 
-  // Guards against a connection that is closed after one answer although the caller keeps it.
+  // Guards against a connection that is closed after one response although the client keeps it
+  // open.
   void ConnectionsCarrySeveralRequests()
   {
     asio::io_context loop;
     tcp::socket socket = Connect(loop);
-    const std::string first = Ask(socket, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", "GET /a");
+    const std::string first =
+      SendAndReceive(socket, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", "GET /a");
     CPPUNIT_ASSERT(first.find("200") != std::string::npos);
-    const std::string second =
-      Ask(socket, "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi", "POST /b");
+    const std::string second = SendAndReceive(
+      socket, "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhi", "POST /b");
     CPPUNIT_ASSERT(second.find("POST /b") != std::string::npos);
   }
 
-  // Guards against a caller that waits for its own timeout because nobody answers.
+  // Guards against a client that waits for its own timeout because the handler did not respond.
   void DroppedExchangesEndTheConnection()
   {
     mDrop = true;
     asio::io_context loop;
     tcp::socket socket = Connect(loop);
-    CPPUNIT_ASSERT_EQUAL(std::string(), Ask(socket, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", "never"));
+    CPPUNIT_ASSERT_EQUAL(std::string(),
+                         SendAndReceive(socket, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", "never"));
   }
 
-  // Guards against a handler that runs for a request which cannot be read.
-  void UnreadableRequestsEndTheConnection()
+  // Guards against calling the handler for a request that cannot be parsed.
+  void MalformedRequestsEndTheConnection()
   {
     asio::io_context loop;
     tcp::socket socket = Connect(loop);
-    CPPUNIT_ASSERT_EQUAL(std::string(), Ask(socket, "\x01\x02 nonsense\r\n\r\n", "never"));
+    CPPUNIT_ASSERT_EQUAL(std::string(),
+                         SendAndReceive(socket, "\x01\x02 nonsense\r\n\r\n", "never"));
   }
 };
 
--- a/unittests/Net/Http2Test.cpp
+++ b/unittests/Net/Http2Test.cpp
@@ -17,8 +17,8 @@
 class Http2Test : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(Http2Test);
-  CPPUNIT_TEST(LargeBodiesArriveWhole);
-  CPPUNIT_TEST(AnswersAreMatchedToTheirRequests);
+  CPPUNIT_TEST(LargeBodiesArriveComplete);
+  CPPUNIT_TEST(ResponsesAreMatchedToTheirRequests);
   CPPUNIT_TEST(RefusedConnectionIsUnavailable);
   CPPUNIT_TEST(LostConnectionAfterSendIsUnknown);
   CPPUNIT_TEST(CancelReachesTheServer);
@@ -36,7 +36,7 @@
     mServer = std::move(server.value());
   }
 
-  // Runs the loop until the condition holds; fails when the loop is idle for too long.
+  // Runs the event loop until the condition holds. Fails if nothing runs for kTimeout.
   template <typename Condition>
   void RunUntil(Condition aCondition)
   {
@@ -60,8 +60,8 @@
     mLoop.poll();
   }
 
-  // Guards against bodies beyond the flow-control window being cut short.
-  void LargeBodiesArriveWhole()
+  // Guards against truncated bodies that are larger than the flow-control window.
+  void LargeBodiesArriveComplete()
   {
     Serve([](auto aExchange) {
       HttpResponse response;
@@ -81,8 +81,9 @@
     CPPUNIT_ASSERT(result->value().mBody == body);
   }
 
-  // Guards against answers given in another order reaching the wrong request.
-  void AnswersAreMatchedToTheirRequests()
+  // Guards against a response that reaches the wrong request when responses are sent in another
+  // order.
+  void ResponsesAreMatchedToTheirRequests()
   {
     Serve([this](auto aExchange) { mHeld.push_back(aExchange); });
     Http2Client client(mLoop, mEndpoint);
@@ -105,7 +106,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{kRequests}, matched);
   }
 
-  // Guards against a request that was never sent being reported as possibly run.
+  // Guards against reporting a request that was never sent as possibly processed.
   void RefusedConnectionIsUnavailable()
   {
     Http2Client client(mLoop, Endpoint::Parse("127.0.0.1:17442").value());
@@ -115,7 +116,7 @@
     CPPUNIT_ASSERT(code == ErrorCode::Unavailable);
   }
 
-  // Guards against a request whose fate is open being reported as not run.
+  // Guards against reporting a request that may have been processed as not processed.
   void LostConnectionAfterSendIsUnknown()
   {
     Serve([this](auto aExchange) { mHeld.push_back(aExchange); });
@@ -128,7 +129,7 @@
     CPPUNIT_ASSERT(code == ErrorCode::Unknown);
   }
 
-  // Guards against work going on for a caller that has withdrawn.
+  // Guards against a server that continues to work on a cancelled request.
   void CancelReachesTheServer()
   {
     Serve([this](auto aExchange) { mHeld.push_back(aExchange); });
