--- a/bench/BenchReport.cpp
+++ b/bench/BenchReport.cpp
@@ -1,4 +1,4 @@
-// Registry and JSON form of benchmark results.
+// Output of benchmark results and registry of benchmarks.
 #include "BenchReport.h"
 
 #include <cstdlib>
--- a/bench/BenchReport.h
+++ b/bench/BenchReport.h
@@ -1,4 +1,4 @@
-// Results of benchmarks and their report.
+// Benchmark registry and report.
 #pragma once
 
 #include "dandelionslip/Support/Json.h"
@@ -11,15 +11,15 @@
 
 namespace dandelionslip {
 
-/// One measured figure.
+/// A measured value.
 struct BenchResult
 {
   std::string mName;
-  std::string mDeployment; ///< Sizes and threads measured.
+  std::string mDeployment; ///< Configuration measured: sizes, threads.
   double mValue = 0;
   std::string mUnit;
   std::optional<double> mBaseline;
-  std::optional<double> mTarget; ///< Upper bound from section 1.6 of the design.
+  std::optional<double> mTarget; ///< Largest acceptable value.
 };
 
 /// Options of a run.
@@ -29,7 +29,7 @@
   std::uint64_t mSeed = 1;
 };
 
-/// Collects results and writes them.
+/// Collects results and prints each one when it is added.
 class BenchReport
 {
 public:
@@ -49,10 +49,10 @@
 
 using Benchmark = std::function<void(BenchReport&)>;
 
-/// Registered benchmarks, in order of registration within a file.
+/// Registered benchmarks. Those of one file are in the order of their RegisterBenchmark objects.
 std::vector<Benchmark>& Benchmarks();
 
-/// Registers a benchmark when a file-level object of this type is constructed.
+/// Registers a benchmark on construction; for objects at namespace scope.
 struct RegisterBenchmark
 {
   explicit RegisterBenchmark(Benchmark aBenchmark)
--- a/bench/RoutingBench.cpp
+++ b/bench/RoutingBench.cpp
@@ -1,4 +1,5 @@
-// Movement and evenness of assignment tables, and cost of routing decisions.
+// Benchmarks of assignment tables (imbalance, moved buckets, time to build and look up), routing
+// decisions and the memory of the flow table.
 #include "BenchReport.h"
 #include "dandelionslip/Agent/FlowTable.h"
 #include "dandelionslip/Route/AssignmentTable.h"
@@ -45,7 +46,7 @@
   return names;
 }
 
-// Highest share of buckets relative to the share by weight.
+// Largest ratio, over all members, of the share of buckets owned to the share given by weight.
 double Imbalance(const std::vector<std::string>& aOwners,
                  const std::vector<WeightedMember>& aMembers)
 {
@@ -61,6 +62,7 @@
   return highest;
 }
 
+// Share of buckets that change their owner.
 double MovedShare(const std::vector<std::string>& aBefore, const std::vector<std::string>& aAfter)
 {
   std::size_t moved = 0;
@@ -70,7 +72,7 @@
   return static_cast<double>(moved) / static_cast<double>(aBefore.size());
 }
 
-struct TableFigures
+struct TableMeasurements
 {
   double mImbalance = 0;
   double mMovedOnLeave = 0;
@@ -78,26 +80,26 @@
   double mBuildUs = 0;
 };
 
-TableFigures MeasureTable(const AssignmentStrategy& aStrategy, const BenchOptions& aOptions)
+TableMeasurements MeasureTable(const AssignmentStrategy& aStrategy, const BenchOptions& aOptions)
 {
   Random random(aOptions.mSeed);
   const std::size_t rounds = aOptions.mQuick ? 20 : 200;
-  TableFigures figures;
+  TableMeasurements measured;
   for (std::size_t round = 0; round < rounds; ++round) {
     const auto members = MakeMembers(random);
     const auto start = Clock::now();
     const auto before = OwnerNames(aStrategy, members);
-    figures.mBuildUs += NanosecondsSince(start) / 1'000 / static_cast<double>(rounds);
-    figures.mImbalance = std::max(figures.mImbalance, Imbalance(before, members));
-    auto left = members;
-    left.pop_back();
-    auto heavier = members;
-    heavier[0].mWeight = heavier[0].mWeight * 5 / 4;
+    measured.mBuildUs += NanosecondsSince(start) / 1'000 / static_cast<double>(rounds);
+    measured.mImbalance = std::max(measured.mImbalance, Imbalance(before, members));
+    auto withoutLast = members;
+    withoutLast.pop_back();
+    auto withHigherWeight = members;
+    withHigherWeight[0].mWeight = withHigherWeight[0].mWeight * 5 / 4;
     const auto share = 1.0 / static_cast<double>(rounds);
-    figures.mMovedOnLeave += MovedShare(before, OwnerNames(aStrategy, left)) * share;
-    figures.mMovedOnWeight += MovedShare(before, OwnerNames(aStrategy, heavier)) * share;
+    measured.mMovedOnLeave += MovedShare(before, OwnerNames(aStrategy, withoutLast)) * share;
+    measured.mMovedOnWeight += MovedShare(before, OwnerNames(aStrategy, withHigherWeight)) * share;
   }
-  return figures;
+  return measured;
 }
 
 void BenchTables(BenchReport& aReport)
@@ -106,17 +108,17 @@
   const auto ring = MeasureTable(*MakeRingStrategy(), aReport.Options());
   for (const auto& strategy :
        {MakeRendezvousStrategy(), MakePermutationStrategy(), MakeRingStrategy()}) {
-    const TableFigures figures = MeasureTable(*strategy, aReport.Options());
+    const TableMeasurements measured = MeasureTable(*strategy, aReport.Options());
     const std::string name(strategy->Name());
-    // The target applies to the table in use; the others are measured for comparison.
-    const bool used = name == "rendezvous";
-    aReport.Add({"balance.imbalance." + name, deployment, figures.mImbalance, "highest/fair",
-                 ring.mImbalance, used ? std::optional(1.05) : std::nullopt});
-    aReport.Add({"balance.moved_on_leave." + name, deployment, figures.mMovedOnLeave, "share",
+    // The target applies to the strategy in use; the others are measured for comparison.
+    const bool inUse = name == "rendezvous";
+    aReport.Add({"balance.imbalance." + name, deployment, measured.mImbalance, "highest/fair",
+                 ring.mImbalance, inUse ? std::optional(1.05) : std::nullopt});
+    aReport.Add({"balance.moved_on_leave." + name, deployment, measured.mMovedOnLeave, "share",
                  ring.mMovedOnLeave, std::nullopt});
-    aReport.Add({"balance.moved_on_weight_step." + name, deployment, figures.mMovedOnWeight,
+    aReport.Add({"balance.moved_on_weight_step." + name, deployment, measured.mMovedOnWeight,
                  "share", ring.mMovedOnWeight, std::nullopt});
-    aReport.Add({"speed.table_build." + name, deployment, figures.mBuildUs, "us", ring.mBuildUs,
+    aReport.Add({"speed.table_build." + name, deployment, measured.mBuildUs, "us", ring.mBuildUs,
                  std::nullopt});
   }
 }
@@ -134,7 +136,7 @@
     sum += table.Owner(BucketOf(hash >> 20U, kBuckets));
   }
   const double perLookup = NanosecondsSince(start) / static_cast<double>(lookups);
-  // Using the sum keeps the loop from being removed.
+  // The use of the sum keeps the compiler from removing the loop.
   aReport.Add({"speed.table_lookup", sum == 0 ? "no owners" : "7 members, 1024 buckets", perLookup,
                "ns", std::nullopt, std::nullopt});
 }
@@ -180,14 +182,15 @@
   return core.Snapshot();
 }
 
-// Mean time of a decision in one worker, in nanoseconds.
+// Mean time of a routing decision in one worker, in nanoseconds. -1 if not every packet was
+// forwarded: such a run measures something else.
 double MeasureWorker(const RoutingSnapshot& aSnapshot, const std::vector<Endpoint>& aCallers,
                      const Endpoint& aService, TimePoint aNow, std::size_t aPackets,
-                     std::size_t aFirst)
+                     std::size_t aFirstCaller)
 {
   const Endpoint balancer = MakeEndpoint(1, 1);
   std::size_t forwarded = 0;
-  std::size_t next = aFirst % aCallers.size();
+  std::size_t next = aFirstCaller % aCallers.size();
   const auto start = Clock::now();
   for (std::size_t i = 0; i < aPackets; ++i) {
     const auto decision = aSnapshot.Route(aCallers[next], aService, false, balancer, aNow);
@@ -195,7 +198,6 @@
     next = next + 1 == aCallers.size() ? 0 : next + 1;
   }
   const double perPacket = NanosecondsSince(start) / static_cast<double>(aPackets);
-  // A run that does not forward every packet measures something else.
   return forwarded == aPackets ? perPacket : -1;
 }
 
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,4 +1,4 @@
-// Runs all benchmarks and writes the report.
+// Runs all registered benchmarks and writes the JSON report.
 #include "BenchReport.h"
 
 #include <docopt/docopt.h>
--- a/standins/FlowCallers.cpp
+++ b/standins/FlowCallers.cpp
@@ -1,4 +1,4 @@
-// Sessions of the stand-in callers.
+// Stand-in callers: sending, evaluation of answers and detection of broken flows.
 #include "FlowCallers.h"
 
 #include <sstream>
@@ -30,7 +30,7 @@
       return socket.as_failure();
     }
     flow->mSocket = std::move(socket.value());
-    flow->mTag = mRandom.Next();
+    flow->mSessionTag = mRandom.Next();
     flow->mLastAnswer = now;
     flow->mNextSend = now + mOptions.mOpenOver * i / mOptions.mFlows;
     mFlows.push_back(std::move(flow));
@@ -71,7 +71,7 @@
       continue;
     }
     if (!flow->mUpstream.empty() && now - flow->mLastAnswer > mOptions.mBreakAfter) {
-      Break(*flow, "silent");
+      OnBroken(*flow, "silent");
     }
     SendQuote(*flow);
     flow->mNextSend = now + mOptions.mInterval;
@@ -90,7 +90,7 @@
 {
   CallerDatagram datagram;
   datagram.mKind = aKind;
-  datagram.mSessionTag = aFlow.mTag;
+  datagram.mSessionTag = aFlow.mSessionTag;
   datagram.mPayload = {reinterpret_cast<const std::uint8_t*>(aText.data()), aText.size()};
   const Bytes bytes = EncodeCallerDatagram(datagram);
   aFlow.mSocket->Send(bytes, mOptions.mBalancers[mRandom.Below(mOptions.mBalancers.size())]);
@@ -100,7 +100,7 @@
 {
   const std::lock_guard lock(mMutex);
   const auto datagram = DecodeCallerDatagram(aBytes);
-  if (!datagram || datagram.value().mSessionTag != aFlow.mTag) {
+  if (!datagram || datagram.value().mSessionTag != aFlow.mSessionTag) {
     return;
   }
   if (datagram.value().mKind == CallerDatagramKind::Refused) {
@@ -121,12 +121,12 @@
   text >> verb >> number >> upstream >> count;
   aFlow.mLastAnswer = RuntimeClock::now();
   if (!upstream.starts_with(mPrefix)) {
-    ++mStatistics.mForeign;
+    ++mStatistics.mFromOtherService;
     return;
   }
   const bool first = aFlow.mUpstream.empty();
   if (!first && upstream != aFlow.mUpstream) {
-    Break(aFlow, "moved");
+    OnBroken(aFlow, "moved");
     return;
   }
   aFlow.mUpstream = upstream;
@@ -135,11 +135,11 @@
     return;
   }
   ++mStatistics.mAnswers;
-  // The upstream counts the messages of a session; a lower count shows that it lost the session.
-  // Answers can overtake each other by a few messages.
-  constexpr std::uint64_t kReordering = 5;
-  if (count + kReordering < aFlow.mLastCount) {
-    Break(aFlow, "session_reset");
+  // The upstream reports its count of the session's messages; a lower count shows that it lost the
+  // session. Answers may be reordered by a few messages.
+  constexpr std::uint64_t kMaxReordering = 5;
+  if (count + kMaxReordering < aFlow.mLastCount) {
+    OnBroken(aFlow, "session_reset");
     return;
   }
   aFlow.mLastCount = std::max(aFlow.mLastCount, count);
@@ -160,14 +160,14 @@
     ++mStatistics.mGivenUp;
     Reopen(aFlow, aRetryAfter);
   } else if (aReason == RefusalReason::UnknownFlow) {
-    Break(aFlow, "unknown_flow");
+    OnBroken(aFlow, "unknown_flow");
   }
 }
 
-void FlowCallers::Break(Flow& aFlow, const std::string& aWhat)
+void FlowCallers::OnBroken(Flow& aFlow, const std::string& aSymptom)
 {
   ++mStatistics.mBroken;
-  ++mStatistics.mBreaks[aWhat + " " + aFlow.mUpstream];
+  ++mStatistics.mBrokenBySymptom[aSymptom + " " + aFlow.mUpstream];
   Reopen(aFlow, Milliseconds(0));
 }
 
@@ -176,7 +176,7 @@
   aFlow.mUpstream.clear();
   aFlow.mLastCount = 0;
   aFlow.mSequence = 0;
-  aFlow.mTag = mRandom.Next();
+  aFlow.mSessionTag = mRandom.Next();
   aFlow.mLastAnswer = RuntimeClock::now();
   aFlow.mNextSend = RuntimeClock::now() + aDelay;
 }
--- a/standins/FlowCallers.h
+++ b/standins/FlowCallers.h
@@ -1,4 +1,4 @@
-// Stand-in callers that keep sessions open over UDP and notice when one breaks.
+// Stand-in callers that keep flows open over UDP and detect broken flows.
 #pragma once
 
 #include "dandelionslip/Net/CallerDatagram.h"
@@ -14,32 +14,32 @@
 
 namespace dandelionslip {
 
-/// How the callers behave.
+/// Behaviour of the callers.
 struct FlowCallerOptions
 {
   std::vector<Endpoint> mBalancers; ///< Each datagram goes to one of them at random.
-  Endpoint mLocal;                  ///< Address of the callers; port 0.
+  Endpoint mLocal;                  ///< Local address of the callers; the port must be 0.
   std::size_t mFlows = 100;
-  Milliseconds mInterval{200};     ///< Between two quote messages of a flow.
-  Milliseconds mFeedInterval{0};   ///< Feed asked for in every flow; 0 for none.
-  Milliseconds mBreakAfter{5'000}; ///< A flow without any answer for this time counts as broken.
-  Milliseconds mOpenOver{1'000};   ///< Flows are opened evenly over this time.
+  Milliseconds mInterval{200};     ///< Time between two quote messages of a flow.
+  Milliseconds mFeedInterval{0};   ///< Interval of the feed requested in every flow; 0 for none.
+  Milliseconds mBreakAfter{5'000}; ///< A flow that receives nothing for this time is broken.
+  Milliseconds mOpenOver{1'000};   ///< Time over which the flows are opened evenly.
   std::uint64_t mSeed = 1;
 };
 
-/// What the callers have seen.
+/// Counts of all flows.
 struct FlowStatistics
 {
   std::uint64_t mOpened = 0;
-  std::uint64_t mEstablished = 0; ///< Flows that hold an upstream now.
+  std::uint64_t mEstablished = 0; ///< Open flows that have received an answer.
   std::uint64_t mAnswers = 0;
   std::uint64_t mTicks = 0;
-  std::uint64_t mBroken = 0;                      ///< Moved, forgotten or silent.
-  std::uint64_t mGivenUp = 0;                     ///< Ended because the data centre was taken out.
-  std::uint64_t mForeign = 0;                     ///< Answers of another service.
-  std::map<std::string, std::uint64_t> mBreaks;   ///< Broken flows by what was seen.
-  std::map<std::string, std::uint64_t> mRefusals; ///< Refused datagrams by reason.
-  std::map<std::string, std::uint64_t> mPerUpstream; ///< Established flows by upstream.
+  std::uint64_t mBroken = 0;  ///< Answered by another upstream, lost by the upstream or silent.
+  std::uint64_t mGivenUp = 0; ///< Ended because the data centre was taken out.
+  std::uint64_t mFromOtherService = 0;                   ///< Answers from another service.
+  std::map<std::string, std::uint64_t> mBrokenBySymptom; ///< Broken flows by symptom and upstream.
+  std::map<std::string, std::uint64_t> mRefusals;        ///< Refused datagrams by reason.
+  std::map<std::string, std::uint64_t> mPerUpstream;     ///< Established flows by upstream.
 };
 
 template <typename V>
@@ -51,8 +51,8 @@
   aVisitor.Field("ticks", aValue.mTicks);
   aVisitor.Field("broken", aValue.mBroken);
   aVisitor.Field("given_up", aValue.mGivenUp);
-  aVisitor.Field("foreign", aValue.mForeign);
-  aVisitor.Field("breaks", aValue.mBreaks);
+  aVisitor.Field("foreign", aValue.mFromOtherService);
+  aVisitor.Field("breaks", aValue.mBrokenBySymptom);
   aVisitor.Field("refusals", aValue.mRefusals);
   aVisitor.Field("per_upstream", aValue.mPerUpstream);
 }
@@ -61,14 +61,14 @@
 class FlowCallers
 {
 public:
-  /// aPrefix is the start of the names of the service's upstreams.
+  /// aPrefix: how the names of the service's upstreams begin.
   FlowCallers(boost::asio::io_context& aLoop, FlowCallerOptions aOptions, std::string aPrefix);
   ~FlowCallers();
 
   /// Opens the sockets and starts sending.
   Result<void> Start();
 
-  /// Stops opening flows and sends close datagrams.
+  /// Closes all flows and stops sending.
   void Stop();
 
   FlowStatistics Statistics() const;
@@ -77,10 +77,10 @@
   struct Flow
   {
     std::unique_ptr<UdpSocket> mSocket;
-    std::uint64_t mTag = 0;
+    std::uint64_t mSessionTag = 0;
     std::uint64_t mSequence = 0;
-    std::string mUpstream; ///< Empty until the first answer.
-    std::uint64_t mLastCount = 0;
+    std::string mUpstream;        ///< Empty until the first answer.
+    std::uint64_t mLastCount = 0; ///< Highest message count reported by the upstream.
     TimePoint mLastAnswer;
     TimePoint mNextSend;
   };
@@ -91,7 +91,7 @@
   void OnDatagram(Flow& aFlow, std::span<const std::uint8_t> aBytes);
   void OnAnswer(Flow& aFlow, std::string_view aText);
   void OnRefused(Flow& aFlow, RefusalReason aReason, Milliseconds aRetryAfter);
-  void Break(Flow& aFlow, const std::string& aWhat);
+  void OnBroken(Flow& aFlow, const std::string& aSymptom);
   void Reopen(Flow& aFlow, Milliseconds aDelay);
 
   boost::asio::io_context& mLoop;
--- a/standins/RequestCallers.cpp
+++ b/standins/RequestCallers.cpp
@@ -1,4 +1,4 @@
-// Requests of the stand-in callers.
+// Stand-in callers: sending of requests, resends and evaluation of replies.
 #include "RequestCallers.h"
 
 #include "dandelionslip/Request/RequestId.h"
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Milliseconds kResolution{10};
-constexpr Milliseconds kResendPause{100};
+constexpr Milliseconds kSendInterval{10};
+constexpr Milliseconds kResendDelay{100};
 
 } // namespace
 
@@ -28,7 +28,7 @@
 
 void RequestCallers::Start()
 {
-  mTimer = std::make_unique<RepeatingTimer>(mLoop, kResolution, [this] { Tick(); });
+  mTimer = std::make_unique<RepeatingTimer>(mLoop, kSendInterval, [this] { SendDue(); });
 }
 
 void RequestCallers::Stop()
@@ -43,7 +43,7 @@
   return mInFlight == 0;
 }
 
-std::vector<RequestRecordSeen> RequestCallers::History() const
+std::vector<RequestResult> RequestCallers::History() const
 {
   const std::lock_guard lock(mMutex);
   return mHistory;
@@ -61,102 +61,105 @@
   return mReasons;
 }
 
-void RequestCallers::Tick()
+void RequestCallers::SendDue()
 {
-  std::vector<std::shared_ptr<Open>> due;
+  std::vector<std::shared_ptr<PendingRequest>> due;
   {
     const std::lock_guard lock(mMutex);
     if (mStopping) {
       return;
     }
-    mCredit += mOptions.mPerSecond * std::chrono::duration<double>(kResolution).count();
-    for (; mCredit >= 1 && mInFlight < mOptions.mMaxInFlight; mCredit -= 1) {
-      auto open = std::make_shared<Open>();
-      open->mId = RequestId::Make(WallClockMs(), mRandom).ToString();
-      open->mBody = "payload of " + open->mId;
-      open->mStarted = RuntimeClock::now();
-      open->mDeadline = open->mStarted + mOptions.mDeadline;
-      due.push_back(std::move(open));
+    mDueRequests += mOptions.mPerSecond * std::chrono::duration<double>(kSendInterval).count();
+    for (; mDueRequests >= 1 && mInFlight < mOptions.mMaxInFlight; mDueRequests -= 1) {
+      auto pending = std::make_shared<PendingRequest>();
+      pending->mId = RequestId::Make(WallClockMs(), mRandom).ToString();
+      pending->mBody = "payload of " + pending->mId;
+      pending->mStarted = RuntimeClock::now();
+      pending->mDeadline = pending->mStarted + mOptions.mDeadline;
+      due.push_back(std::move(pending));
       ++mInFlight;
     }
-    mCredit = std::min(mCredit, 1.0);
+    mDueRequests = std::min(mDueRequests, 1.0);
   }
-  for (const auto& open : due) {
-    Send(open);
+  for (const auto& pending : due) {
+    Send(pending);
   }
 }
 
-void RequestCallers::Send(const std::shared_ptr<Open>& aOpen)
+void RequestCallers::Send(const std::shared_ptr<PendingRequest>& aPending)
 {
   std::size_t index = 0;
   {
     const std::lock_guard lock(mMutex);
     index = mRandom.Below(mClients.size());
-    ++aOpen->mAttempt;
+    ++aPending->mAttempt;
   }
   const auto left = std::max(
-    std::chrono::floor<Milliseconds>(aOpen->mDeadline - RuntimeClock::now()), Milliseconds(1));
+    std::chrono::floor<Milliseconds>(aPending->mDeadline - RuntimeClock::now()), Milliseconds(1));
   HttpRequest request;
   request.mPath = "/run";
-  request.mHeaders = {{"dslip-request-id", aOpen->mId},
-                      {"dslip-attempt", std::to_string(aOpen->mAttempt)},
+  request.mHeaders = {{"dslip-request-id", aPending->mId},
+                      {"dslip-attempt", std::to_string(aPending->mAttempt)},
                       {"dslip-deadline-ms", std::to_string(left.count())}};
-  request.mBody.assign(aOpen->mBody.begin(), aOpen->mBody.end());
+  request.mBody.assign(aPending->mBody.begin(), aPending->mBody.end());
   mClients[index]->Send(std::move(request), left,
-                        [this, aOpen](auto aResult) { OnResult(aOpen, std::move(aResult)); });
+                        [this, aPending](auto aResult) { OnResult(aPending, std::move(aResult)); });
 }
 
-void RequestCallers::OnResult(const std::shared_ptr<Open>& aOpen, Result<HttpResponse> aResult)
+void RequestCallers::OnResult(const std::shared_ptr<PendingRequest>& aPending,
+                              Result<HttpResponse> aResult)
 {
-  RequestRecordSeen seen;
-  seen.mRequestId = aOpen->mId;
+  RequestResult result;
+  result.mRequestId = aPending->mId;
   std::string reason;
   if (aResult) {
     const auto& headers = aResult.value().mHeaders;
-    seen.mOutcome = FindHeader(headers, "dslip-outcome");
+    result.mOutcome = FindHeader(headers, "dslip-outcome");
     reason = FindHeader(headers, "dslip-reason");
   } else {
-    // A connection that was never made shows that nothing was sent, but only for this attempt.
-    const bool notSent = aResult.error().mCode == ErrorCode::Unavailable && !aOpen->mMayHaveRun;
-    seen.mOutcome = notSent ? "not_run" : "unknown";
+    // Unavailable: this attempt was not processed. The request was not run if the outcome of the
+    // previous attempt is not unknown either.
+    const bool notSent = aResult.error().mCode == ErrorCode::Unavailable && !aPending->mMayHaveRun;
+    result.mOutcome = notSent ? "not_run" : "unknown";
     reason = std::string("link_") + std::string(ToString(aResult.error().mCode));
   }
-  if (seen.mOutcome == "answered") {
+  if (result.mOutcome == "answered") {
     const auto& body = aResult.value().mBody;
     const std::string text(body.begin(), body.end());
-    // The upstream answers "run NUMBER UPSTREAM BODY".
+    // The answer of the upstream is "run NUMBER UPSTREAM BODY".
     const auto first = text.find(' ');
     const auto second = text.find(' ', first + 1);
     const auto third = text.find(' ', second + 1);
-    seen.mIntact = third != std::string::npos && text.substr(third + 1) == aOpen->mBody;
-    seen.mRun = text.substr(second + 1, third - second - 1) + "/" +
-                text.substr(first + 1, second - first - 1);
-    Finish(aOpen, seen);
+    result.mIntact = third != std::string::npos && text.substr(third + 1) == aPending->mBody;
+    result.mRun = text.substr(second + 1, third - second - 1) + "/" +
+                  text.substr(first + 1, second - first - 1);
+    Finish(aPending, result);
     return;
   }
-  aOpen->mMayHaveRun = seen.mOutcome == "unknown";
+  aPending->mMayHaveRun = result.mOutcome == "unknown";
   {
     const std::lock_guard lock(mMutex);
-    ++mReasons[seen.mOutcome + " " + reason];
+    ++mReasons[result.mOutcome + " " + reason];
   }
-  const bool again =
-    aOpen->mAttempt < mOptions.mTries && RuntimeClock::now() + kResendPause < aOpen->mDeadline;
-  if (!again) {
-    Finish(aOpen, seen);
+  const bool sendAgain = aPending->mAttempt < mOptions.mMaxAttempts &&
+                         RuntimeClock::now() + kResendDelay < aPending->mDeadline;
+  if (!sendAgain) {
+    Finish(aPending, result);
     return;
   }
-  CallAfter(mLoop, kResendPause, [this, aOpen] { Send(aOpen); });
+  CallAfter(mLoop, kResendDelay, [this, aPending] { Send(aPending); });
 }
 
-void RequestCallers::Finish(const std::shared_ptr<Open>& aOpen, RequestRecordSeen aSeen)
+void RequestCallers::Finish(const std::shared_ptr<PendingRequest>& aPending, RequestResult aResult)
 {
   const std::lock_guard lock(mMutex);
   --mInFlight;
-  if (aSeen.mOutcome == "answered") {
-    const std::chrono::duration<double, std::milli> latency = RuntimeClock::now() - aOpen->mStarted;
+  if (aResult.mOutcome == "answered") {
+    const std::chrono::duration<double, std::milli> latency =
+      RuntimeClock::now() - aPending->mStarted;
     mLatencies.push_back(latency.count());
   }
-  mHistory.push_back(std::move(aSeen));
+  mHistory.push_back(std::move(aResult));
 }
 
 } // namespace dandelionslip
--- a/standins/RequestCallers.h
+++ b/standins/RequestCallers.h
@@ -1,4 +1,4 @@
-// Stand-in callers that send requests over HTTP/2 and record what they were told.
+// Stand-in callers that send requests over HTTP/2 and record the outcomes.
 #pragma once
 
 #include "dandelionslip/Net/Http2Client.h"
@@ -14,28 +14,28 @@
 
 namespace dandelionslip {
 
-/// How the request callers behave.
+/// Behaviour of the request callers.
 struct RequestCallerOptions
 {
   std::vector<Endpoint> mBalancers;
   double mPerSecond = 20;
   std::size_t mMaxInFlight = 64;
-  std::uint32_t mTries = 4; ///< Resends of one id when its outcome is open.
+  std::uint32_t mMaxAttempts = 4; ///< Maximum number of attempts of a request.
   Milliseconds mDeadline{5'000};
   std::uint64_t mSeed = 1;
 };
 
-/// What a caller was told about one request in the end.
-struct RequestRecordSeen
+/// Final outcome of a request as its caller was told.
+struct RequestResult
 {
   std::string mRequestId;
   std::string mOutcome; ///< answered, not_run, unknown or cancelled.
-  std::string mRun;     ///< Run named by the answer, as "upstream/number".
-  bool mIntact = true;  ///< The answer repeats the request's body.
+  std::string mRun;     ///< The run that the answer names, as "upstream/number".
+  bool mIntact = true;  ///< Whether the answer repeats the body of the request.
 };
 
 template <typename V>
-void DescribeFields(V& aVisitor, RequestRecordSeen& aValue)
+void DescribeFields(V& aVisitor, RequestResult& aValue)
 {
   aVisitor.Field("request_id", aValue.mRequestId);
   aVisitor.Field("outcome", aValue.mOutcome);
@@ -43,7 +43,8 @@
   aVisitor.Field("intact", aValue.mIntact);
 }
 
-/// Sends requests at a steady rate. A resend carries the same id and a higher attempt.
+/// Sends requests at a steady rate. A request without an answer is sent again with the same id and
+/// the next attempt number until it is answered, its attempts are used up or its deadline is near.
 class RequestCallers
 {
 public:
@@ -51,42 +52,42 @@
   ~RequestCallers();
 
   void Start();
-  /// Sends nothing new; running requests end by their deadlines.
+  /// Starts no new requests. Those in flight end by their deadlines.
   void Stop();
   bool Idle() const;
 
-  std::vector<RequestRecordSeen> History() const;
+  std::vector<RequestResult> History() const;
   /// Latencies of answered requests in milliseconds.
   std::vector<double> Latencies() const;
-  /// Refusals and open outcomes by reason.
+  /// Attempts without an answer, counted by outcome and reason.
   std::map<std::string, std::uint64_t> Reasons() const;
 
 private:
-  struct Open
+  struct PendingRequest
   {
     std::string mId;
     std::string mBody;
     std::uint32_t mAttempt = 0;
-    bool mMayHaveRun = false; ///< An earlier attempt's outcome is open.
+    bool mMayHaveRun = false; ///< The previous attempt's outcome is unknown.
     TimePoint mStarted;
     TimePoint mDeadline;
   };
 
-  void Tick();
-  void Send(const std::shared_ptr<Open>& aOpen);
-  void OnResult(const std::shared_ptr<Open>& aOpen, Result<HttpResponse> aResult);
-  void Finish(const std::shared_ptr<Open>& aOpen, RequestRecordSeen aSeen);
+  void SendDue();
+  void Send(const std::shared_ptr<PendingRequest>& aPending);
+  void OnResult(const std::shared_ptr<PendingRequest>& aPending, Result<HttpResponse> aResult);
+  void Finish(const std::shared_ptr<PendingRequest>& aPending, RequestResult aResult);
 
   boost::asio::io_context& mLoop;
   RequestCallerOptions mOptions;
   mutable std::mutex mMutex;
   Random mRandom;
   std::vector<std::unique_ptr<Http2Client>> mClients;
-  std::vector<RequestRecordSeen> mHistory;
+  std::vector<RequestResult> mHistory;
   std::vector<double> mLatencies;
   std::map<std::string, std::uint64_t> mReasons;
   std::size_t mInFlight = 0;
-  double mCredit = 0;
+  double mDueRequests = 0; ///< Requests that the rate allows to start; the fraction accumulates.
   bool mStopping = false;
   std::unique_ptr<RepeatingTimer> mTimer;
 };
--- a/standins/UpstreamModel.cpp
+++ b/standins/UpstreamModel.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A cold upstream serves this many times slower than a warm one.
+// How many times longer a cold upstream takes for a request than a warm one.
 constexpr double kColdSlowdown = 5.0;
 
 } // namespace
@@ -19,28 +19,28 @@
   mStatistics.mName = mOptions.mName;
 }
 
-void UpstreamModel::TurnCold(TimePoint aNow)
+void UpstreamModel::ResetToCold(TimePoint aNow)
 {
   mColdSince = aNow;
 }
 
-double UpstreamModel::Warmth(TimePoint aNow) const
+double UpstreamModel::WarmUpProgress(TimePoint aNow) const
 {
   const auto age = std::chrono::duration<double>(aNow - mColdSince);
-  const auto warmUp = std::chrono::duration<double>(mOptions.mWarmUp);
+  const auto warmUp = std::chrono::duration<double>(mOptions.mWarmUpTime);
   return warmUp.count() <= 0 ? 1.0 : std::clamp(age / warmUp, 0.0, 1.0);
 }
 
-double UpstreamModel::BearableSlots(TimePoint aNow) const
+double UpstreamModel::SlotCapacity(TimePoint aNow) const
 {
-  const double warmth = Warmth(aNow);
-  return mOptions.mColdSlots + warmth * (mOptions.mSlots - mOptions.mColdSlots);
+  const double progress = WarmUpProgress(aNow);
+  return mOptions.mColdSlots + progress * (mOptions.mSlots - mOptions.mColdSlots);
 }
 
-double UpstreamModel::BearableConnections(TimePoint aNow) const
+double UpstreamModel::ConnectionCapacity(TimePoint aNow) const
 {
-  const double warmth = Warmth(aNow);
-  return mOptions.mColdConnections + warmth * (mOptions.mConnections - mOptions.mColdConnections);
+  const double progress = WarmUpProgress(aNow);
+  return mOptions.mColdConnections + progress * (mOptions.mConnections - mOptions.mColdConnections);
 }
 
 bool UpstreamModel::StartRun(const std::string& aRequestId, TimePoint aNow, Run& aRun)
@@ -50,11 +50,11 @@
     return false;
   }
   ++mStatistics.mInFlight;
-  const double ratio = static_cast<double>(mStatistics.mInFlight) / BearableSlots(aNow);
+  const double ratio = static_cast<double>(mStatistics.mInFlight) / SlotCapacity(aNow);
   mStatistics.mPeakSlotRatio = std::max(mStatistics.mPeakSlotRatio, ratio);
   if (ratio > 1.0) {
     ++mStatistics.mOverloads;
-    TurnCold(aNow);
+    ResetToCold(aNow);
   }
   aRun = Run{aRequestId, ++mStatistics.mRuns, mOptions.mName};
   mHistory.push_back(aRun);
@@ -63,20 +63,20 @@
 
 Milliseconds UpstreamModel::ServiceTime(TimePoint aNow) const
 {
-  const double factor = 1.0 + (kColdSlowdown - 1.0) * (1.0 - Warmth(aNow));
+  const double factor = 1.0 + (kColdSlowdown - 1.0) * (1.0 - WarmUpProgress(aNow));
   return Milliseconds(
-    static_cast<std::int64_t>(static_cast<double>(mOptions.mService.count()) * factor));
+    static_cast<std::int64_t>(static_cast<double>(mOptions.mServiceTime.count()) * factor));
 }
 
 void UpstreamModel::SetSessions(std::size_t aSessions, TimePoint aNow)
 {
   const bool grew = aSessions > mStatistics.mSessions;
   mStatistics.mSessions = aSessions;
-  const double ratio = static_cast<double>(aSessions) / BearableConnections(aNow);
+  const double ratio = static_cast<double>(aSessions) / ConnectionCapacity(aNow);
   mStatistics.mPeakConnectionRatio = std::max(mStatistics.mPeakConnectionRatio, ratio);
   if (grew && ratio > 1.0) {
     ++mStatistics.mOverloads;
-    TurnCold(aNow);
+    ResetToCold(aNow);
   }
 }
 
--- a/standins/UpstreamModel.h
+++ b/standins/UpstreamModel.h
@@ -1,4 +1,4 @@
-// Behaviour of the stand-in upstream: capacity, cold start, overload and run history.
+// Model of the stand-in upstream: capacity, cold start, overload and run history.
 #pragma once
 
 #include "dandelionslip/Support/Fields.h"
@@ -10,23 +10,23 @@
 
 namespace dandelionslip {
 
-/// How a stand-in upstream behaves.
+/// Behaviour of a stand-in upstream.
 struct UpstreamOptions
 {
   std::string mName;
   std::uint32_t mSlots = 4;
   std::uint32_t mConnections = 2000;
-  std::uint32_t mColdSlots = 1;
-  std::uint32_t mColdConnections = 100;
-  Milliseconds mService{20};   ///< Time to serve one request when not overloaded.
-  Milliseconds mWarmUp{5'000}; ///< Time until the full capacity is reached.
+  std::uint32_t mColdSlots = 1;         ///< Requests that it can run at once when cold.
+  std::uint32_t mColdConnections = 100; ///< Sessions that it can hold when cold.
+  Milliseconds mServiceTime{20};        ///< Time to serve a request when warm.
+  Milliseconds mWarmUpTime{5'000};      ///< Time from cold to full capacity.
 };
 
-/// One request that was run.
+/// A run of a request.
 struct Run
 {
   std::string mRequestId;
-  std::uint64_t mRun = 0; ///< Position in this upstream's sequence of runs.
+  std::uint64_t mRun = 0; ///< Number of the run, counted by this upstream from 1.
   std::string mUpstream;
 };
 
@@ -38,15 +38,15 @@
   aVisitor.Field("upstream", aValue.mUpstream);
 }
 
-/// What a stand-in upstream has seen.
+/// Counters of a stand-in upstream.
 struct UpstreamStatistics
 {
   std::string mName;
   std::uint64_t mRuns = 0;
-  std::uint64_t mShed = 0;
-  std::uint64_t mOverloads = 0; ///< Times at which the load exceeded what it can bear.
-  double mPeakSlotRatio = 0;    ///< Highest requests in flight over the bearable number.
-  double mPeakConnectionRatio = 0;
+  std::uint64_t mShed = 0;         ///< Requests refused because all slots were in use.
+  std::uint64_t mOverloads = 0;    ///< How often the load exceeded the current capacity.
+  double mPeakSlotRatio = 0;       ///< Highest ratio of requests in flight to the current capacity.
+  double mPeakConnectionRatio = 0; ///< Highest ratio of sessions to the current capacity.
   std::uint64_t mSessions = 0;
   std::uint64_t mInFlight = 0;
 };
@@ -64,32 +64,33 @@
   aVisitor.Field("in_flight", aValue.mInFlight);
 }
 
-/// Capacity model without input or output. Not thread-safe.
+/// Models an upstream whose capacity grows from the cold to the full value during its warm-up, and
+/// which an overload resets to cold. Does no input or output. Not thread-safe.
 class UpstreamModel
 {
 public:
   UpstreamModel(UpstreamOptions aOptions, TimePoint aNow);
 
-  /// Returns to cold, as after a restart that nobody announced.
-  void TurnCold(TimePoint aNow);
+  /// Resets to cold, as after an unannounced restart.
+  void ResetToCold(TimePoint aNow);
 
-  /// Starts a run; false when all slots are taken and the request is shed.
+  /// Starts a run. Returns false if all slots are in use and the request is shed.
   bool StartRun(const std::string& aRequestId, TimePoint aNow, Run& aRun);
   void FinishRun() { --mStatistics.mInFlight; }
 
-  /// Time that a run started now takes; longer when cold or overloaded.
+  /// Duration of a run started now; longer when cold. An overload resets to cold.
   Milliseconds ServiceTime(TimePoint aNow) const;
 
-  /// Reports the number of open sessions.
+  /// Sets the number of open sessions; an increase beyond the current capacity is an overload.
   void SetSessions(std::size_t aSessions, TimePoint aNow);
 
   const UpstreamStatistics& Statistics() const { return mStatistics; }
   const std::vector<Run>& History() const { return mHistory; }
 
 private:
-  double Warmth(TimePoint aNow) const;
-  double BearableSlots(TimePoint aNow) const;
-  double BearableConnections(TimePoint aNow) const;
+  double WarmUpProgress(TimePoint aNow) const;
+  double SlotCapacity(TimePoint aNow) const;
+  double ConnectionCapacity(TimePoint aNow) const;
 
   UpstreamOptions mOptions;
   TimePoint mColdSince;
--- a/standins/caller/main.cpp
+++ b/standins/caller/main.cpp
@@ -1,4 +1,4 @@
-// Stand-in callers of one service: sessions over UDP and requests over HTTP/2.
+// Stand-in callers of one service: flows over UDP and requests over HTTP/2. For demos and tests.
 #include "FlowCallers.h"
 #include "RequestCallers.h"
 
@@ -52,6 +52,7 @@
   return endpoints;
 }
 
+// aRank: 0 for the smallest, 1 for the largest value.
 double Percentile(std::vector<double> aValues, double aRank)
 {
   if (aValues.empty()) {
@@ -61,7 +62,7 @@
   return aValues[static_cast<std::size_t>(aRank * static_cast<double>(aValues.size() - 1))];
 }
 
-// Writes to a temporary file first, so that a reader never sees half a summary.
+// Writes a temporary file and renames it, so that a reader never sees a partial summary.
 void WriteSummary(const std::string& aPath, const FlowCallers& aFlows,
                   const RequestCallers& aRequests)
 {
--- a/standins/query/main.cpp
+++ b/standins/query/main.cpp
@@ -1,4 +1,4 @@
-// Prints the body that a stand-in upstream returns for a path.
+// Sends a GET request to a stand-in upstream and prints the body of the response.
 #include "dandelionslip/Net/Http2Client.h"
 
 #include <boost/asio/io_context.hpp>
--- a/standins/upstream/main.cpp
+++ b/standins/upstream/main.cpp
@@ -1,4 +1,4 @@
-// Stand-in upstream: quote sessions and feeds over UDP, one-shot answers over HTTP/2.
+// Stand-in upstream: quote sessions and feeds over UDP, requests over HTTP/2. For demos and tests.
 #include "UpstreamModel.h"
 
 #include "dandelionslip/Daemon/CommandLine.h"
@@ -37,7 +37,7 @@
   --warm-up-ms=N         Time from cold to full capacity [default: 5000].
 )";
 
-// Sessions without a datagram for this time are forgotten.
+// A session without a datagram for this time is removed.
 constexpr std::chrono::seconds kSessionIdle{30};
 
 struct Session
@@ -148,7 +148,7 @@
     } else if (path == "/history") {
       RespondText(aExchange, ToJson(mModel.History()).dump());
     } else if (path == "/cold") {
-      mModel.TurnCold(RuntimeClock::now());
+      mModel.ResetToCold(RuntimeClock::now());
       RespondText(aExchange, "ok");
     } else if (path == "/health") {
       RespondText(aExchange, "ok");
@@ -220,8 +220,8 @@
   options.mConnections = Number(aArguments, "--connections");
   options.mColdSlots = Number(aArguments, "--cold-slots");
   options.mColdConnections = Number(aArguments, "--cold-connections");
-  options.mService = Milliseconds(aArguments.at("--service-ms").asLong());
-  options.mWarmUp = Milliseconds(aArguments.at("--warm-up-ms").asLong());
+  options.mServiceTime = Milliseconds(aArguments.at("--service-ms").asLong());
+  options.mWarmUpTime = Milliseconds(aArguments.at("--warm-up-ms").asLong());
   InitialiseLog("standin-upstream", options.mName, LogLevel::Info);
   WorkerPool pool(1);
   Upstream upstream(pool.Loop(), options);
