--- a/tools/dandelionslipctl/main.cpp
+++ b/tools/dandelionslipctl/main.cpp
@@ -1,4 +1,4 @@
-// Operators' command-line tool.
+// Command-line tool for operators.
 #include "dandelionslip/Config/Publication.h"
 #include "dandelionslip/Daemon/CommandLine.h"
 #include "dandelionslip/Daemon/OperatorClient.h"
@@ -57,6 +57,7 @@
 
 int ExitCodeOf(CommandOutcome aOutcome)
 {
+  // In the order of the enumerators.
   static constexpr std::array<int, 6> kCodes{0, 3, 4, 5, 6, 7};
   return kCodes[static_cast<std::size_t>(aOutcome)];
 }
@@ -87,7 +88,7 @@
   return aError.mCode == ErrorCode::InvalidInput ? ExitRefused : ExitFailed;
 }
 
-// The time of issue is that of the publication id, so that a resend carries the same one.
+// The issue time is the timestamp in the publication id, so that a resend has the same issue time.
 Result<PublicationIdentity> IdentityFrom(const Arguments& aArguments)
 {
   Random random(SystemSeed());
@@ -178,11 +179,11 @@
   if (!files) {
     return Fail(files.error());
   }
-  const auto inForce = ClientFor(aArguments).FetchConfiguration(TimeoutOf(aArguments));
-  if (!inForce) {
-    return Fail(inForce.error());
+  const auto current = ClientFor(aArguments).FetchConfiguration(TimeoutOf(aArguments));
+  if (!current) {
+    return Fail(current.error());
   }
-  const auto changed = ChangedServices(files.value(), inForce.value());
+  const auto changed = ChangedServices(files.value(), current.value());
   for (const auto& file : changed) {
     std::cout << "service=" << file.mSpec.mName << " version=" << file.mSpec.mVersion
               << " file=" << file.mPath << "\n";
@@ -207,9 +208,9 @@
   return command ? SendCommand(aArguments, command.value()) : Fail(command.error());
 }
 
-// Sends a command that aFill completes.
-template <typename Fill>
-int SendFilled(const Arguments& aArguments, Fill aFill)
+// Creates a command with a publication id, lets aSetChange complete it, and sends it.
+template <typename SetChange>
+int CreateAndSendCommand(const Arguments& aArguments, SetChange aSetChange)
 {
   const auto identity = IdentityFrom(aArguments);
   if (!identity) {
@@ -219,13 +220,13 @@
   command.mPublicationId = identity.value().mPublicationId;
   command.mOperator = identity.value().mOperator;
   command.mIssuedMs = identity.value().mIssuedMs;
-  aFill(command);
+  aSetChange(command);
   return SendCommand(aArguments, command);
 }
 
 int DataCentre(const Arguments& aArguments)
 {
-  return SendFilled(aArguments, [&](Command& aCommand) {
+  return CreateAndSendCommand(aArguments, [&](Command& aCommand) {
     aCommand.mDataCentre =
       DataCentreChange{aArguments.at("NAME").asString(), aArguments.at("out").asBool(), {}};
   });
@@ -233,7 +234,7 @@
 
 int Drain(const Arguments& aArguments)
 {
-  return SendFilled(aArguments, [&](Command& aCommand) {
+  return CreateAndSendCommand(aArguments, [&](Command& aCommand) {
     aCommand.mDrain =
       DrainChange{aArguments.at("UPSTREAM").asString(), aArguments.at("drain").asBool()};
   });
@@ -267,6 +268,7 @@
             << (aStatus.value("confirmed", false) ? "confirmed" : "unconfirmed") << "\n";
 }
 
+// Prints the configuration and the view that a replica reports.
 void PrintState(const Json& aStatus)
 {
   const Json& configuration = aStatus["configuration"];
@@ -299,10 +301,10 @@
     if (!aArguments.at("--json").asBool()) {
       PrintReplica(endpoint, replica);
     }
-    const bool better =
+    const bool newer =
       !replica.contains("error") &&
       (newest == nullptr || replica.value("commit_index", 0) > newest->value("commit_index", 0));
-    newest = better ? &replica : newest;
+    newest = newer ? &replica : newest;
   }
   if (newest == nullptr) {
     return ExitFailed;
@@ -349,7 +351,7 @@
   try {
     return RunCtl(std::get<ProgramArguments>(parsed));
   } catch (const std::exception& failure) {
-    // Options whose value is not a number.
+    // Thrown for an option whose value is not a number.
     std::cerr << failure.what() << "\n";
     return kUsageExit;
   }
