--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -11,10 +11,10 @@
 constexpr const char* kUsage = R"(Usage: dandelionslip-bench [--quick] [--seed N] [--out FILE]
 
 Options:
-  --quick     Shorter runs with less precise figures.
-  --seed N    Seed of generated inputs [default: 1].
-  --out FILE  Where the report goes [default: build/bench.json].
-The environment variable DANDELIONSLIP_COMMIT names the measured commit in the report.
+  --quick     Shorter, less precise measurements.
+  --seed N    Seed of the generated inputs [default: 1].
+  --out FILE  File that receives the report [default: build/bench.json].
+The environment variable DANDELIONSLIP_COMMIT gives the measured commit, which the report names.
 )";
 
 } // namespace
--- a/standins/upstream/main.cpp
+++ b/standins/upstream/main.cpp
@@ -31,9 +31,9 @@
   --http=ENDPOINT        Numeric address:port for requests, statistics and faults.
   --slots=N              Requests served at once [default: 4].
   --connections=N        Sessions held at once [default: 2000].
-  --cold-slots=N         Requests bearable when cold [default: 1].
-  --cold-connections=N   Sessions bearable when cold [default: 100].
-  --service-ms=N         Time to serve a request [default: 20].
+  --cold-slots=N         Requests that it can serve at once when cold [default: 1].
+  --cold-connections=N   Sessions that it can hold when cold [default: 100].
+  --service-ms=N         Time to serve a request when warm [default: 20].
   --warm-up-ms=N         Time from cold to full capacity [default: 5000].
 )";
 
--- a/tools/dandelionslip-control/main.cpp
+++ b/tools/dandelionslip-control/main.cpp
@@ -14,8 +14,8 @@
 Options:
   --config=FILE   Settings in JSON with comments.
   --check-config  Check the settings and exit.
-  --bootstrap     Found a new group: write the first membership to an empty data folder. Never use
-                  it on a VM that replaces a lost one; that VM joins as a learner.
+  --bootstrap     Create a new Raft group: write the initial membership to an empty data folder.
+                  Never use it on a VM that replaces a lost one; that VM joins as a learner.
   -h --help       Show this text.
   --version       Show the version.
 
--- a/tools/dandelionslipctl/main.cpp
+++ b/tools/dandelionslipctl/main.cpp
@@ -34,13 +34,14 @@
 Options:
   --control=LIST        Control endpoints, separated by commas
                         [default: 127.0.0.1:7400,127.0.0.1:7401,127.0.0.1:7402].
-  --timeout-ms=N        Time to wait for a decision [default: 5000].
-  --id=UUID             Publication id, a UUID of version 7; resend with the id of a lost answer to
-                        learn its outcome.
-  --operator=NAME       Name shown to the loser of a conflict [default: operator].
-  --expected-version=N  Refuse unless the file's version is N + 1.
-  --dry-run             Show what would be published.
-  --json                Print the whole status as JSON.
+  --timeout-ms=N        Time to wait for an answer from control [default: 5000].
+  --id=UUID             Publication id, a UUID of version 7. To learn the outcome of a command whose
+                        answer was lost, send it again with the same id.
+  --operator=NAME       Name shown to operators whose commands conflict with this one
+                        [default: operator].
+  --expected-version=N  Reject files whose version is not N + 1.
+  --dry-run             Show what would be published, and publish nothing.
+  --json                Print the complete status as JSON.
 
 Exit codes: 0 done, 1 failed, 2 usage, 3 refused, 4 conflict, 5 not applied, 6 outcome unknown,
 7 publication id expired.
