--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,7 +1,7 @@
 """Runs the C++ benchmarks and end-to-end measurements, and writes build/bench.json.
 
-A measurement that failed is named on standard error and is absent from the report; the exit code
-is then 1. A missed target does not change the exit code.
+A failed measurement is named on standard error and missing from the report, and the exit code is 1.
+A missed target does not change the exit code.
 """
 
 import argparse
@@ -15,15 +15,15 @@
 
 import demo
 from cluster import BUILD, Cluster, wait_for
-from slopes import at_rest
+from slopes import measure_idle
 
 DEPLOYMENT = "Kongsi Rekabilik, planner 7 and render 3, one machine"
 
-# The hash spreads flows at random, so the fewer flows there are, the higher the imbalance that chance
-# alone gives. With 500 an upstream, the cold limits kept 3,500 flows from opening within 60 s.
+# The hash distributes flows randomly, so with fewer flows chance alone causes more imbalance. With
+# 500 flows per upstream, the limits of cold upstreams kept 3,500 flows from opening within 60 s.
 FLOWS_PER_UPSTREAM = 100
 
-# Targets of section 1.6 of the design page.
+# Largest acceptable values.
 TARGETS = {"config.in_force_median_s": 2, "config.in_force_max_s": 2,
            "control.bytes_per_second_node": 3072, "control.cpu_share_node": 0.011,
            "control.memory_bytes_node": 268435456, "datacentre.last_packet_s": 3,
@@ -31,7 +31,7 @@
 
 
 class QuietReport(demo.Report):
-    """Keeps the checks of the demo's steps and prints only those that failed."""
+    """Collects the checks of the demo functions in use and prints only those that failed."""
 
     def check(self, invariant, tried, counted, held):
         self.rows.append((invariant, tried, counted, held))
@@ -41,7 +41,7 @@
 
 
 class EndToEnd:
-    """One deployment and the results measured on it."""
+    """A deployment and the results measured on it."""
 
     def __init__(self, quick):
         self.quick = quick
@@ -58,14 +58,16 @@
                              "met": None if target is None else value <= target})
 
     def attempt(self, measurement):
+        """Runs a measurement; an error is recorded as its failure and does not end the run."""
         try:
             measurement()
         except (TimeoutError, RuntimeError, OSError, subprocess.SubprocessError) as error:
             self.failures.append(f"{measurement.__name__}: {error}")
 
     def rest(self):
-        values, quiet = at_rest(self.cluster, 10)
-        detail = "highest of 13 nodes, no callers, 10 s" + ("" if quiet else ", view changed")
+        """Cost of a node in the idle deployment."""
+        values, unchanged = measure_idle(self.cluster, 10)
+        detail = "highest of 13 nodes, no callers, 10 s" + ("" if unchanged else ", view changed")
         for name, series, unit in (("control.bytes_per_second_node", "bytes_per_second", "bytes/s"),
                                    ("control.cpu_share_node", "cpu_share", "cores")):
             highest = max(values["agent." + series] + values["balancer." + series])
@@ -91,7 +93,7 @@
                  "highest resident size of 13 nodes, flows open")
 
     def publish(self):
-        """Seconds from the command until every node reports the revision."""
+        """Publishes a new version; returns the seconds until every node reports its revision."""
         self.version += 1
         path = self.cluster.write_service(demo.PLANNER, self.version,
                                           opens_per_second=600 + self.version)
@@ -100,8 +102,8 @@
         return time.monotonic() - start
 
     def broken(self):
-        """Planned changes with flows open; a flow counts as broken only by its caller."""
-        before, given_up, _ = demo.broken(self.cluster)
+        """Flows that break, as their callers count, in planned changes; times of publications."""
+        before, given_up, _ = demo.broken_flows(self.cluster)
         times = [self.publish() for _ in range(3 if self.quick else 10)]
         self.add("config.in_force_median_s", statistics.median(times), "s",
                  f"{len(times)} publications")
@@ -109,7 +111,7 @@
         demo.restart_and_check(self.cluster, self.report, "balancer-1")
         demo.restart_and_check(self.cluster, self.report, "planner-2")
         time.sleep(demo.SETTLE_S)
-        after, given_up_after, breaks = demo.broken(self.cluster)
+        after, given_up_after, breaks = demo.broken_flows(self.cluster)
         self.add("flows.broken_planned", after - before + given_up_after - given_up, "flows",
                  f"{len(times)} publications, a balancer and an agent restart, {breaks or 'none'}")
 
@@ -124,14 +126,14 @@
         self.cluster.processes[old].start()
 
     def data_centre(self):
-        """Last datagram that an agent of the data centre receives from a balancer."""
+        """Time from taking a data centre out to the last datagram that its agents receive."""
         start = time.monotonic()
         self.cluster.ctl("data-centre", "out", "klang-b")
-        last_change, seen = start, demo.forwards(self.cluster, "klang-b")
+        last_change, seen = start, demo.forwarded_datagrams(self.cluster, "klang-b")
         if seen == 0:
             raise RuntimeError("the data centre had no traffic")
         while time.monotonic() - start < demo.LAST_PACKET_S + 2:
-            if (now := demo.forwards(self.cluster, "klang-b")) != seen:
+            if (now := demo.forwarded_datagrams(self.cluster, "klang-b")) != seen:
                 seen, last_change = now, time.monotonic()
             time.sleep(0.05)
         self.add("datacentre.last_packet_s", last_change - start, "s", "flows open")
@@ -156,7 +158,7 @@
 
 
 def print_table(results):
-    """Results that miss their target first, then those with a target, then the others."""
+    """Prints missed targets first, then met targets, then results without a target."""
     order = {False: 0, True: 1, None: 2}
     for result in sorted(results, key=lambda each: (order[each["met"]], each["name"])):
         verdict = {False: "MISSED", True: "met", None: ""}[result["met"]]
--- a/scripts/cluster.py
+++ b/scripts/cluster.py
@@ -1,4 +1,4 @@
-"""Starts and stops the programs of a small deployment on loopback."""
+"""Starts, observes and stops the programs of a small deployment on loopback."""
 
 import json
 import os
@@ -10,15 +10,19 @@
 
 BUILD = os.path.join(os.path.dirname(os.path.abspath(__file__)), "..", "build")
 
-# First two numbers of all loopback addresses, so that two deployments can run side by side.
+# First two bytes of all loopback addresses. A different value lets a second deployment run at the
+# same time.
 NET = os.environ.get("DANDELIONSLIP_NET", "127.0")
 
-# Longest wait for a condition, in seconds.
+# Default timeout of wait_for, in seconds.
 WAIT_S = 30
 
 
 def wait_for(condition, what, timeout=WAIT_S):
-    """Polls a condition and returns the seconds it took; raises TimeoutError."""
+    """Polls until the condition is true and returns the seconds it took.
+
+    Raises TimeoutError, which names `what`.
+    """
     start = time.monotonic()
     while time.monotonic() - start < timeout:
         if condition():
@@ -28,7 +32,7 @@
 
 
 class Process:
-    """One program with its log file."""
+    """A program and its log file."""
 
     def __init__(self, name, arguments, folder):
         self.name = name
@@ -42,7 +46,7 @@
         log.close()
 
     def terminate(self, timeout=20):
-        """Planned stop; returns the exit code."""
+        """Stops the program as planned, with SIGTERM, and returns its exit code."""
         self.child.send_signal(signal.SIGTERM)
         return self.child.wait(timeout=timeout)
 
@@ -70,35 +74,36 @@
         self.control_endpoints = [f"{NET}.1.{i + 1}:7400" for i in range(3)]
         self.callers = {}
 
-    def program(self, name):
+    def program_path(self, name):
         return os.path.join(BUILD, name)
 
-    def add(self, name, arguments):
+    def add_process(self, name, arguments):
         process = Process(name, arguments, self.folder)
         self.processes[name] = process
         return process
 
-    def write(self, name, content):
+    def write_json(self, name, content):
         path = os.path.join(self.folder, name)
         with open(path, "w", encoding="utf-8") as file:
             json.dump(content, file, indent=1)
         return path
 
-    def common(self, node, data_centre, metrics):
+    def common_settings(self, node, data_centre, metrics):
         return {"node": node, "data_centre": data_centre, "log_level": "info",
                 "metrics_endpoint": metrics, "control_endpoints": self.control_endpoints}
 
     def start_control(self):
         for i, endpoint in enumerate(self.control_endpoints):
-            settings = self.common(f"control-{i + 1}", self.data_centres[i],
-                                   f"{NET}.1.{i + 1}:9100")
+            settings = self.common_settings(f"control-{i + 1}", self.data_centres[i],
+                                            f"{NET}.1.{i + 1}:9100")
             settings["endpoint"] = endpoint
             settings["peers"] = [{"name": f"control-{k + 1}", "endpoint": other}
                                  for k, other in enumerate(self.control_endpoints) if k != i]
             settings["data_folder"] = os.path.join(self.folder, f"control-{i + 1}.data")
-            path = self.write(f"control-{i + 1}.json", settings)
-            program = self.program("dandelionslip-control")
-            process = self.add(f"control-{i + 1}", [program, "--config=" + path])
+            path = self.write_json(f"control-{i + 1}.json", settings)
+            program = self.program_path("dandelionslip-control")
+            process = self.add_process(f"control-{i + 1}", [program, "--config=" + path])
+            # Only the first start has --bootstrap; later starts do not.
             first = Process(process.name, process.arguments + ["--bootstrap"], self.folder)
             first.start()
             process.child = first.child
@@ -107,11 +112,12 @@
         for i, data_centre in enumerate(self.data_centres):
             name = f"balancer-{i + 1}"
             address = f"{NET}.2.{i + 1}"
-            settings = self.common(name, data_centre, f"{address}:9100")
+            settings = self.common_settings(name, data_centre, f"{address}:9100")
             settings.update({"datagram_endpoint": f"{address}:7500",
                              "request_endpoint": f"{address}:7501", "listen_address": address})
-            path = self.write(name + ".json", settings)
-            self.add(name, [self.program("dandelionslip-balancer"), "--config=" + path]).start()
+            path = self.write_json(name + ".json", settings)
+            self.add_process(name, [self.program_path("dandelionslip-balancer"),
+                                    "--config=" + path]).start()
 
     def start_upstreams(self, warm_up_ms=3000):
         number = 0
@@ -120,24 +126,25 @@
                 number += 1
                 name = f"{service['name']}-{k + 1}"
                 data_centre = self.data_centres[k % len(self.data_centres)]
-                self.start_pair(name, service, data_centre, number, warm_up_ms)
+                self.start_upstream_and_agent(name, service, data_centre, number, warm_up_ms)
 
-    def start_pair(self, name, service, data_centre, number, warm_up_ms):
+    def start_upstream_and_agent(self, name, service, data_centre, number, warm_up_ms):
         upstream = f"{NET}.4.{number}"
         agent = f"{NET}.3.{number}"
-        self.add("upstream-" + name, [
-            self.program("standin-upstream"), "--name=" + name, f"--udp={upstream}:7700",
+        self.add_process("upstream-" + name, [
+            self.program_path("standin-upstream"), "--name=" + name, f"--udp={upstream}:7700",
             f"--http={upstream}:7701", f"--slots={service['slots']}",
             f"--service-ms={service['service_ms']}", f"--warm-up-ms={warm_up_ms}"]).start()
-        settings = self.common(name, data_centre, f"{agent}:9100")
+        settings = self.common_settings(name, data_centre, f"{agent}:9100")
         settings.update({
             "service": service["name"], "datagram_endpoint": f"{agent}:7600",
             "request_endpoint": f"{agent}:7601",
             "upstream_datagram_endpoint": f"{upstream}:7700",
             "upstream_request_endpoint": f"{upstream}:7701",
             "upstream_health_path": "/health", "local_address": agent})
-        path = self.write(name + ".json", settings)
-        self.add(name, [self.program("dandelionslip-agent"), "--config=" + path]).start()
+        path = self.write_json(name + ".json", settings)
+        self.add_process(name, [self.program_path("dandelionslip-agent"),
+                                "--config=" + path]).start()
         self.agents[name] = {"data_centre": data_centre, "metrics": f"{agent}:9100",
                              "upstream": f"{upstream}:7701", "service": service["name"]}
 
@@ -145,13 +152,14 @@
         balancers = ",".join(f"{NET}.2.{i + 1}:{service['port']}"
                              for i in range(len(self.data_centres)))
         out = os.path.join(self.folder, name + ".summary.json")
-        arguments = [self.program("standin-caller"), "--balancers=" + balancers,
+        arguments = [self.program_path("standin-caller"), "--balancers=" + balancers,
                      f"--prefix={service['name']}-", "--out=" + out]
         arguments += [f"--{key}={value}" for key, value in options.items()]
-        self.add(name, arguments).start()
+        self.add_process(name, arguments).start()
         self.callers[name] = out
 
     def summary(self, name):
+        """The latest summary file of a caller process, or None if it has not written one yet."""
         try:
             with open(self.callers[name], encoding="utf-8") as file:
                 return json.load(file)
@@ -159,7 +167,7 @@
             return None
 
     def fresh_summary(self, name):
-        """Waits for a summary that was written after this call."""
+        """Waits for the next summary, so that it is written after this call."""
         path = self.callers[name]
         before = os.stat(path).st_mtime_ns if os.path.exists(path) else 0
         wait_for(lambda: os.path.exists(path) and os.stat(path).st_mtime_ns > before,
@@ -174,10 +182,10 @@
                    "idempotent": service.get("idempotent", False),
                    "traffic_class": service.get("traffic_class", "quote")}
         content.update(changes)
-        return self.write(f"{service['name']}.service.json", content)
+        return self.write_json(f"{service['name']}.service.json", content)
 
     def ctl(self, *arguments, check=True, timeout_ms=10000):
-        command = [self.program("dandelionslipctl"), *arguments]
+        command = [self.program_path("dandelionslipctl"), *arguments]
         if arguments[0] != "validate":
             command += ["--control=" + ",".join(self.control_endpoints),
                         f"--timeout-ms={timeout_ms}"]
@@ -188,7 +196,7 @@
         return result
 
     def metrics(self, endpoint):
-        """The metrics of a process by series, empty when it cannot be reached."""
+        """The values of a process's metrics by series; empty if it cannot be reached."""
         try:
             with urllib.request.urlopen(f"http://{endpoint}/metrics", timeout=2) as response:
                 text = response.read().decode()
@@ -202,18 +210,19 @@
         return values
 
     def node_endpoints(self):
+        """Metrics endpoints of all balancers and agents."""
         nodes = [f"{NET}.2.{i + 1}:9100" for i in range(len(self.data_centres))]
         return nodes + [agent["metrics"] for agent in self.agents.values()]
 
     def in_force(self, revision, endpoints=None):
-        """Whether each node runs a configuration of at least this revision."""
+        """Whether the endpoints (default: all nodes) report at least this revision."""
         return all(
             self.metrics(endpoint).get("dandelionslip_configuration_revision", 0) >= revision
             for endpoint in endpoints or self.node_endpoints())
 
     def upstream_json(self, name, path):
-        """Statistics or history of a stand-in upstream."""
-        program = self.program("standin-query")
+        """JSON that a stand-in upstream serves, for example at /stats; None on failure."""
+        program = self.program_path("standin-query")
         result = subprocess.run([program, self.agents[name]["upstream"], path],
                                 capture_output=True, text=True, timeout=10, check=False)
         return json.loads(result.stdout) if result.returncode == 0 else None
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,6 +1,6 @@
-"""Runs the whole path on loopback through planned changes and failures.
+"""Runs a complete deployment on loopback through planned changes and failures.
 
-Prints for each invariant what was tried and what was counted, and exits 0 only if all held.
+Prints for each check what was tried and what was counted, and exits 0 only if all checks held.
 """
 
 import argparse
@@ -16,12 +16,29 @@
 PLANNER = {"name": "planner", "port": 7000, "servers": 7, "slots": 4, "service_ms": 20}
 RENDER = {"name": "render", "port": 7001, "servers": 3, "slots": 4, "service_ms": 20}
 
-# Targets of the design page, in seconds.
+# Longest accepted times, in seconds: until all nodes have a published configuration, and until the
+# last datagram reaches a data centre that is taken out.
 IN_FORCE_S = 2.0
 LAST_PACKET_S = 3.0
 
+# Wait after a change before its effects are counted, in seconds.
 SETTLE_S = 4.0
 
+# Labels of the checks in the output. Each names the property that the check tests:
+#   I1   A planned change or the loss of the control leader breaks no flow. When a data centre
+#        returns, no flow is refused either.
+#   I2   A flow gets answers only from the service that its caller addressed.
+#   I3   The load of an upstream, from its cold start on, never exceeds what it can carry.
+#   I4   Agents of a data centre that was taken out get no datagrams after LAST_PACKET_S.
+#   I5   Each answer is complete and from a run of its own request.
+#   I6   A request with outcome not_run has not been run.
+#   I7   A request that is not idempotent runs at most once.
+#   I9   A process that is restarted as planned stops with exit code 0.
+#   I10  All nodes have a published configuration within IN_FORCE_S; of two publications under one
+#        version the second gets a conflict; a publication that is sent again gets the first answer.
+#   path The deployment starts, and callers reach their upstreams.
+#   run  The demo itself ends without an error or a timeout.
+
 
 class Report:
     """Collects the checks of a run."""
@@ -36,8 +53,8 @@
         print(f"{'ok  ' if held else 'FAIL'} {invariant}: {tried}: {counted}", flush=True)
 
 
-def broken(cluster):
-    """Broken and given-up flows of all callers so far."""
+def broken_flows(cluster):
+    """Counts of all callers so far: broken flows, given-up flows, broken flows by symptom."""
     summaries = [cluster.fresh_summary(name) for name in cluster.callers]
     flows = [summary["flows"] for summary in summaries]
     breaks = {}
@@ -51,17 +68,18 @@
     return sum(cluster.fresh_summary(name)["flows"]["established"] for name in cluster.callers)
 
 
-def planned(cluster, report, what, action):
-    """Runs a planned change and checks that no flow broke."""
-    before, _, _ = broken(cluster)
+def run_planned_change(cluster, report, what, action):
+    """Makes a planned change and checks that it breaks no flow."""
+    before, _, _ = broken_flows(cluster)
     action()
     time.sleep(SETTLE_S)
-    after, _, breaks = broken(cluster)
+    after, _, breaks = broken_flows(cluster)
     report.check("I1", what, f"broken flows {after - before}"
                  + (f" {breaks}" if after != before else ""), after == before)
 
 
 def publish(cluster, *paths, **options):
+    """Publishes service files; returns the new revision and the time before the command."""
     start = time.monotonic()
     result = cluster.ctl("publish", *paths, **options)
     fields = dict(field.split("=", 1) for field in result.stdout.split() if "=" in field)
@@ -76,7 +94,7 @@
 
 
 def restart(cluster, name):
-    """Planned restart of one process; returns its exit code."""
+    """Restarts a process as planned and returns the exit code of the stopped one."""
     process = cluster.processes[name]
     code = process.terminate()
     process.start()
@@ -93,25 +111,26 @@
 
 
 def leader(cluster):
+    """Name of the control replica that is the Raft leader, or None."""
     for i in range(len(cluster.control_endpoints)):
         if cluster.metrics(f"{NET}.1.{i + 1}:9100").get("dandelionslip_raft_leader") == 1:
             return f"control-{i + 1}"
     return None
 
 
-def forwards(cluster, data_centre):
+def forwarded_datagrams(cluster, data_centre):
     """Datagrams that the agents of a data centre have received from balancers."""
     return sum(cluster.metrics(agent["metrics"]).get("dandelionslip_agent_forwards_total", 0)
                for agent in cluster.agents.values() if agent["data_centre"] == data_centre)
 
 
-def data_centre_out(cluster, report, name):
+def check_data_centre_out(cluster, report, name):
     start = time.monotonic()
     cluster.ctl("data-centre", "out", name)
     last_change = start
-    seen = forwards(cluster, name)
+    seen = forwarded_datagrams(cluster, name)
     while time.monotonic() - start < LAST_PACKET_S + 3:
-        now = forwards(cluster, name)
+        now = forwarded_datagrams(cluster, name)
         if now != seen:
             seen, last_change = now, time.monotonic()
         time.sleep(0.1)
@@ -121,16 +140,17 @@
 
 
 def refusal_count(cluster):
+    """Datagrams of flows that were refused to all callers so far."""
     return sum(sum(cluster.fresh_summary(name)["flows"]["refusals"].values())
                for name in cluster.callers)
 
 
-def data_centre_in(cluster, report, name):
-    before_broken, _, _ = broken(cluster)
+def check_data_centre_in(cluster, report, name):
+    before_broken, _, _ = broken_flows(cluster)
     before = refusal_count(cluster)
     cluster.ctl("data-centre", "in", name)
     time.sleep(SETTLE_S + 2)
-    after_broken, _, _ = broken(cluster)
+    after_broken, _, _ = broken_flows(cluster)
     refused = refusal_count(cluster) - before
     report.check("I1", f"data centre {name} returns",
                  f"broken flows {after_broken - before_broken}, refusals {refused}",
@@ -138,7 +158,7 @@
 
 
 def check_requests(cluster, report):
-    """Checks the callers' request history against the upstreams' run histories."""
+    """Compares the outcomes that the callers saw with the runs that the upstreams recorded."""
     runs = {}
     for name in cluster.agents:
         for run in cluster.upstream_json(name, "/history") or []:
@@ -172,15 +192,15 @@
                  f"{connections:.2f}", slots <= 1 and connections <= 1)
 
 
-def check_foreign(cluster, report):
+def check_answers_of_other_services(cluster, report):
     foreign = sum(cluster.summary(name)["flows"]["foreign"] for name in cluster.callers)
     answers = sum(cluster.summary(name)["flows"]["answers"] for name in cluster.callers)
     report.check("I2", f"{answers} answers to flows of two services",
                  f"{foreign} from another service", foreign == 0 and answers > 0)
 
 
-def race(cluster, report, version):
-    """Two operators publish the same version at once; one wins, the other is told."""
+def check_publication_conflict(cluster, report, version):
+    """Two operators publish the same version; the first succeeds, the second gets a conflict."""
     path = cluster.write_service(RENDER, version, opens_per_second=400)
     results = [cluster.ctl("publish", path, "--operator=" + name, check=False)
                for name in ("first", "second")]
@@ -190,13 +210,13 @@
 
 
 def publication_id():
-    """A UUID of version 7 made now."""
+    """A new UUID of version 7 with the current time."""
     bits = (time.time_ns() // 1_000_000) << 80 | 7 << 76 | secrets.randbits(12) << 64
     return str(uuid.UUID(int=bits | 2 << 62 | secrets.randbits(62)))
 
 
-def resend(cluster, report, version):
-    """A resend under the same publication id gets the first answer."""
+def check_publication_resend(cluster, report, version):
+    """A publication that is sent again with the same id gets the answer of the first one."""
     path = cluster.write_service(RENDER, version, opens_per_second=450)
     publication = publication_id()
     first = cluster.ctl("publish", path, "--id=" + publication)
@@ -206,6 +226,8 @@
 
 
 def start_cluster(cluster, report):
+    """Starts all processes except callers and waits until each node has a lease and its
+    configuration."""
     cluster.start_control()
     wait_for(lambda: leader(cluster) is not None, "a control leader")
     paths = [cluster.write_service(service, 1) for service in cluster.services]
@@ -235,31 +257,33 @@
 def run(cluster, report, scale):
     start_cluster(cluster, report)
     start_callers(cluster, report, scale)
-    planned(cluster, report, "no change", lambda: None)
+    run_planned_change(cluster, report, "no change", lambda: None)
 
     def publication():
         path = cluster.write_service(PLANNER, 2, opens_per_second=600)
         revision, start = publish(cluster, path)
         check_in_force(cluster, report, revision, start, "publication")
 
-    planned(cluster, report, "publication", publication)
-    race(cluster, report, 2)
-    resend(cluster, report, 3)
-    planned(cluster, report, "balancer restart",
-            lambda: restart_and_check(cluster, report, "balancer-1"))
-    planned(cluster, report, "agent restart",
-            lambda: restart_and_check(cluster, report, "planner-2"))
-    planned(cluster, report, "upstream drain", lambda: cluster.ctl("drain", "planner-3"))
-    planned(cluster, report, "upstream undrain", lambda: cluster.ctl("undrain", "planner-3"))
+    run_planned_change(cluster, report, "publication", publication)
+    check_publication_conflict(cluster, report, 2)
+    check_publication_resend(cluster, report, 3)
+    run_planned_change(cluster, report, "balancer restart",
+                       lambda: restart_and_check(cluster, report, "balancer-1"))
+    run_planned_change(cluster, report, "agent restart",
+                       lambda: restart_and_check(cluster, report, "planner-2"))
+    run_planned_change(cluster, report, "upstream drain", lambda: cluster.ctl("drain", "planner-3"))
+    run_planned_change(cluster, report, "upstream undrain",
+                       lambda: cluster.ctl("undrain", "planner-3"))
     name = leader(cluster)
-    planned(cluster, report, f"restart of the leading {name}",
-            lambda: restart_and_check(cluster, report, name))
-    data_centre_out(cluster, report, "klang-b")
-    data_centre_in(cluster, report, "klang-b")
+    run_planned_change(cluster, report, f"restart of the leading {name}",
+                       lambda: restart_and_check(cluster, report, name))
+    check_data_centre_out(cluster, report, "klang-b")
+    check_data_centre_in(cluster, report, "klang-b")
     victim = leader(cluster)
     cluster.processes[victim].kill()
-    planned(cluster, report, f"control leader {victim} killed, publication",
-            lambda: publish(cluster, cluster.write_service(PLANNER, 3, opens_per_second=700)))
+    run_planned_change(cluster, report, f"control leader {victim} killed, publication",
+                       lambda: publish(cluster, cluster.write_service(PLANNER, 3,
+                                                                      opens_per_second=700)))
     cluster.processes[victim].start()
     cluster.processes["planner-5"].kill()
     cluster.processes["planner-5"].start()
@@ -270,7 +294,7 @@
         cluster.processes[caller].terminate(timeout=30)
     check_requests(cluster, report)
     check_upstreams(cluster, report)
-    check_foreign(cluster, report)
+    check_answers_of_other_services(cluster, report)
 
 
 def main():
--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -1,7 +1,7 @@
 """Measures how the cost of each role grows with the number of upstreams.
 
-Runs the deployment at rest (no callers) with several numbers of upstreams, fits a straight line to
-each measure and writes build/slopes.json. The series "planner" varies the upstreams of the measured
+Runs an idle deployment (no callers) with several numbers of upstreams, fits a straight line to each
+measure and writes build/slopes.json. The series "planner" varies the upstreams of the measured
 agents' own service; the series "render" keeps 3 planner upstreams and varies those of another
 service, which are not among the measured agents.
 """
@@ -22,10 +22,11 @@
 
 SERIES = {"planner": [3, 6, 12], "render": [0, 3, 9]}
 
-# Lets joins, ramps and weight steps end before a deployment counts as at rest.
+# Wait before an idle measurement, in seconds, in which joins, ramps of load limits and weight steps
+# end.
 SETTLE_S = 6
 
-# Flows of the measurement under load; each sends 20 messages a second.
+# Number of flows of the measurement under load; each sends 20 messages per second.
 LOAD_FLOWS = 300
 
 
@@ -40,8 +41,8 @@
 def control_socket_bytes(cluster):
     """Bytes read and written by the sockets of each control replica, or None without ss.
 
-    The replicas export no byte counter, so the kernel's count for each connection is used. Bytes of
-    retransmissions and of TCP/IP headers are not included.
+    The replicas export no byte counter, so the kernel's counters of their connections are added up.
+    They include neither retransmissions nor TCP/IP headers.
     """
     if shutil.which("ss") is None:
         return None
@@ -58,7 +59,10 @@
 
 
 def state_answer_bytes(cluster):
-    """Size of the answer body that holds the whole configuration and view, or None without curl."""
+    """Median body size of a replica's answer with the complete configuration and view.
+
+    None without curl, or if no replica answers with status 200.
+    """
     if shutil.which("curl") is None:
         return None
     sizes = []
@@ -78,10 +82,11 @@
             for endpoints in role_endpoints(cluster).values() for endpoint in endpoints}
 
 
-def at_rest(cluster, seconds):
-    """Mean cost of a process of each role over an interval.
+def measure_idle(cluster, seconds):
+    """Mean cost of each process over an interval, by role and measure, without load.
 
-    A process that cannot be read is an error, not a zero.
+    Also returns whether no node changed its view revision meanwhile. Raises RuntimeError if the
+    metrics of a process cannot be read.
     """
     start, before, sockets = time.monotonic(), sample(cluster), control_socket_bytes(cluster)
     time.sleep(seconds)
@@ -128,8 +133,8 @@
     return sum(values[endpoint][series] for endpoint in endpoints)
 
 
-def datagram_cost(cluster, rest, seconds):
-    """Processor seconds per datagram of a balancer and an agent, without their share at rest."""
+def datagram_cost(cluster, idle, seconds):
+    """CPU time per datagram of a balancer and an agent, less the CPU time of the idle processes."""
     cluster.start_caller("callers", cluster.services[0],
                          {"flows": LOAD_FLOWS, "interval-ms": 50, "open-over-ms": 3000})
     wait_for(lambda: (cluster.summary("callers") or {"flows": {"established": 0}})
@@ -145,24 +150,24 @@
         datagrams = total(after, endpoints, series) - total(before, endpoints, series)
         seconds_used = (total(after, endpoints, "process_cpu_seconds_total")
                         - total(before, endpoints, "process_cpu_seconds_total"))
-        seconds_used -= rest[role + ".cpu_share"] * len(endpoints) * took
+        seconds_used -= idle[role + ".cpu_share"] * len(endpoints) * took
         result[role] = {"datagrams_per_second": datagrams / took,
                         "cpu_us_per_datagram": seconds_used / datagrams * 1e6}
     return result
 
 
 def measure(services, seconds, under_load):
-    """Means and maxima of one deployment size."""
+    """Means and maxima of the measures with one number of upstreams."""
     cluster = Cluster(DATA_CENTRES, services)
     try:
         start_cluster(cluster, Report())
         time.sleep(SETTLE_S)
-        values, quiet = at_rest(cluster, seconds)
+        values, view_unchanged = measure_idle(cluster, seconds)
         means = {name: statistics.mean(each) for name, each in values.items()}
         if (size := state_answer_bytes(cluster)) is not None:
             means["state_answer.bytes"] = size
         cost = datagram_cost(cluster, means, seconds) if under_load else None
-        return means, {name: max(each) for name, each in values.items()}, quiet, cost
+        return means, {name: max(each) for name, each in values.items()}, view_unchanged, cost
     finally:
         cluster.stop_all()
         shutil.rmtree(cluster.folder)
@@ -170,18 +175,19 @@
 
 def measure_series(name, seconds):
     sizes = SERIES[name]
-    points, maxima, quiet, cost = {}, {}, {}, None
+    points, maxima, view_unchanged, cost = {}, {}, {}, None
     for servers in sizes:
         services = ([dict(PLANNER, servers=servers)] if name == "planner" else
                     [dict(PLANNER, servers=3), dict(RENDER, servers=servers)])
         under_load = name == "planner" and servers == sizes[-1]
-        means, maxima[servers], quiet[servers], cost = measure(services, seconds, under_load)
+        means, maxima[servers], view_unchanged[servers], cost = measure(services, seconds,
+                                                                        under_load)
         for measured, value in means.items():
             points.setdefault(measured, []).append((servers, value))
-    # A measure that one size lacks gets no line.
+    # Fit only the measures that every number of upstreams has.
     fits = {measured: fit(each) for measured, each in points.items() if len(each) == len(sizes)}
-    return {"x": name + " upstreams", "sizes": sizes, "seconds": seconds, "view_unchanged": quiet,
-            "datagram_cost": cost, "maxima": maxima, "fits": fits}
+    return {"x": name + " upstreams", "sizes": sizes, "seconds": seconds,
+            "view_unchanged": view_unchanged, "datagram_cost": cost, "maxima": maxima, "fits": fits}
 
 
 def print_series(name, series):
