--- a/standins/upstream/main.cpp
+++ b/standins/upstream/main.cpp
@@ -1,4 +1,4 @@
-// Stand-in upstream: quote sessions and feeds over UDP, one-shot answers over HTTP/2.
+// Stand-in upstream: quote sessions and feeds over UDP, requests over HTTP/2. For demos and tests.
 #include "UpstreamModel.h"
 
 #include "dandelionslip/Daemon/CommandLine.h"
@@ -31,13 +31,13 @@
   --http=ENDPOINT        Numeric address:port for requests, statistics and faults.
   --slots=N              Requests served at once [default: 4].
   --connections=N        Sessions held at once [default: 2000].
-  --cold-slots=N         Requests bearable when cold [default: 1].
-  --cold-connections=N   Sessions bearable when cold [default: 100].
-  --service-ms=N         Time to serve a request [default: 20].
+  --cold-slots=N         Requests that it can serve at once when cold [default: 1].
+  --cold-connections=N   Sessions that it can hold when cold [default: 100].
+  --service-ms=N         Time to serve a request when warm [default: 20].
   --warm-up-ms=N         Time from cold to full capacity [default: 5000].
 )";
 
-// Sessions without a datagram for this time are forgotten.
+// A session without a datagram for this time is removed.
 constexpr std::chrono::seconds kSessionIdle{30};
 
 struct Session
@@ -148,7 +148,7 @@
     } else if (path == "/history") {
       RespondText(aExchange, ToJson(mModel.History()).dump());
     } else if (path == "/cold") {
-      mModel.TurnCold(RuntimeClock::now());
+      mModel.ResetToCold(RuntimeClock::now());
       RespondText(aExchange, "ok");
     } else if (path == "/health") {
       RespondText(aExchange, "ok");
@@ -220,8 +220,8 @@
   options.mConnections = Number(aArguments, "--connections");
   options.mColdSlots = Number(aArguments, "--cold-slots");
   options.mColdConnections = Number(aArguments, "--cold-connections");
-  options.mService = Milliseconds(aArguments.at("--service-ms").asLong());
-  options.mWarmUp = Milliseconds(aArguments.at("--warm-up-ms").asLong());
+  options.mServiceTime = Milliseconds(aArguments.at("--service-ms").asLong());
+  options.mWarmUpTime = Milliseconds(aArguments.at("--warm-up-ms").asLong());
   InitialiseLog("standin-upstream", options.mName, LogLevel::Info);
   WorkerPool pool(1);
   Upstream upstream(pool.Loop(), options);
