--- a/include/dandelionslip/Agent/FlowCore.h
+++ b/include/dandelionslip/Agent/FlowCore.h
@@ -42,8 +42,8 @@
 
   /// A state probe from a balancer without a valid lease. aConfirmed says whether this agent's
   /// lease is valid.
-  void OnProbe(const DatagramHeader& aHeader, const Endpoint& aSender, bool aConfirmed,
-               FlowActions& aOut);
+  void OnStateProbe(const DatagramHeader& aHeader, const Endpoint& aSender, bool aConfirmed,
+                    FlowActions& aOut);
 
   /// A datagram that the upstream sent on the flow's port.
   void OnUpstreamDatagram(FlowId aFlow, std::span<const std::uint8_t> aPayload, TimePoint aNow,
--- a/include/dandelionslip/Control/RaftCore.h
+++ b/include/dandelionslip/Control/RaftCore.h
@@ -20,7 +20,7 @@
   /// Longest election timeout within the first second after a start, when all replicas have
   /// probably restarted and have no leader. If there is a leader, it and its followers refuse the
   /// pre-vote. Zero: mElectionMax applies from the start.
-  Milliseconds mFirstElection{0};
+  Milliseconds mFirstElectionTimeout{0};
   Milliseconds mConfirmWindow{500}; ///< How long a quorum contact confirms reads.
   std::size_t mMaxAppendBytes = 64U << 10U;
   std::size_t mMaxAppendEntries = 256;
--- a/include/dandelionslip/Daemon/ControlDaemon.h
+++ b/include/dandelionslip/Daemon/ControlDaemon.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "dandelionslip/Config/ControlSettings.h"
-#include "dandelionslip/Daemon/ControlCalls.h"
+#include "dandelionslip/Daemon/ControlInterface.h"
 #include "dandelionslip/Support/Error.h"
 
 namespace dandelionslip {
--- a/include/dandelionslip/Daemon/ControlCalls.h
+++ b/include/dandelionslip/Daemon/ControlInterface.h
@@ -14,10 +14,10 @@
 namespace dandelionslip {
 
 /// The functions of a replica that its adapter calls. Thread-safe.
-class ControlCalls
+class ControlInterface
 {
 public:
-  virtual ~ControlCalls() = default;
+  virtual ~ControlInterface() = default;
 
   /// Proposes the command here or at the leader, and repeats it under the same publication id until
   /// it is decided or the time is over. The callback runs once.
@@ -38,6 +38,7 @@
 };
 
 /// Creates the adapter, for example by opening its listener.
-using ControlAdapterFactory = std::function<Result<std::unique_ptr<ControlAdapter>>(ControlCalls&)>;
+using ControlAdapterFactory =
+  std::function<Result<std::unique_ptr<ControlAdapter>>(ControlInterface&)>;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Daemon/PacketDaemons.h
+++ b/include/dandelionslip/Daemon/PacketDaemons.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "dandelionslip/Config/PacketSettings.h"
-#include "dandelionslip/Daemon/PacketNodeCalls.h"
+#include "dandelionslip/Daemon/PacketNodeInterface.h"
 
 namespace dandelionslip {
 
@@ -19,10 +19,10 @@
 /// Runs a balancer until it is stopped by a signal; returns the exit code of the process. An error
 /// means that it could not start.
 Result<int> RunPacketBalancer(const PacketBalancerNodeSettings& aSettings,
-                              const PacketPlatform<PacketNodeCalls>& aPlatform);
+                              const PacketPlatform<PacketNodeInterface>& aPlatform);
 
 /// Runs an agent until it is stopped by a signal.
 Result<int> RunPacketAgent(const PacketAgentNodeSettings& aSettings,
-                           const PacketPlatform<PacketAgentCalls>& aPlatform);
+                           const PacketPlatform<PacketAgentInterface>& aPlatform);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Daemon/PacketNodeCalls.h
+++ b/include/dandelionslip/Daemon/PacketNodeInterface.h
@@ -16,10 +16,10 @@
 namespace dandelionslip {
 
 /// The functions of a node that its adapter calls, on the thread of the event loop.
-class PacketNodeCalls
+class PacketNodeInterface
 {
 public:
-  virtual ~PacketNodeCalls() = default;
+  virtual ~PacketNodeInterface() = default;
 
   /// Whether callers' packets may be sent to this node.
   virtual bool Ready() = 0;
@@ -28,7 +28,7 @@
 };
 
 /// The functions that only an agent has.
-class PacketAgentCalls : public PacketNodeCalls
+class PacketAgentInterface : public PacketNodeInterface
 {
 public:
   virtual HeartbeatOutcome OnUpstreamHeartbeat(const UpstreamHeartbeat& aHeartbeat) = 0;
--- a/include/dandelionslip/Net/DatagramHeader.h
+++ b/include/dandelionslip/Net/DatagramHeader.h
@@ -13,11 +13,11 @@
 
 enum class DatagramKind : std::uint8_t
 {
-  Forward = 1,     ///< Balancer or agent to agent; the payload is the caller's datagram.
-  Reply = 2,       ///< Agent to balancer; the payload goes to the caller unchanged.
-  Refuse = 3,      ///< Agent to balancer; the payload is a caller datagram of kind refused.
-  Probe = 4,       ///< State probe of a balancer without a valid lease to an agent.
-  ProbeAnswer = 5, ///< Agent to balancer, in answer to Probe.
+  Forward = 1,          ///< Balancer or agent to agent; the payload is the caller's datagram.
+  Reply = 2,            ///< Agent to balancer; the payload goes to the caller unchanged.
+  Refuse = 3,           ///< Agent to balancer; the payload is a caller datagram of kind refused.
+  StateProbe = 4,       ///< State probe of a balancer without a valid lease to an agent.
+  StateProbeAnswer = 5, ///< Agent to balancer, in answer to StateProbe.
 };
 
 /// Size of the encoded header in bytes.
@@ -26,20 +26,20 @@
 /// Largest payload after the header in bytes.
 inline constexpr std::size_t kMaxDatagramPayload = 1400;
 
-/// Fields of the header. Probe and ProbeAnswer use only mViewRevision, mFlowHash, mConfirmed and
-/// mBalancer.
+/// Fields of the header. StateProbe and StateProbeAnswer use only mViewRevision, mFlowHash,
+/// mLeaseValid and mBalancer.
 struct DatagramHeader
 {
   DatagramKind mKind = DatagramKind::Forward;
   bool mOpening = false;    ///< The caller's datagram opens a flow.
   bool mRedirected = false; ///< The owner chose the receiving agent as holder of the flow.
-  bool mConfirmed = false;  ///< Probe answer: the agent's lease is valid.
+  bool mLeaseValid = false; ///< Probe answer: the agent's lease is valid.
   std::uint8_t mHops = 0;   ///< Forwards between agents so far.
   ServiceId mServiceId = 0;
   std::uint64_t mViewRevision = 0;
   std::uint32_t mGeneration = 0;
-  /// Forward, Reply, Refuse: flow hash. Probe, ProbeAnswer: configuration revision of the sender,
-  /// needed because taking a data centre out changes the configuration but not the view.
+  /// Forward, Reply, Refuse: flow hash. StateProbe, StateProbeAnswer: configuration revision of the
+  /// sender, needed because taking a data centre out changes the configuration but not the view.
   std::uint64_t mFlowHash = 0;
   Endpoint mCaller;
   Endpoint mService;
--- a/include/dandelionslip/Packet/NodeMessageHeader.h
+++ b/include/dandelionslip/Packet/NodeMessageHeader.h
@@ -15,7 +15,7 @@
   Deliver = 1, ///< To an agent: deliver the packet to the upstream, or return it.
   Probe,       ///< To an agent: deliver the packet and report whether the upstream holds its flow.
   Returned,    ///< To a balancer: the agent did not accept the packet; mReason says why.
-  Load,        ///< To a balancer: a LoadReport follows.
+  LoadReport,  ///< To a balancer: a LoadReport follows.
   // The payload of the types below is a FlowMessage.
   Query,       ///< To an agent: which agent holds the flow, by its table or its directory?
   QueryLocal,  ///< To an agent: does its own upstream hold the flow?
@@ -49,13 +49,13 @@
 /// Four bytes in front of every datagram between nodes.
 struct NodeMessageHeader
 {
-  NodeMessageType mKind = NodeMessageType::Deliver;
+  NodeMessageType mType = NodeMessageType::Deliver;
   ReturnReason mReason = ReturnReason::None;
 
   static constexpr std::size_t kBytes = 4;
 
   std::array<std::uint8_t, kBytes> Encode() const;
-  /// Fails with InvalidInput if aBytes is too short or the magic number, version, kind or reason is
+  /// Fails with InvalidInput if aBytes is too short or the magic number, version, type or reason is
   /// not a valid one.
   static Result<NodeMessageHeader> Decode(std::span<const std::uint8_t> aBytes);
 };
--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -75,7 +75,7 @@
   /// Begins a planned stop: new flows are refused from now on.
   void StopAccepting() { mStopping = true; }
 
-  LoadReport Report(TimePoint aNow) const;
+  LoadReport CurrentLoad(TimePoint aNow) const;
   /// The state that this agent announces to control.
   MemberState State(TimePoint aNow) const;
 
@@ -140,16 +140,16 @@
   std::size_t ColdLimit() const;
   bool TableIsComplete(TimePoint aNow) const;
   bool UpstreamIsAbsent(TimePoint aNow) const;
-  void Deliver(const Endpoint& aBalancer, NodeMessageType aKind, std::span<std::uint8_t> aPacket,
+  void Deliver(const Endpoint& aBalancer, NodeMessageType aType, std::span<std::uint8_t> aPacket,
                PacketOutput& aOutput);
   void Return(const Endpoint& aBalancer, ReturnReason aReason,
               std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
   void OnOpening(const Endpoint& aFrom, const Segment& aSegment, std::span<std::uint8_t> aPacket,
                  PacketOutput& aOutput, TimePoint aNow);
   void LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const;
-  void OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
+  void OnMidFlow(const Endpoint& aFrom, NodeMessageType aType, const Segment& aSegment,
                  std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  void OnQuery(const Endpoint& aFrom, NodeMessageType aKind, std::span<const std::uint8_t> aBytes,
+  void OnQuery(const Endpoint& aFrom, NodeMessageType aType, std::span<const std::uint8_t> aBytes,
                PacketOutput& aOutput, TimePoint aNow);
   void OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
                   PacketOutput& aOutput, TimePoint aNow);
@@ -159,7 +159,7 @@
   static void SendRegistrations(const Registrations& aRegistrations, PacketOutput& aOutput);
   static bool HasUnconfirmedAgents(const Flow& aFlow);
   NodeMessageType NegativeAnswer(NodeMessageType aQuery, TimePoint aNow) const;
-  void SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aKind, const FlowKey& aFlow,
+  void SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aType, const FlowKey& aFlow,
                       const Endpoint& aHolder, PacketOutput& aOutput);
   void ReportNotHeld(const Delivery& aDelivery, const Segment& aSegment,
                      std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
--- a/include/dandelionslip/Packet/PacketBalancer.h
+++ b/include/dandelionslip/Packet/PacketBalancer.h
@@ -161,7 +161,7 @@
   void ContinueSearch(const Segment& aSegment, Flow& aFlow, std::span<const std::uint8_t> aPacket,
                       PacketOutput& aOutput, TimePoint aNow);
   void ForwardEarlyPackets(PacketOutput& aOutput, TimePoint aNow);
-  void SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aKind,
+  void SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aType,
                    PacketOutput& aOutput, TimePoint aNow);
   void QueryNextStage(const FlowKey& aKey, Search& aSearch, PacketOutput& aOutput, TimePoint aNow);
   void SendProbe(const Endpoint& aAgent, const Search& aSearch, PacketOutput& aOutput);
@@ -171,7 +171,7 @@
   bool DirectoryRulesOut(const FlowKey& aKey, const Search& aSearch, TimePoint aNow) const;
   std::vector<Endpoint> CandidatesFor(const std::string& aService, const FlowKey& aKey) const;
   bool IsSettled(TimePoint aNow) const;
-  void OnFlowMessage(const Endpoint& aFrom, NodeMessageType aKind,
+  void OnFlowMessage(const Endpoint& aFrom, NodeMessageType aType,
                      std::span<const std::uint8_t> aBytes, PacketOutput& aOutput, TimePoint aNow);
   void OnHolderFound(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
                      PacketOutput& aOutput, TimePoint aNow);
--- a/include/dandelionslip/Request/AgentRequestActions.h
+++ b/include/dandelionslip/Request/AgentRequestActions.h
@@ -22,7 +22,7 @@
 
 /// Pass a request to the alternate agent with ReceivedRequest::mRelayed set. The agent process
 /// reports the end, also after CancelRun, by exactly one call of
-/// AgentRequestCore::OnAlternateAnswer or OnAlternateLinkFailed.
+/// AgentRequestCore::OnAlternateReply or OnAlternateLinkFailed.
 struct RelayToAlternate
 {
   RunId mRun = 0;
--- a/include/dandelionslip/Request/AgentRequestCore.h
+++ b/include/dandelionslip/Request/AgentRequestCore.h
@@ -66,9 +66,8 @@
 
   /// The alternate agent replied to a relayed request. aReceived is used only when the outcome is
   /// Answered; a truncated answer makes the outcome unknown.
-  AgentRequestActions OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome,
-                                        const Refusal& aRefusal, const ReceivedAnswer& aReceived,
-                                        const RequestTime& aTime);
+  AgentRequestActions OnAlternateReply(RunId aRun, RequestOutcome aOutcome, const Refusal& aRefusal,
+                                       const ReceivedAnswer& aReceived, const RequestTime& aTime);
   /// The link to the alternate agent failed; aSent tells whether any part of the request was sent.
   AgentRequestActions OnAlternateLinkFailed(RunId aRun, bool aSent, const RequestTime& aTime);
 
@@ -82,15 +81,15 @@
   AgentRequestActions OnTick(const RequestTime& aTime);
 
   /// This agent became the owner of a bucket in aGeneration. Requests that are not idempotent wait
-  /// until OnHandoff or OnPreviousOwnerLost is called for the bucket.
+  /// until OnBucketTransfer or OnPreviousOwnerLost is called for the bucket.
   AgentRequestActions OnBucketAcquired(std::uint32_t aBucket, std::uint32_t aGeneration,
                                        const RequestTime& aTime);
   /// This agent became the owner of a bucket that had no owner before aGeneration.
-  AgentRequestActions OnBucketFirstOwner(std::uint32_t aBucket, std::uint32_t aGeneration,
-                                         const RequestTime& aTime);
+  AgentRequestActions OnFirstOwnership(std::uint32_t aBucket, std::uint32_t aGeneration,
+                                       const RequestTime& aTime);
   /// The transfer message of the previous owner arrived.
-  Result<AgentRequestActions> OnHandoff(const Json& aTransfer, std::string_view aPeer,
-                                        const RequestTime& aTime);
+  Result<AgentRequestActions> OnBucketTransfer(const Json& aTransfer, std::string_view aPeer,
+                                               const RequestTime& aTime);
   /// The previous owner's lease has ended, so it cannot transfer the bucket. Has an effect only on
   /// an incomplete bucket: when the loss is known before the bucket is acquired, call it again
   /// after OnBucketAcquired.
--- a/include/dandelionslip/Request/BalancerRequestActions.h
+++ b/include/dandelionslip/Request/BalancerRequestActions.h
@@ -34,7 +34,7 @@
 };
 
 /// Send a request to an agent. The balancer process reports the end of the attempt by at most one
-/// call of BalancerRequestCore::OnAgentAnswer or OnAgentLinkFailed.
+/// call of BalancerRequestCore::OnAgentReply or OnAgentLinkFailed.
 struct SendToAgent
 {
   std::string mAgent;
--- a/include/dandelionslip/Request/BalancerRequestCore.h
+++ b/include/dandelionslip/Request/BalancerRequestCore.h
@@ -42,9 +42,9 @@
 
   /// An agent replied to an attempt. aReceived is used only when the outcome is Answered; a
   /// truncated answer counts as a lost link.
-  BalancerRequestActions OnAgentAnswer(const AttemptKey& aKey, RequestOutcome aOutcome,
-                                       const std::optional<Refusal>& aRefusal,
-                                       ReceivedAnswer aReceived, const RequestTime& aTime);
+  BalancerRequestActions OnAgentReply(const AttemptKey& aKey, RequestOutcome aOutcome,
+                                      const std::optional<Refusal>& aRefusal,
+                                      ReceivedAnswer aReceived, const RequestTime& aTime);
   /// The link to the agent failed; aSent tells whether any part of the attempt was sent.
   BalancerRequestActions OnAgentLinkFailed(const AttemptKey& aKey, bool aSent,
                                            const RequestTime& aTime);
--- a/lib/Agent/FlowCore.cpp
+++ b/lib/Agent/FlowCore.cpp
@@ -172,12 +172,12 @@
   }
 }
 
-void FlowCore::OnProbe(const DatagramHeader& aHeader, const Endpoint& aSender, bool aConfirmed,
-                       FlowActions& aOut)
+void FlowCore::OnStateProbe(const DatagramHeader& aHeader, const Endpoint& aSender, bool aConfirmed,
+                            FlowActions& aOut)
 {
   DatagramHeader answer;
-  answer.mKind = DatagramKind::ProbeAnswer;
-  answer.mConfirmed = aConfirmed;
+  answer.mKind = DatagramKind::StateProbeAnswer;
+  answer.mLeaseValid = aConfirmed;
   answer.mViewRevision = ViewRevision();
   // State probes and their answers carry the configuration revision in the field of the flow hash.
   answer.mFlowHash = ConfigurationRevision();
--- a/lib/Control/RaftCoreImpl.cpp
+++ b/lib/Control/RaftCoreImpl.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-// How long after the start RaftSettings::mFirstElection applies.
+// How long after the start RaftSettings::mFirstElectionTimeout applies.
 constexpr Milliseconds kFirstElectionPeriod{1'000};
 
 } // namespace
@@ -201,8 +201,8 @@
 void RaftCore::Impl::ResetElectionDeadline()
 {
   const bool first = mNow - mStartedAt < kFirstElectionPeriod;
-  const Milliseconds longest = first && mSettings.mFirstElection.count() > 0
-                                 ? mSettings.mFirstElection
+  const Milliseconds longest = first && mSettings.mFirstElectionTimeout.count() > 0
+                                 ? mSettings.mFirstElectionTimeout
                                  : mSettings.mElectionMax;
   const Milliseconds shortest = std::min(mSettings.mElectionMin, longest / 2);
   const auto range = static_cast<std::uint64_t>(RuntimeClock::duration(longest - shortest).count());
--- a/lib/Daemon/AgentDaemon.cpp
+++ b/lib/Daemon/AgentDaemon.cpp
@@ -360,8 +360,8 @@
       if (header.mKind == DatagramKind::Forward) {
         mForwards.Add();
         aCore.OnForward(header, payload, aFrom, now, aOut);
-      } else if (header.mKind == DatagramKind::Probe) {
-        aCore.OnProbe(header, aFrom, now < mLeaseEnd, aOut);
+      } else if (header.mKind == DatagramKind::StateProbe) {
+        aCore.OnStateProbe(header, aFrom, now < mLeaseEnd, aOut);
       }
     });
   }
@@ -706,8 +706,8 @@
         return aCore.OnAlternateLinkFailed(aRun, sent, Now());
       }
       auto response = FromResponse(std::move(aResult.value()));
-      return aCore.OnAlternateAnswer(aRun, response.mOutcome, response.mRefusal.value_or(Refusal{}),
-                                     response.mReceived, Now());
+      return aCore.OnAlternateReply(aRun, response.mOutcome, response.mRefusal.value_or(Refusal{}),
+                                    response.mReceived, Now());
     });
   }
 
--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -326,7 +326,7 @@
     const auto& [header, payload] = frame.value();
     if (header.mKind == DatagramKind::Reply || header.mKind == DatagramKind::Refuse) {
       SendToCaller(header.mService, payload, header.mCaller);
-    } else if (header.mKind == DatagramKind::ProbeAnswer) {
+    } else if (header.mKind == DatagramKind::StateProbeAnswer) {
       std::vector<RoutingAction> actions;
       {
         const std::lock_guard lock(mRoutingMutex);
@@ -500,8 +500,8 @@
     }
     auto response = FromResponse(std::move(aResult.value()));
     WithRequestCore([&](BalancerRequestCore& aCore, const RequestTime& aTime) {
-      return aCore.OnAgentAnswer(aKey, response.mOutcome, response.mRefusal,
-                                 std::move(response.mReceived), aTime);
+      return aCore.OnAgentReply(aKey, response.mOutcome, response.mRefusal,
+                                std::move(response.mReceived), aTime);
     });
   }
 
--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -77,7 +77,7 @@
   settings.mHeartbeat = aSettings.mHeartbeat;
   settings.mElectionMin = aSettings.mElectionTimeoutMin;
   settings.mElectionMax = aSettings.mElectionTimeoutMax;
-  settings.mFirstElection = aSettings.mFirstElectionTimeout;
+  settings.mFirstElectionTimeout = aSettings.mFirstElectionTimeout;
   return settings;
 }
 
@@ -143,7 +143,7 @@
 
 class ControlDaemon
   : public RaftListener
-  , public ControlCalls
+  , public ControlInterface
 {
 public:
   ControlDaemon(const ControlSettings& aSettings, std::unique_ptr<LogStore> aStore, Random aRandom)
--- a/lib/Daemon/PacketAgentDaemon.cpp
+++ b/lib/Daemon/PacketAgentDaemon.cpp
@@ -40,11 +40,11 @@
   return settings;
 }
 
-class PacketAgentDaemon : public PacketAgentCalls
+class PacketAgentDaemon : public PacketAgentInterface
 {
 public:
   PacketAgentDaemon(const PacketAgentNodeSettings& aSettings,
-                    const PacketPlatform<PacketAgentCalls>& aPlatform)
+                    const PacketPlatform<PacketAgentInterface>& aPlatform)
     : mSettings(aSettings)
     , mNode(aSettings, {[this](Member& aMember) { FillMember(aMember); },
                         [this](const NodeState& aState) { OnState(aState); }, aPlatform.mReadSeeds})
@@ -128,8 +128,8 @@
                     std::span<std::uint8_t> aPacket)
   {
     // Register and RegisterAck come from other agents, all other messages from balancers.
-    if (aHeader.mKind != NodeMessageType::Register &&
-        aHeader.mKind != NodeMessageType::RegisterAck) {
+    if (aHeader.mType != NodeMessageType::Register &&
+        aHeader.mType != NodeMessageType::RegisterAck) {
       OnBalancerSeen(aFrom);
     }
     mCore.OnNodePacket(aFrom, aHeader, aPacket, mOutput, RuntimeClock::now());
@@ -161,7 +161,7 @@
     const auto [item, isNew] = mBalancers.try_emplace(aBalancer);
     item->second = RuntimeClock::now();
     if (isNew) {
-      LoadReport report = mCore.Report(RuntimeClock::now());
+      LoadReport report = mCore.CurrentLoad(RuntimeClock::now());
       report.mOpensAllowed = mShares.ShareForNewBalancer();
       SendLoadReport(aBalancer, report.Encode());
     }
@@ -169,7 +169,7 @@
 
   void SendLoadReport(const Endpoint& aBalancer, const Bytes& aReport)
   {
-    mOutput.SendToNode(aBalancer, {NodeMessageType::Load, ReturnReason::None}, aReport);
+    mOutput.SendToNode(aBalancer, {NodeMessageType::LoadReport, ReturnReason::None}, aReport);
   }
 
   void SendLoadReports()
@@ -177,7 +177,7 @@
     const TimePoint now = RuntimeClock::now();
     std::erase_if(mBalancers,
                   [&](const auto& aItem) { return now - aItem.second > kBalancerTimeout; });
-    LoadReport report = mCore.Report(now);
+    LoadReport report = mCore.CurrentLoad(now);
     Bytes encoded = report.Encode();
     const auto shares = mShares.Split(report.mOpensAllowed, mBalancers.size());
     auto share = shares.begin();
@@ -212,7 +212,7 @@
   PacketNode mNode;
   PacketAgent mCore;
   SocketOutput mOutput;
-  PacketAdapterFactory<PacketAgentCalls> mAdapterFactory;
+  PacketAdapterFactory<PacketAgentInterface> mAdapterFactory;
   std::map<Endpoint, TimePoint> mBalancers; ///< When each was last in a view or sent a packet.
   OpeningShares mShares;
   std::unique_ptr<UdpSocket> mNodeSocket;
@@ -227,7 +227,7 @@
 } // namespace
 
 Result<int> RunPacketAgent(const PacketAgentNodeSettings& aSettings,
-                           const PacketPlatform<PacketAgentCalls>& aPlatform)
+                           const PacketPlatform<PacketAgentInterface>& aPlatform)
 {
   InitialiseLog("dandelionslip-agent", aSettings.mNode, aSettings.mLogLevel);
   PacketAgentDaemon daemon(aSettings, aPlatform);
--- a/lib/Daemon/PacketBalancerDaemon.cpp
+++ b/lib/Daemon/PacketBalancerDaemon.cpp
@@ -24,11 +24,11 @@
   return settings;
 }
 
-class PacketBalancerDaemon : public PacketNodeCalls
+class PacketBalancerDaemon : public PacketNodeInterface
 {
 public:
   PacketBalancerDaemon(const PacketBalancerNodeSettings& aSettings,
-                       const PacketPlatform<PacketNodeCalls>& aPlatform)
+                       const PacketPlatform<PacketNodeInterface>& aPlatform)
     : mSettings(aSettings)
     , mNode(aSettings, {[this](Member& aMember) { FillMember(aMember); },
                         [this](const NodeState& aState) { OnState(aState); }, aPlatform.mReadSeeds})
@@ -111,7 +111,7 @@
   PacketNode mNode;
   PacketBalancer mCore;
   SocketOutput mOutput;
-  PacketAdapterFactory<PacketNodeCalls> mAdapterFactory;
+  PacketAdapterFactory<PacketNodeInterface> mAdapterFactory;
   std::unique_ptr<UdpSocket> mCallerSocket;
   std::unique_ptr<UdpSocket> mNodeSocket;
   std::unique_ptr<RepeatingTimer> mTimer;
@@ -123,7 +123,7 @@
 } // namespace
 
 Result<int> RunPacketBalancer(const PacketBalancerNodeSettings& aSettings,
-                              const PacketPlatform<PacketNodeCalls>& aPlatform)
+                              const PacketPlatform<PacketNodeInterface>& aPlatform)
 {
   InitialiseLog("dandelionslip-balancer", aSettings.mNode, aSettings.mLogLevel);
   PacketBalancerDaemon daemon(aSettings, aPlatform);
--- a/lib/Daemon/RequestRecordTransfer.cpp
+++ b/lib/Daemon/RequestRecordTransfer.cpp
@@ -76,7 +76,7 @@
   for (const auto& [bucket, generation] : buckets.value()) {
     Append(mRequestCore->OnBucketAcquired(bucket, generation, now));
   }
-  auto actions = mRequestCore->OnHandoff(aTable, kPeer, now);
+  auto actions = mRequestCore->OnBucketTransfer(aTable, kPeer, now);
   if (!actions) {
     LogEvent(LogLevel::Warning, "records_not_imported").With(actions.error());
     return;
@@ -88,8 +88,8 @@
 {
   const RequestTime now = mClock();
   for (const std::uint32_t bucket : aBuckets) {
-    Append(mRequestCore->OnBucketFirstOwner(bucket,
-                                            mRequestCore->Records().GenerationOf(bucket) + 1, now));
+    Append(mRequestCore->OnFirstOwnership(bucket, mRequestCore->Records().GenerationOf(bucket) + 1,
+                                          now));
   }
 }
 
--- a/lib/Net/DatagramHeader.cpp
+++ b/lib/Net/DatagramHeader.cpp
@@ -21,7 +21,7 @@
 {
   return static_cast<std::uint8_t>((aHeader.mOpening ? kOpeningFlag : 0) |
                                    (aHeader.mRedirected ? kRedirectedFlag : 0) |
-                                   (aHeader.mConfirmed ? kConfirmedFlag : 0));
+                                   (aHeader.mLeaseValid ? kConfirmedFlag : 0));
 }
 
 void Write(ByteWriter& aWriter, const Endpoint& aEndpoint)
@@ -49,7 +49,7 @@
   header.mKind = static_cast<DatagramKind>(aKind);
   header.mOpening = (aFlags & kOpeningFlag) != 0;
   header.mRedirected = (aFlags & kRedirectedFlag) != 0;
-  header.mConfirmed = (aFlags & kConfirmedFlag) != 0;
+  header.mLeaseValid = (aFlags & kConfirmedFlag) != 0;
   header.mHops = aReader.Integer<std::uint8_t>();
   header.mServiceId = aReader.Integer<std::uint64_t>();
   header.mViewRevision = aReader.Integer<std::uint64_t>();
@@ -105,7 +105,7 @@
   const auto kind = reader.Integer<std::uint8_t>();
   const auto flags = reader.Integer<std::uint8_t>();
   if (kind < static_cast<std::uint8_t>(DatagramKind::Forward) ||
-      kind > static_cast<std::uint8_t>(DatagramKind::ProbeAnswer)) {
+      kind > static_cast<std::uint8_t>(DatagramKind::StateProbeAnswer)) {
     return DecodeFailure(ErrorCode::InvalidInput, "unknown kind " + std::to_string(kind));
   }
   if ((flags & ~kAllFlags) != 0) {
--- a/lib/Packet/NodeMessageHeader.cpp
+++ b/lib/Packet/NodeMessageHeader.cpp
@@ -22,7 +22,7 @@
 
 std::array<std::uint8_t, NodeMessageHeader::kBytes> NodeMessageHeader::Encode() const
 {
-  return {kMagic, kVersion, static_cast<std::uint8_t>(mKind), static_cast<std::uint8_t>(mReason)};
+  return {kMagic, kVersion, static_cast<std::uint8_t>(mType), static_cast<std::uint8_t>(mReason)};
 }
 
 Result<NodeMessageHeader> NodeMessageHeader::Decode(std::span<const std::uint8_t> aBytes)
--- a/lib/Packet/PacketAgent.cpp
+++ b/lib/Packet/PacketAgent.cpp
@@ -205,7 +205,7 @@
          aNow - mStartedAt > kMaxMissedHeartbeats * mSettings.mHeartbeat;
 }
 
-LoadReport PacketAgent::Report(TimePoint aNow) const
+LoadReport PacketAgent::CurrentLoad(TimePoint aNow) const
 {
   LoadReport report;
   report.mService = mSettings.mService;
--- a/lib/Packet/PacketAgentDirectory.cpp
+++ b/lib/Packet/PacketAgentDirectory.cpp
@@ -26,12 +26,12 @@
   });
 }
 
-void PacketAgent::SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aKind,
+void PacketAgent::SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aType,
                                  const FlowKey& aFlow, const Endpoint& aHolder,
                                  PacketOutput& aOutput)
 {
   const FlowMessage message{aHolder, {aFlow}};
-  aOutput.SendToNode(aBalancer, {aKind, ReturnReason::None}, message.Encode());
+  aOutput.SendToNode(aBalancer, {aType, ReturnReason::None}, message.Encode());
 }
 
 // The upstream has sent a packet of the flow, so it holds the flow. Answers a pending flow probe.
@@ -44,7 +44,7 @@
   }
 }
 
-void PacketAgent::OnQuery(const Endpoint& aFrom, NodeMessageType aKind,
+void PacketAgent::OnQuery(const Endpoint& aFrom, NodeMessageType aType,
                           std::span<const std::uint8_t> aBytes, PacketOutput& aOutput,
                           TimePoint aNow)
 {
@@ -58,13 +58,13 @@
     SendFlowAnswer(aFrom, NodeMessageType::HolderFound, key, mSettings.mEndpoint, aOutput);
     return;
   }
-  if (aKind == NodeMessageType::Query) {
+  if (aType == NodeMessageType::Query) {
     if (const auto holder = mDirectory.Find(key)) {
       SendFlowAnswer(aFrom, NodeMessageType::HolderFound, key, *holder, aOutput);
       return;
     }
   }
-  SendFlowAnswer(aFrom, NegativeAnswer(aKind, aNow), key, {}, aOutput);
+  SendFlowAnswer(aFrom, NegativeAnswer(aType, aNow), key, {}, aOutput);
 }
 
 // The answer to a query for a flow that is neither in the table nor in the directory.
--- a/lib/Packet/PacketAgentFlows.cpp
+++ b/lib/Packet/PacketAgentFlows.cpp
@@ -38,21 +38,21 @@
                                std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                TimePoint aNow)
 {
-  if (aHeader.mKind == NodeMessageType::Query || aHeader.mKind == NodeMessageType::QueryLocal) {
-    OnQuery(aFrom, aHeader.mKind, aPacket, aOutput, aNow);
+  if (aHeader.mType == NodeMessageType::Query || aHeader.mType == NodeMessageType::QueryLocal) {
+    OnQuery(aFrom, aHeader.mType, aPacket, aOutput, aNow);
     return;
   }
-  if (aHeader.mKind == NodeMessageType::Register) {
+  if (aHeader.mType == NodeMessageType::Register) {
     OnRegister(aFrom, aPacket, aOutput, aNow);
     return;
   }
-  if (aHeader.mKind == NodeMessageType::RegisterAck) {
+  if (aHeader.mType == NodeMessageType::RegisterAck) {
     OnRegisterAck(aFrom, aPacket);
     return;
   }
   const auto segment = mCodec.DecodeFromCaller(aPacket);
   const bool known =
-    aHeader.mKind == NodeMessageType::Deliver || aHeader.mKind == NodeMessageType::Probe;
+    aHeader.mType == NodeMessageType::Deliver || aHeader.mType == NodeMessageType::Probe;
   if (!segment || !known || segment->mBounced) {
     mMalformed.Add();
     return;
@@ -61,7 +61,7 @@
     OnOpening(aFrom, *segment, aPacket, aOutput, aNow);
     return;
   }
-  OnMidFlow(aFrom, aHeader.mKind, *segment, aPacket, aOutput, aNow);
+  OnMidFlow(aFrom, aHeader.mType, *segment, aPacket, aOutput, aNow);
 }
 
 void PacketAgent::OnOpening(const Endpoint& aFrom, const Segment& aSegment,
@@ -107,7 +107,7 @@
     .With("routes", mRoutes.mVersion);
 }
 
-void PacketAgent::OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
+void PacketAgent::OnMidFlow(const Endpoint& aFrom, NodeMessageType aType, const Segment& aSegment,
                             std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow)
 {
   auto found = mFlows.find(aSegment.mFlow);
@@ -118,23 +118,23 @@
   }
   if (found == mFlows.end()) {
     if (!TableIsComplete(aNow)) {
-      if (aKind == NodeMessageType::Probe && mProbes.size() < kMaxProbes) {
+      if (aType == NodeMessageType::Probe && mProbes.size() < kMaxProbes) {
         mProbes[aSegment.mFlow] = {aFrom, aNow};
       }
-      Deliver(aFrom, aKind, aPacket, aOutput);
+      Deliver(aFrom, aType, aPacket, aOutput);
     } else {
-      ReportNotHeld({0, aFrom, aKind}, aSegment, aPacket, aOutput);
+      ReportNotHeld({0, aFrom, aType}, aSegment, aPacket, aOutput);
     }
     return;
   }
   Flow& flow = found->second;
   flow.mUsedAt = aNow;
   TrackRequest(flow, aSegment, aNow);
-  if (aKind == NodeMessageType::Probe) {
+  if (aType == NodeMessageType::Probe) {
     SendFlowAnswer(aFrom, NodeMessageType::HolderFound, aSegment.mFlow, mSettings.mEndpoint,
                    aOutput);
   }
-  Deliver(aFrom, aKind, aPacket, aOutput);
+  Deliver(aFrom, aType, aPacket, aOutput);
   if (aSegment.mResets) {
     RemoveFlow(aSegment.mFlow, aNow);
     return;
@@ -232,12 +232,12 @@
   ReportNotHeld(delivery, *segment, aPacket, aOutput);
 }
 
-void PacketAgent::Deliver(const Endpoint& aBalancer, NodeMessageType aKind,
+void PacketAgent::Deliver(const Endpoint& aBalancer, NodeMessageType aType,
                           std::span<std::uint8_t> aPacket, PacketOutput& aOutput)
 {
   mDelivered.Add();
   const std::uint32_t tag = mNextTag++;
-  mDeliveries[tag % kRememberedDeliveries] = {tag, aBalancer, aKind};
+  mDeliveries[tag % kRememberedDeliveries] = {tag, aBalancer, aType};
   mCodec.SetTag(aPacket, tag);
   aOutput.SendToUpstream(aPacket);
 }
--- a/lib/Packet/PacketBalancer.cpp
+++ b/lib/Packet/PacketBalancer.cpp
@@ -387,8 +387,8 @@
                                   std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                   TimePoint aNow)
 {
-  switch (aHeader.mKind) {
-    case NodeMessageType::Load:
+  switch (aHeader.mType) {
+    case NodeMessageType::LoadReport:
       OnLoadReport(aFrom, aPacket, aOutput, aNow);
       return;
     case NodeMessageType::Returned:
@@ -398,7 +398,7 @@
     case NodeMessageType::NotFound:
     case NodeMessageType::NotRegistered:
     case NodeMessageType::ProbeNeeded:
-      OnFlowMessage(aFrom, aHeader.mKind, aPacket, aOutput, aNow);
+      OnFlowMessage(aFrom, aHeader.mType, aPacket, aOutput, aNow);
       return;
     default:
       mMalformed.Add();
--- a/lib/Packet/PacketBalancerSearch.cpp
+++ b/lib/Packet/PacketBalancerSearch.cpp
@@ -30,7 +30,7 @@
 
 // Queries all agents that have not answered. In stage AllAgents, the search budget limits the
 // number of queries.
-void PacketBalancer::SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aKind,
+void PacketBalancer::SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aType,
                                  PacketOutput& aOutput, TimePoint aNow)
 {
   const bool limited = aSearch.mStage == SearchStage::AllAgents;
@@ -39,7 +39,7 @@
     if (limited && !mSearchBudget.TryTake(aNow)) {
       return;
     }
-    aOutput.SendToNode(agent, {aKind, ReturnReason::None}, message);
+    aOutput.SendToNode(agent, {aType, ReturnReason::None}, message);
   }
 }
 
@@ -155,7 +155,7 @@
   return mFirstAgentAt && aNow - *mFirstAgentAt >= mSettings.mSettleTime;
 }
 
-void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, NodeMessageType aKind,
+void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, NodeMessageType aType,
                                    std::span<const std::uint8_t> aBytes, PacketOutput& aOutput,
                                    TimePoint aNow)
 {
@@ -170,12 +170,12 @@
     return;
   }
   Flow& flow = found->second;
-  if (aKind == NodeMessageType::ProbeNeeded) {
+  if (aType == NodeMessageType::ProbeNeeded) {
     SendProbe(aFrom, *flow.mSearch, aOutput);
-  } else if (aKind == NodeMessageType::HolderFound) {
+  } else if (aType == NodeMessageType::HolderFound) {
     OnHolderFound(key, flow, message.value().mHolder, aOutput, aNow);
   } else {
-    if (aKind == NodeMessageType::NotRegistered) {
+    if (aType == NodeMessageType::NotRegistered) {
       flow.mSearch->mAgentsWithoutEntry.push_back(aFrom);
     }
     OnNotFound(key, *flow.mSearch, aFrom, aOutput, aNow);
--- a/lib/Request/AgentRequestBuckets.cpp
+++ b/lib/Request/AgentRequestBuckets.cpp
@@ -35,18 +35,18 @@
   return mInternals->TakeActions();
 }
 
-AgentRequestActions AgentRequestCore::OnBucketFirstOwner(std::uint32_t aBucket,
-                                                         std::uint32_t aGeneration,
-                                                         const RequestTime& aTime)
+AgentRequestActions AgentRequestCore::OnFirstOwnership(std::uint32_t aBucket,
+                                                       std::uint32_t aGeneration,
+                                                       const RequestTime& aTime)
 {
   mInternals->mRecords.AcquireAsFirstOwner(aBucket, aGeneration);
   mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
 }
 
-Result<AgentRequestActions> AgentRequestCore::OnHandoff(const Json& aTransfer,
-                                                        std::string_view aPeer,
-                                                        const RequestTime& aTime)
+Result<AgentRequestActions> AgentRequestCore::OnBucketTransfer(const Json& aTransfer,
+                                                               std::string_view aPeer,
+                                                               const RequestTime& aTime)
 {
   const auto taken = mInternals->mRecords.Import(aTransfer, aPeer);
   if (!taken) {
--- a/lib/Request/AgentRequestCore.cpp
+++ b/lib/Request/AgentRequestCore.cpp
@@ -112,10 +112,10 @@
   return mInternals->TakeActions();
 }
 
-AgentRequestActions AgentRequestCore::OnAlternateAnswer(RunId aRun, RequestOutcome aOutcome,
-                                                        const Refusal& aRefusal,
-                                                        const ReceivedAnswer& aReceived,
-                                                        const RequestTime& /*aTime*/)
+AgentRequestActions AgentRequestCore::OnAlternateReply(RunId aRun, RequestOutcome aOutcome,
+                                                       const Refusal& aRefusal,
+                                                       const ReceivedAnswer& aReceived,
+                                                       const RequestTime& /*aTime*/)
 {
   RequestJob* job = mInternals->TakeRun(aRun, JobPhase::AtAlternate);
   if (job == nullptr) {
--- a/lib/Request/BalancerRequestCore.cpp
+++ b/lib/Request/BalancerRequestCore.cpp
@@ -153,11 +153,11 @@
   return mInternals->TakeActions();
 }
 
-BalancerRequestActions BalancerRequestCore::OnAgentAnswer(const AttemptKey& aKey,
-                                                          RequestOutcome aOutcome,
-                                                          const std::optional<Refusal>& aRefusal,
-                                                          ReceivedAnswer aReceived,
-                                                          const RequestTime& aTime)
+BalancerRequestActions BalancerRequestCore::OnAgentReply(const AttemptKey& aKey,
+                                                         RequestOutcome aOutcome,
+                                                         const std::optional<Refusal>& aRefusal,
+                                                         ReceivedAnswer aReceived,
+                                                         const RequestTime& aTime)
 {
   CallerExchange* exchange = mInternals->TakeAttempt(aKey);
   if (exchange == nullptr) {
--- a/lib/Route/RoutingCore.cpp
+++ b/lib/Route/RoutingCore.cpp
@@ -80,7 +80,7 @@
                                                       const Endpoint& aSender)
 {
   const auto probe = mSentProbes.find(aSender);
-  if (aHeader.mKind != DatagramKind::ProbeAnswer || probe == mSentProbes.end()) {
+  if (aHeader.mKind != DatagramKind::StateProbeAnswer || probe == mSentProbes.end()) {
     return {};
   }
   const Member* member = mView.FindMember(probe->second.mMember);
@@ -143,7 +143,7 @@
   }
   mSentProbes[endpoint.value()] = {chosen.mName, aNow};
   DatagramHeader header;
-  header.mKind = DatagramKind::Probe;
+  header.mKind = DatagramKind::StateProbe;
   header.mViewRevision = mView.mRevision;
   header.mFlowHash = mConfiguration.mRevision;
   header.mBalancer = mSettings.mEndpoint;
--- a/unittests/Net/DatagramTest.cpp
+++ b/unittests/Net/DatagramTest.cpp
@@ -26,7 +26,7 @@
     DatagramHeader header;
     header.mKind = DatagramKind::Reply;
     header.mOpening = true;
-    header.mConfirmed = true;
+    header.mLeaseValid = true;
     header.mHops = 3;
     header.mServiceId = 0x0102030405060708;
     header.mViewRevision = 0x1122334455667788;
--- a/unittests/Packet/PacketAgentTest.cpp
+++ b/unittests/Packet/PacketAgentTest.cpp
@@ -77,9 +77,9 @@
     Heartbeat(aSequence, false, aCold);
   }
 
-  void FromBalancer(PacketBytes aPacket, NodeMessageType aKind = NodeMessageType::Deliver)
+  void FromBalancer(PacketBytes aPacket, NodeMessageType aType = NodeMessageType::Deliver)
   {
-    mAgent.OnNodePacket(NodeEndpoint(9), {aKind, ReturnReason::None}, aPacket, mOutput, mNow);
+    mAgent.OnNodePacket(NodeEndpoint(9), {aType, ReturnReason::None}, aPacket, mOutput, mNow);
   }
 
   void FromUpstream(PacketBytes aPacket) { mAgent.OnUpstreamPacket(aPacket, mOutput, mNow); }
@@ -109,7 +109,7 @@
   {
     CPPUNIT_ASSERT(!mOutput.mToNodes.empty());
     const NodeMessageHeader& header = mOutput.mToNodes.back().mHeader;
-    CPPUNIT_ASSERT(header.mKind == NodeMessageType::Returned);
+    CPPUNIT_ASSERT(header.mType == NodeMessageType::Returned);
     CPPUNIT_ASSERT_EQUAL(std::string(ToString(aReason)), std::string(ToString(header.mReason)));
   }
 
@@ -118,7 +118,7 @@
   {
     FromBalancer(FlowMessage{{}, {aFlow}}.Encode(), aQuery);
     const auto& sent = mOutput.mToNodes.back();
-    CPPUNIT_ASSERT(sent.mHeader.mKind == aExpected);
+    CPPUNIT_ASSERT(sent.mHeader.mType == aExpected);
     const auto message = FlowMessage::Decode(sent.mPacket);
     CPPUNIT_ASSERT(message && message.value().mFlows.front() == aFlow);
     return message.value().mHolder;
@@ -162,7 +162,7 @@
   {
     return static_cast<std::size_t>(
       std::count_if(mOutput.mToNodes.begin(), mOutput.mToNodes.end(), [](const auto& aSent) {
-        return aSent.mHeader.mKind == NodeMessageType::Register;
+        return aSent.mHeader.mType == NodeMessageType::Register;
       }));
   }
 
@@ -171,7 +171,7 @@
   {
     auto sent = std::exchange(mOutput.mToNodes, {});
     for (auto& message : sent) {
-      if (message.mHeader.mKind == NodeMessageType::Register) {
+      if (message.mHeader.mType == NodeMessageType::Register) {
         mAgent.OnNodePacket(message.mNode, {NodeMessageType::RegisterAck, ReturnReason::None},
                             message.mPacket, mOutput, mNow);
       }
@@ -191,29 +191,29 @@
     directoryAgents.Update(TestView(1, members));
     mAgent.OnView(TestView(1, members), 1);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.CurrentLoad(mNow).mRegisteredWithDigest);
     Open(1);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.CurrentLoad(mNow).mRegisteredWithDigest);
     mNow += Milliseconds{500};
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.CurrentLoad(mNow).mRegisteredWithDigest);
     ConfirmRegistrations();
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.CurrentLoad(mNow).mRegisteredWithDigest);
     // The directory agents restart: they must confirm the flow again.
     for (Member& member : members) {
       member.mIncarnation = 2;
     }
     directoryAgents.Update(TestView(2, members));
     mAgent.OnView(TestView(2, members), 1);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.CurrentLoad(mNow).mRegisteredWithDigest);
     mAgent.RegisterFlows(mOutput, mNow);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.CurrentLoad(mNow).mRegisteredWithDigest);
     ConfirmRegistrations();
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.CurrentLoad(mNow).mRegisteredWithDigest);
   }
 
   // Guards against a restarted directory agent that answers NotRegistered for flows which were
@@ -232,7 +232,7 @@
     restarted.OnView(TestView(1, members), 1);
     restarted.RegisterFlows(mOutput, mNow);
     restarted.OnUpstreamHeartbeat({"i-1", "web", false, {}, 4, 1'000, 7}, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, restarted.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, restarted.CurrentLoad(mNow).mRegisteredWithDigest);
   }
 
   // Guards against flows of another service after an address was reused, and against flows for an
@@ -262,7 +262,7 @@
     const std::size_t before = mOutput.mToUpstream.size();
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 102, 202, 100));
     CPPUNIT_ASSERT_EQUAL(before + 1, mOutput.mToUpstream.size());
-    CPPUNIT_ASSERT(!mAgent.Report(mNow).mAccepts);
+    CPPUNIT_ASSERT(!mAgent.CurrentLoad(mNow).mAccepts);
   }
 
   // Guards against new flows in a data centre that is out of service, from balancers that do not
@@ -314,9 +314,9 @@
     configuration.mRevision = 3;
     configuration.mDataCentres["north"].mOutOfService = false;
     mAgent.OnConfiguration(configuration);
-    CPPUNIT_ASSERT(mAgent.Report(mNow).mCold);
+    CPPUNIT_ASSERT(mAgent.CurrentLoad(mNow).mCold);
     Heartbeat(2);
-    CPPUNIT_ASSERT(!mAgent.Report(mNow).mCold);
+    CPPUNIT_ASSERT(!mAgent.CurrentLoad(mNow).mCold);
   }
 
   // Guards against twice the cold limit in one second when the agent is killed and restarted.
@@ -350,12 +350,12 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, mOutput.mToUpstream.size());
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck));
     // The balancer is told at once that the flow probe has found the flow.
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::HolderFound);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mType == NodeMessageType::HolderFound);
     mOutput.mToNodes.clear();
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck, 2, 100));
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
     FromBalancer(CallerPacket(TestFlow(2), FlagAck, 15, 5, 10), NodeMessageType::Probe);
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::HolderFound);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mType == NodeMessageType::HolderFound);
   }
 
   // Guards against searches that never end because no agent answers NotFound.
@@ -378,7 +378,7 @@
     Bounce();
     AssertReturned(ReturnReason::Refused);
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, mAgent.Report(mNow).mFlows);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, mAgent.CurrentLoad(mNow).mFlows);
   }
 
   // Guards against callers that wait for an answer on a flow which its upstream lost in a restart.
@@ -446,7 +446,7 @@
     AssertAnswer(NodeMessageType::ProbeNeeded, NodeMessageType::Query, TestFlow(1));
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), NodeMessageType::Probe);
     Bounce();
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::NotFound);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mType == NodeMessageType::NotFound);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
 
@@ -456,7 +456,7 @@
     Prepare(5);
     CPPUNIT_ASSERT(Heartbeat(4, true) == HeartbeatOutcome::Stale);
     CPPUNIT_ASSERT(Heartbeat(9, true, Milliseconds{0}, 500) == HeartbeatOutcome::Stale);
-    CPPUNIT_ASSERT(mAgent.Report(mNow).mAccepts);
+    CPPUNIT_ASSERT(mAgent.CurrentLoad(mNow).mAccepts);
     // After a restart with the same id, the sequence starts over.
     CPPUNIT_ASSERT(Heartbeat(1, false, Milliseconds{0}, 2'000) == HeartbeatOutcome::Accepted);
     CPPUNIT_ASSERT(mAgent.OnUpstreamHeartbeat({"i-2", "other", false, {}, 4, 9'000, 1}, mNow) ==
@@ -470,19 +470,19 @@
     Establish(1);
     Open(2);
     FromBalancer(CallerPacket(TestFlow(2), FlagAck, 2, 2, 100));
-    LoadReport report = mAgent.Report(mNow);
+    LoadReport report = mAgent.CurrentLoad(mNow);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, report.mFlows);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, report.mRequests);
     FromBalancer(CallerPacket(TestFlow(2), FlagAck, 2, 2, 100)); // a retransmission
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck, 2, 300));
     FromBalancer(CallerPacket(TestFlow(2), FlagAck, 2, 2, 100)); // a late copy
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, mAgent.Report(mNow).mRequests);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, mAgent.CurrentLoad(mNow).mRequests);
     FromBalancer(CallerPacket(TestFlow(2), FlagAck | FlagFin, 102, 302));
     FromUpstream(UpstreamPacket(TestFlow(2), FlagAck | FlagFin, 302));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, mAgent.Report(mNow).mFlows);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, mAgent.CurrentLoad(mNow).mFlows);
     mNow += std::chrono::seconds(60);
     mAgent.OnTick(mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, mAgent.Report(mNow).mFlows);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, mAgent.CurrentLoad(mNow).mFlows);
   }
 
   // Guards against metrics that do not show a slow upstream.
@@ -508,9 +508,9 @@
   void UpstreamsWithoutHeartbeatsTakeNoFlows()
   {
     Prepare();
-    CPPUNIT_ASSERT(mAgent.Report(mNow).mAccepts);
+    CPPUNIT_ASSERT(mAgent.CurrentLoad(mNow).mAccepts);
     mNow += std::chrono::seconds(4);
-    CPPUNIT_ASSERT(!mAgent.Report(mNow).mAccepts);
+    CPPUNIT_ASSERT(!mAgent.CurrentLoad(mNow).mAccepts);
   }
 };
 
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -56,8 +56,8 @@
       aReport.mService = "web";
     }
     Bytes bytes = aReport.Encode();
-    mBalancer.OnNodePacket(NodeEndpoint(aNode), {NodeMessageType::Load, ReturnReason::None}, bytes,
-                           mOutput, mNow);
+    mBalancer.OnNodePacket(NodeEndpoint(aNode), {NodeMessageType::LoadReport, ReturnReason::None},
+                           bytes, mOutput, mNow);
   }
 
   static LoadReport Accepting()
@@ -85,18 +85,18 @@
   }
 
   // An agent's answer to a query for a flow.
-  void Answer(unsigned aNode, NodeMessageType aKind, const FlowKey& aFlow,
+  void Answer(unsigned aNode, NodeMessageType aType, const FlowKey& aFlow,
               const Endpoint& aHolder = {})
   {
     auto bytes = FlowMessage{aHolder, {aFlow}}.Encode();
-    mBalancer.OnNodePacket(NodeEndpoint(aNode), {aKind, ReturnReason::None}, bytes, mOutput, mNow);
+    mBalancer.OnNodePacket(NodeEndpoint(aNode), {aType, ReturnReason::None}, bytes, mOutput, mNow);
   }
 
-  std::size_t Sent(NodeMessageType aKind) const
+  std::size_t Sent(NodeMessageType aType) const
   {
     return static_cast<std::size_t>(
       std::count_if(mOutput.mToNodes.begin(), mOutput.mToNodes.end(),
-                    [&](const auto& aSent) { return aSent.mHeader.mKind == aKind; }));
+                    [&](const auto& aSent) { return aSent.mHeader.mType == aType; }));
   }
 
   // Two agents of "web", nodes 1 and 2, that accept flows, after the settle time.
@@ -141,7 +141,7 @@
     Send(packet);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToNodes.size());
     CPPUNIT_ASSERT(mOutput.mToNodes[0].mNode == NodeEndpoint(2));
-    CPPUNIT_ASSERT(mOutput.mToNodes[0].mHeader.mKind == NodeMessageType::Deliver);
+    CPPUNIT_ASSERT(mOutput.mToNodes[0].mHeader.mType == NodeMessageType::Deliver);
   }
 
   // Guards against callers that wait until their deadline on a flow that ended with its upstream.
@@ -184,11 +184,11 @@
     }
   }
 
-  void DirectoryAgentsAnswer(NodeMessageType aKind, const FlowKey& aFlow)
+  void DirectoryAgentsAnswer(NodeMessageType aType, const FlowKey& aFlow)
   {
     for (const Endpoint& agent : mDirectoryAgents.AgentsFor(aFlow)) {
       auto bytes = FlowMessage{{}, {aFlow}}.Encode();
-      mBalancer.OnNodePacket(agent, {aKind, ReturnReason::None}, bytes, mOutput, mNow);
+      mBalancer.OnNodePacket(agent, {aType, ReturnReason::None}, bytes, mOutput, mNow);
     }
   }
 
@@ -363,7 +363,7 @@
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
     Answer(1, NodeMessageType::ProbeNeeded, TestFlow(1));
-    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mKind == NodeMessageType::Probe);
+    CPPUNIT_ASSERT(mOutput.mToNodes.back().mHeader.mType == NodeMessageType::Probe);
     CPPUNIT_ASSERT(mOutput.mToNodes.back().mPacket == packet);
   }
 
@@ -406,10 +406,10 @@
       restarted.OnCallerPacket(packet, mOutput, mNow);
       for (std::size_t at = 0; at < mOutput.mToNodes.size(); ++at) {
         const auto sent = mOutput.mToNodes[at];
-        const bool probe = sent.mHeader.mKind == NodeMessageType::Probe;
+        const bool probe = sent.mHeader.mType == NodeMessageType::Probe;
         const bool holds = probe && sent.mNode == holder;
         foundAmongCandidates += holds ? 1 : 0;
-        if (!holds && sent.mHeader.mKind != NodeMessageType::Deliver) {
+        if (!holds && sent.mHeader.mType != NodeMessageType::Deliver) {
           auto bytes = FlowMessage{{}, {TestFlow(i)}}.Encode();
           restarted.OnNodePacket(
             sent.mNode,
--- a/unittests/Packet/PacketCodecsTest.cpp
+++ b/unittests/Packet/PacketCodecsTest.cpp
@@ -38,7 +38,7 @@
   {
     const NodeMessageHeader header{NodeMessageType::Returned, ReturnReason::Cold};
     const auto back = NodeMessageHeader::Decode(header.Encode());
-    CPPUNIT_ASSERT(back && back.value().mKind == NodeMessageType::Returned);
+    CPPUNIT_ASSERT(back && back.value().mType == NodeMessageType::Returned);
     CPPUNIT_ASSERT(back.value().mReason == ReturnReason::Cold);
     const FlowMessage message{NodeEndpoint(3), {TestFlow(1), TestFlow(2)}};
     const auto decoded = FlowMessage::Decode(message.Encode());
--- a/unittests/Request/AgentRequestCoreTest.cpp
+++ b/unittests/Request/AgentRequestCoreTest.cpp
@@ -48,7 +48,7 @@
     mCore = std::make_unique<AgentRequestCore>(settings, *mSlots, alternate, *mRegistry);
     mAlternate.reset();
     for (std::uint32_t bucket = 0; bucket < settings.mBuckets; ++bucket) {
-      mCore->OnBucketFirstOwner(bucket, 1, At(0));
+      mCore->OnFirstOwnership(bucket, 1, At(0));
     }
     mCore->OnLease(true, At(0));
   }
@@ -252,7 +252,7 @@
     }
     const auto answer = [&](std::size_t aIndex, RequestOutcome aOutcome,
                             const ReceivedAnswer& aReceived) {
-      const auto replies = All<ReplyToSender>(mCore->OnAlternateAnswer(
+      const auto replies = All<ReplyToSender>(mCore->OnAlternateReply(
         runs[aIndex], aOutcome, {RefusalReason::Cold, {}}, aReceived, At(2)));
       CPPUNIT_ASSERT_EQUAL(std::size_t(2), replies.size());
       CPPUNIT_ASSERT(replies[0].mReply == replies[1].mReply);
@@ -308,7 +308,7 @@
     const RunId run = Start(NewId());
     CPPUNIT_ASSERT(mCore->OnUpstreamAnswer(run + 1, CompleteAnswer("b"), At(1)).empty());
     CPPUNIT_ASSERT(
-      mCore->OnAlternateAnswer(run, RequestOutcome::Answered, {}, CompleteAnswer("b"), At(1))
+      mCore->OnAlternateReply(run, RequestOutcome::Answered, {}, CompleteAnswer("b"), At(1))
         .empty());
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
                          Outcome(mCore->OnUpstreamAnswer(run, CompleteAnswer("a"), At(2))));
--- a/unittests/Request/BalancerRequestCoreTest.cpp
+++ b/unittests/Request/BalancerRequestCoreTest.cpp
@@ -68,8 +68,8 @@
                                 RefusalReason aReason = RefusalReason::SlotsFull,
                                 std::int64_t aMs = 1)
   {
-    return mCore->OnAgentAnswer(aKey, aOutcome, Refusal{aReason, Milliseconds(0)},
-                                std::move(aReceived), At(aMs));
+    return mCore->OnAgentReply(aKey, aOutcome, Refusal{aReason, Milliseconds(0)},
+                               std::move(aReceived), At(aMs));
   }
 
   // The attempt that the core sends when the time aMs has come.
--- a/unittests/Request/RequestSimulation.cpp
+++ b/unittests/Request/RequestSimulation.cpp
@@ -30,7 +30,7 @@
   }
   for (std::uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
     mOwners[bucket] = bucket % kAgents;
-    mAgents[mOwners[bucket]]->mCore->OnBucketFirstOwner(bucket, mGeneration, Time(0));
+    mAgents[mOwners[bucket]]->mCore->OnFirstOwnership(bucket, mGeneration, Time(0));
   }
   for (std::size_t i = 0; i < kBalancers; ++i) {
     mBalancers.push_back(std::make_unique<Balancer>());
--- a/unittests/Request/RequestSimulationAgents.cpp
+++ b/unittests/Request/RequestSimulationAgents.cpp
@@ -184,8 +184,8 @@
     }
     EndRun(aAgent, number,
            [this, number, aReply, received = Transmit(aReply.mAnswer)](AgentRequestCore& aCore) {
-             return aCore.OnAlternateAnswer(number, aReply.mOutcome,
-                                            aReply.mRefusal.value_or(Refusal{}), received, Time(0));
+             return aCore.OnAlternateReply(number, aReply.mOutcome,
+                                           aReply.mRefusal.value_or(Refusal{}), received, Time(0));
            });
   };
   const auto linkFailedAfterSend = [this, aAgent, incarnation, linkFailed] {
--- a/unittests/Request/RequestSimulationCallers.cpp
+++ b/unittests/Request/RequestSimulationCallers.cpp
@@ -129,7 +129,7 @@
   }
   const auto onReply = [this, key, toCore](const RequestReply& aReply) {
     toCore([this, key, aReply, received = Transmit(aReply.mAnswer)](BalancerRequestCore& aCore) {
-      return aCore.OnAgentAnswer(key, aReply.mOutcome, aReply.mRefusal, received, Time(0));
+      return aCore.OnAgentReply(key, aReply.mOutcome, aReply.mRefusal, received, Time(0));
     });
   };
   Deliver(
--- a/unittests/Request/RequestSimulationControl.cpp
+++ b/unittests/Request/RequestSimulationControl.cpp
@@ -178,8 +178,8 @@
           ++mTotals.mBucketTransfers;
           AgentRequestCore& core = *mAgents[to]->mCore;
           PerformAgentActions(
-            to,
-            core.OnHandoff(DecodeCbor(message, name).value(), name, TimeOf(*mAgents[to])).value());
+            to, core.OnBucketTransfer(DecodeCbor(message, name).value(), name, TimeOf(*mAgents[to]))
+                  .value());
         });
     });
   }
--- a/unittests/Route/RoutingCoreTest.cpp
+++ b/unittests/Route/RoutingCoreTest.cpp
@@ -87,7 +87,7 @@
       const auto& probe = std::get<SendProbe>(action);
       if (probe.mTo.mPort % 2 == 0) {
         DatagramHeader answer = probe.mHeader;
-        answer.mKind = DatagramKind::ProbeAnswer;
+        answer.mKind = DatagramKind::StateProbeAnswer;
         answer.mViewRevision = aViewRevision;
         answer.mFlowHash = aConfigurationRevision;
         for (const RoutingAction& next : mCore.OnProbeAnswer(answer, probe.mTo)) {
