--- a/include/dandelionslip/Daemon/RequestRecordTransfer.h
+++ b/include/dandelionslip/Daemon/RequestRecordTransfer.h
@@ -12,9 +12,11 @@
 /// thread-safe.
 ///
 /// Every transfer raises the generation of the bucket's records by one, so that the request core
-/// recognises outdated messages. The generation of a lost owner is not known: its successor uses
-/// the wall clock in seconds, unless it already knows a higher generation. If a later owner knows a
-/// generation above the one that is transferred to it, it starts without records.
+/// recognises outdated messages. This generation is not the generation of the assignment. The new
+/// owner of a lost agent's bucket does not know the last value. It takes the wall clock in seconds,
+/// which is above any count of transfers, or its own value plus one if that is higher. An owner
+/// that already has a higher value than a transfer message ignores the message and starts without
+/// records.
 class RequestRecordTransfer : public BucketRecords
 {
 public:
--- a/include/dandelionslip/Request/AgentRequestActions.h
+++ b/include/dandelionslip/Request/AgentRequestActions.h
@@ -26,7 +26,7 @@
 struct RelayToAlternate
 {
   RunId mRun = 0;
-  std::string mAgent;
+  std::string mAgent; ///< Member name.
   std::uint64_t mIncarnation = 0;
   RequestId mId;
   Attempt mAttempt = 0;
@@ -54,7 +54,7 @@
 /// bucket's new owner, passes it to AgentRequestCore::OnRecordUpdate.
 struct SendRecord
 {
-  std::string mAgent;
+  std::string mAgent; ///< Member name.
   Json mRecord;
 };
 
--- a/include/dandelionslip/Request/AgentRequestCore.h
+++ b/include/dandelionslip/Request/AgentRequestCore.h
@@ -20,7 +20,8 @@
   std::uint32_t mBuckets = 1024;
   std::uint32_t mSlots = 4;
   RecordLimits mRecords;
-  Milliseconds mHopAllowance{2};  ///< Subtracted from the remaining time at each hop.
+  /// Time allowed for one hop: subtracted from the remaining time of each request that is sent on.
+  Milliseconds mHopAllowance{2};
   std::size_t mMaxDeferred = 256; ///< Largest number of requests that wait for a bucket transfer.
 };
 
@@ -95,11 +96,11 @@
   /// an incomplete bucket: when the loss is known before the bucket is acquired, call it again
   /// after OnBucketAcquired.
   AgentRequestActions OnPreviousOwnerLost(std::uint32_t aBucket, const RequestTime& aTime);
-  /// Another agent owns the bucket in aGeneration and will not request the records of this agent,
-  /// for one of two reasons:
-  /// - This agent's lease had ended. Call this before OnLease reports a valid lease again.
-  /// - The agent that should have requested them was lost. Call this before OnPreviousOwnerLost is
-  ///   called at the owner in aGeneration.
+  /// Another agent became the owner in aGeneration without requesting the records of this agent.
+  /// Call this in two cases:
+  /// - This agent's lease had ended: before OnLease reports a valid lease again.
+  /// - The agent that should have received the bucket from this one was lost: before
+  ///   OnPreviousOwnerLost is called at the owner in aGeneration.
   AgentRequestActions OnBucketTakenOver(std::uint32_t aBucket, std::uint32_t aGeneration,
                                         const RequestTime& aTime);
   /// The owner in aGeneration requests the records of buckets. Afterwards this agent decides about
@@ -114,11 +115,14 @@
   /// Another agent's lease has ended; the outcome of requests that it was still running is unknown.
   AgentRequestActions OnAgentLost(const std::string& aAgent, const RequestTime& aTime);
 
-  /// Returns the record table for the next process of this agent, which passes it to ImportAll.
+  /// Returns the record table for the next process of this agent, which passes it to ImportAll. The
+  /// table has no records of requests that were relayed to this agent: the next process has a new
+  /// incarnation and does not run requests that were relayed to an earlier one.
   Json ExportAll(const RequestTime& aTime);
   Result<void> ImportAll(const Json& aTable, std::string_view aPeer);
 
-  /// Whether requests are queued, running or waiting for the transfer of their bucket.
+  /// Whether any request is open: queued, running, relayed, running at the bucket's previous owner,
+  /// or deferred until its bucket is complete.
   bool Active() const;
   std::size_t Running() const;
   std::size_t Queued() const;
--- a/include/dandelionslip/Request/Attempt.h
+++ b/include/dandelionslip/Request/Attempt.h
@@ -5,9 +5,11 @@
 
 namespace dandelionslip {
 
-/// Number of an attempt of one request id: the caller's attempt number in the upper 24 bits, the
-/// balancer's try in the lower 8. A caller raises its number when it resends through another
-/// balancer, so every attempt of the later balancer is higher than all tries of the earlier one.
+/// Number of an attempt. An attempt is one message of a balancer to an agent. Its number has the
+/// caller's attempt number in the upper 24 bits, and the balancer's try for this message of the
+/// caller, counted from 0, in the lower 8. A caller raises its number with each resend, so the
+/// attempts for a resend are numbered higher than all earlier ones, also if the resend goes through
+/// another balancer.
 using Attempt = std::uint32_t;
 
 inline constexpr std::uint32_t kTryBits = 8;
--- a/include/dandelionslip/Request/BalancerRequestActions.h
+++ b/include/dandelionslip/Request/BalancerRequestActions.h
@@ -17,7 +17,8 @@
   ServiceId mService = 0;
   std::optional<std::string> mIdText; ///< Without a value the balancer generates an id.
   std::uint32_t mCallerAttempt = 1;   ///< Raised by the caller with each resend of the same id.
-  bool mIdempotent = false;           ///< Set only if both the service and the request declare it.
+  /// Set if the service is declared idempotent and the request does not opt out.
+  bool mIdempotent = false;
   Milliseconds mRemaining{0};
   CallerKey mCaller = 0;
   TrafficClass mClass = TrafficClass::Quote;
@@ -34,10 +35,11 @@
 };
 
 /// Send a request to an agent. The balancer process reports the end of the attempt by at most one
-/// call of BalancerRequestCore::OnAgentAnswer or OnAgentLinkFailed.
+/// call of BalancerRequestCore::OnAgentAnswer or OnAgentLinkFailed; an attempt without a report
+/// ends at the deadline.
 struct SendToAgent
 {
-  std::string mAgent;
+  std::string mAgent; ///< As returned by RequestTargets.
   AttemptKey mKey;
   ServiceId mService = 0;
   bool mIdempotent = false;
@@ -51,7 +53,7 @@
 /// Cancel an attempt at an agent (RST_STREAM).
 struct CancelAtAgent
 {
-  std::string mAgent;
+  std::string mAgent; ///< As in SendToAgent.
   AttemptKey mKey;
 };
 
@@ -59,7 +61,7 @@
 struct ReplyToCaller
 {
   ReplyHandle mHandle = 0;
-  RequestId mId; ///< The id to resend with.
+  RequestId mId; ///< The id to resend with; nil when the request was refused for its id.
   RequestReply mReply;
 };
 
--- a/include/dandelionslip/Request/BalancerRequestCore.h
+++ b/include/dandelionslip/Request/BalancerRequestCore.h
@@ -15,8 +15,9 @@
 /// Settings of a balancer's request handling.
 struct BalancerRequestSettings
 {
-  std::uint32_t mMaxTries = 8;   ///< Largest number of tries for one request; at most kMaxTries.
-  Milliseconds mHopAllowance{2}; ///< Subtracted from the remaining time before a request is sent.
+  std::uint32_t mMaxTries = 8; ///< Largest number of tries for one request; at most kMaxTries.
+  /// Time allowed for one hop: subtracted from the remaining time of each request that is sent.
+  Milliseconds mHopAllowance{2};
   BackoffLimits mBackoff;
   RetryBudgetLimits mBudget;
 };
--- a/include/dandelionslip/Request/ReceivedRequest.h
+++ b/include/dandelionslip/Request/ReceivedRequest.h
@@ -8,8 +8,8 @@
 
 namespace dandelionslip {
 
-/// Identifies one received request message, so that a reply can refer to it. Chosen by the process
-/// that received the message, which never uses one twice.
+/// Identifies one received request message, so that a reply can refer to it. The receiving process
+/// chooses it and uses each value only once.
 using ReplyHandle = std::uint64_t;
 
 /// Identifies one run at the upstream or at the alternate agent; unique over all incarnations of
@@ -22,7 +22,8 @@
   ReplyHandle mHandle = 0;
   std::optional<RequestId> mId; ///< Empty when the id is not a UUID of version 7.
   Attempt mAttempt = 0;
-  bool mIdempotent = false; ///< Set only if both the service and the request declare it.
+  /// Set if the service is declared idempotent and the request does not opt out.
+  bool mIdempotent = false;
   /// False only when no earlier attempt of this id can have reached an agent and run. Such a
   /// request counts as new even in a bucket whose records were lost.
   bool mMayHaveRun = true;
--- a/include/dandelionslip/Request/RequestCounters.h
+++ b/include/dandelionslip/Request/RequestCounters.h
@@ -13,7 +13,7 @@
 enum class RetryReason
 {
   Refused,     ///< The agent said that the attempt did not run.
-  NotOwner,    ///< The agent did not decide about the id, for example as it was not the owner.
+  NotOwner,    ///< The agent did not decide about the id, for example because it was not the owner.
   Unreachable, ///< No part of the attempt was sent.
   LinkLost,    ///< The link failed after the attempt was sent, or the answer was truncated.
   Failed,      ///< An idempotent request ended with an unknown outcome.
@@ -31,10 +31,12 @@
 
 std::span<const EnumName<RetryDenial>> EnumNames(RetryDenial);
 
-/// Why a received message was dropped, or had no one to be passed on to.
+/// Messages that were late, unmatched, incomplete or duplicate. Not all of them are dropped: the
+/// record of a request keeps a late answer, and a duplicate of an idempotent request is sent on
+/// with a new id.
 enum class RequestDrop
 {
-  LateAnswer,       ///< Nobody waited for the attempt or run any more.
+  LateAnswer,       ///< The attempt or run ended when nobody waited for it any more.
   UnmatchedAnswer,  ///< No attempt or run in progress has this key or id.
   Truncated,        ///< The answer was incomplete.
   DuplicateAttempt, ///< The balancer already handles this attempt of the caller.
--- a/include/dandelionslip/Request/RequestOutcome.h
+++ b/include/dandelionslip/Request/RequestOutcome.h
@@ -12,8 +12,10 @@
 
 enum class RequestOutcome
 {
-  Answered,  ///< The answer is complete.
-  NotRun,    ///< This attempt and all lower ones did not run and never will.
+  Answered, ///< The answer is complete.
+  /// This attempt and all lower ones did not run and never will. For an idempotent request, an
+  /// agent's reply speaks only of this attempt; a balancer's reply of all attempts that it made.
+  NotRun,
   Unknown,   ///< The request may have run.
   Cancelled, ///< The caller cancelled the request before it ran.
   /// The agent does not decide about the id now: it is not the owner of the bucket, has no valid
@@ -63,8 +65,9 @@
 struct RequestReply
 {
   RequestOutcome mOutcome = RequestOutcome::Unknown;
-  UpstreamAnswer mAnswer;          ///< Set when the outcome is Answered.
-  std::optional<Refusal> mRefusal; ///< Why the request was not run, or why that is unknown.
+  UpstreamAnswer mAnswer; ///< Set when the outcome is Answered.
+  /// Why the request was refused. With outcome Unknown: the last known refusal, if any.
+  std::optional<Refusal> mRefusal;
   /// Set with outcome Unknown when the request ran but its answer was not kept.
   std::optional<AnswerDigest> mDigest;
 
--- a/include/dandelionslip/Request/RequestQueue.h
+++ b/include/dandelionslip/Request/RequestQueue.h
@@ -19,7 +19,7 @@
 /// One queued request.
 struct QueueEntry
 {
-  std::uint64_t mToken = 0; ///< Chosen by the owner of the queue.
+  std::uint64_t mToken = 0; ///< Chosen by the code that uses the queue.
   CallerKey mCaller = 0;
   TrafficClass mClass = TrafficClass::Quote;
   TimePoint mDeadline;
--- a/include/dandelionslip/Request/RequestTargets.h
+++ b/include/dandelionslip/Request/RequestTargets.h
@@ -16,7 +16,7 @@
 public:
   virtual ~RequestTargets() = default;
 
-  /// The agent that owns the bucket of an id; no value when the service has no agent.
+  /// The agent that owns the bucket of an id; no value when the request can be sent to none.
   virtual std::optional<std::string> OwnerOf(ServiceId aService, const RequestId& aId) const = 0;
 
   /// All agents of a service that take new work.
--- a/include/dandelionslip/Request/RetryBudget.h
+++ b/include/dandelionslip/Request/RetryBudget.h
@@ -13,11 +13,13 @@
 /// Settings of a retry budget.
 struct RetryBudgetLimits
 {
-  double mSuccessShare = 0.1;     ///< Tokens earned by each success.
+  double mTokensPerSuccess = 0.1; ///< Tokens earned by each success.
   double mTokensPerSecond = 1;    ///< Tokens earned by time, so that an idle caller can retry.
   double mMaxTokens = 10;         ///< Largest burst of retries.
-  std::size_t mMaxCallers = 4096; ///< Callers beyond this number share one budget for each service.
-  Milliseconds mIdle{60'000};     ///< A budget unused for this long can be given to another caller.
+  /// Largest number of pairs of service and caller that have a budget of their own. The other
+  /// callers of a service share one.
+  std::size_t mMaxBudgets = 4096;
+  Milliseconds mIdle{60'000}; ///< A budget unused for this long can be given to another caller.
 };
 
 /// One token bucket for each service and caller; each retry takes a token. Not thread-safe.
@@ -32,24 +34,24 @@
   /// Takes one token; false when there is none.
   bool TryRetry(ServiceId aService, CallerKey aCaller, TimePoint aNow);
 
-  std::size_t TrackedCallers() const { return mBuckets.size(); }
+  std::size_t TrackedBudgets() const { return mTokenBuckets.size(); }
 
 private:
   using Key = std::pair<ServiceId, CallerKey>;
-  struct Bucket
+  struct TokenBucket
   {
     double mTokens = 1;
     TimePoint mUpdated;
     std::list<Key>::iterator mPosition;
   };
 
-  Bucket& Refill(Bucket& aBucket, TimePoint aNow) const;
-  Bucket& BucketFor(const Key& aKey, TimePoint aNow);
+  TokenBucket& Refill(TokenBucket& aBucket, TimePoint aNow) const;
+  TokenBucket& TokenBucketFor(const Key& aKey, TimePoint aNow);
 
   RetryBudgetLimits mLimits;
-  std::map<Key, Bucket> mBuckets;
-  std::list<Key> mLeastRecentlyUsed; ///< Keys of mBuckets, least recently used first.
-  std::map<ServiceId, Bucket> mShared;
+  std::map<Key, TokenBucket> mTokenBuckets;
+  std::list<Key> mLeastRecentlyUsed; ///< Keys of mTokenBuckets, least recently used first.
+  std::map<ServiceId, TokenBucket> mShared;
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Request/SlotAdmission.h
+++ b/include/dandelionslip/Request/SlotAdmission.h
@@ -16,8 +16,8 @@
   Cancelled, ///< This agent cancelled the run.
 };
 
-/// Decides whether an upstream gets one more request, on the agent beside it. Implementations are
-/// not thread-safe.
+/// Decides on the agent whether its upstream gets one more request. Implementations are not
+/// thread-safe.
 class SlotAdmission
 {
 public:
--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -26,8 +26,9 @@
 constexpr Milliseconds kRoutingTick{100};
 constexpr Milliseconds kRequestTick{10};
 constexpr Milliseconds kStopPoll{50};
-// Time after the draining announcement until agents send replies through other balancers.
-constexpr Milliseconds kDrainTime{1'500};
+// Delay between the draining announcement and the end of accepting requests. By then agents send
+// replies through other balancers.
+constexpr Milliseconds kStopAcceptingDelay{1'500};
 constexpr Milliseconds kStateFetchTimeout{500};
 
 // Finds the agents for a request in the newest routing snapshot. Agents are identified by their
@@ -544,7 +545,7 @@
     mState = MemberState::Draining;
     mStopBy = RuntimeClock::now() + mSettings.mStopDeadline;
     mLink.AnnounceNow();
-    CallAfter(mPool.Loop(), kDrainTime, [this] {
+    CallAfter(mPool.Loop(), kStopAcceptingDelay, [this] {
       {
         const std::shared_lock lock(mListenersMutex);
         for (auto& [address, listener] : mListeners) {
--- a/lib/Daemon/RequestHeaders.h
+++ b/lib/Daemon/RequestHeaders.h
@@ -31,8 +31,8 @@
 std::optional<std::uint64_t> FindNumberHeader(const std::vector<HttpHeader>& aHeaders,
                                               std::string_view aName);
 
-/// Converts a reply to an HTTP response. Its status is the upstream's for an answer, else 503 not
-/// run, 502 unknown, 499 cancelled, 421 not owner.
+/// Converts a reply to an HTTP response. The status is that of the upstream's answer, or 503 for
+/// not run, 502 for unknown, 499 for cancelled and 421 for not owner.
 HttpResponse ToResponse(const RequestReply& aReply);
 
 /// The contents of an agent's response.
@@ -43,7 +43,8 @@
   ReceivedAnswer mReceived;
 };
 
-/// The inverse of ToResponse. The outcome of a response without outcome header is unknown.
+/// Reads what ToResponse wrote, except the digest. The outcome of a response without outcome header
+/// is unknown.
 AgentResponse FromResponse(HttpResponse aResponse);
 
 /// Converts an upstream's response.
--- a/lib/Request/AgentRequestArrival.cpp
+++ b/lib/Request/AgentRequestArrival.cpp
@@ -108,6 +108,7 @@
                                                       const RequestTime& aTime)
 {
   RequestRecords& table = RecordsFor(aRequest.mRelayed);
+  // An id with a record, which can only be Refused here, needs no check of its age.
   const bool known = table.Find(*aRequest.mId) != nullptr;
   const IdFreshness freshness =
     known ? IdFreshness::New
@@ -119,8 +120,9 @@
   if (freshness == IdFreshness::InFuture) {
     const Refusal refusal{RefusalReason::BadRequestId, Milliseconds(0)};
     const auto ahead = Milliseconds(aRequest.mId->TimestampMs() - aTime.mWallMs);
-    // The reply "not run" needs a record that stays until the id is too old. For a timestamp far
-    // ahead the record would stay for as long, so the reply is "unknown"; the request does not run.
+    // The reply "not run" needs a record that stays until the id is too old. With a timestamp far
+    // in the future the record would stay almost without limit. So no record is kept, and the reply
+    // is "unknown" although the request does not run.
     if (ahead > mSettings.mRecords.mRetention) {
       mCounters.CountRefusal(refusal.mReason);
       Reply(aRequest.mHandle, UnknownReply(refusal));
@@ -151,10 +153,10 @@
                                                 const Refusal& aRefusal)
 {
   mCounters.CountRefusal(aRefusal.mReason);
-  const bool remembered =
+  const bool notRunIsCertain =
     aRequest.mIdempotent ||
     RecordsFor(aRequest.mRelayed).TryMarkRefused(*aRequest.mId, aRequest.mAttempt, aRefusal);
-  Reply(aRequest.mHandle, remembered ? NotRunReply(aRefusal) : UnknownReply(aRefusal));
+  Reply(aRequest.mHandle, notRunIsCertain ? NotRunReply(aRefusal) : UnknownReply(aRefusal));
 }
 
 RequestJob& AgentRequestCore::Internals::AddJob(ReceivedRequest aRequest, TimePoint aDeadline)
--- a/lib/Request/AgentRequestBuckets.cpp
+++ b/lib/Request/AgentRequestBuckets.cpp
@@ -48,9 +48,9 @@
                                                         std::string_view aPeer,
                                                         const RequestTime& aTime)
 {
-  const auto taken = mInternals->mRecords.Import(aTransfer, aPeer);
-  if (!taken) {
-    return taken.as_failure();
+  const auto completed = mInternals->mRecords.Import(aTransfer, aPeer);
+  if (!completed) {
+    return completed.as_failure();
   }
   mInternals->ProcessDeferred(aTime);
   return mInternals->TakeActions();
--- a/lib/Request/AgentRequestCore.cpp
+++ b/lib/Request/AgentRequestCore.cpp
@@ -5,10 +5,10 @@
 
 namespace {
 
-// Low bits of a run id, which count the runs; the incarnation stands above them. An answer to a run
-// of an earlier process must not match a run of this one, so run ids of a later incarnation have to
-// be higher. They are, because an incarnation is a start time in milliseconds, and a process does
-// not start 4 million runs per millisecond.
+// The low bits of a run id count the runs of this process; the high bits are its incarnation. An
+// answer to a run of an earlier process must not match a run of this one, so run ids of a later
+// incarnation have to be higher. They are, because an incarnation is a start time in milliseconds,
+// and a process does not start 4 million runs per millisecond.
 constexpr std::uint32_t kRunCounterBits = 22;
 
 } // namespace
@@ -25,7 +25,8 @@
   , mNextRun((mSettings.mIncarnation << kRunCounterBits) + 1)
 {
   // Relayed requests name the incarnation that they are meant for, and those for an earlier one are
-  // not run. So this table has a record of every relayed request that ran.
+  // not run. So this table has a record of every relayed request that ran, and its only bucket
+  // is complete from the start.
   mRelayedRecords.AcquireAsFirstOwner(0, 1);
 }
 
--- a/lib/Request/AgentRequestDeadlines.cpp
+++ b/lib/Request/AgentRequestDeadlines.cpp
@@ -8,7 +8,7 @@
 void AgentRequestCore::Internals::Cancel(ReplyHandle aHandle)
 {
   if (const auto found = mJobByHandle.find(aHandle); found != mJobByHandle.end()) {
-    RemoveWaiter(mJobs.at(found->second), aHandle);
+    EndWaiter(mJobs.at(found->second), aHandle);
     return;
   }
   const auto deferred =
@@ -22,13 +22,15 @@
   }
 }
 
-void AgentRequestCore::Internals::RemoveWaiter(RequestJob& aJob, ReplyHandle aHandle)
+// Replies to one waiter. The last waiter of a queued request ends the request, that of a running or
+// relayed one cancels the run.
+void AgentRequestCore::Internals::EndWaiter(RequestJob& aJob, ReplyHandle aHandle)
 {
   const bool last = aJob.mWaiters.size() == 1;
   if (last && aJob.mPhase == JobPhase::Queued) {
     mQueue.Remove(aJob.mToken);
-    // The refusal is for the record: a late copy of the attempt gets the reply "not run", as if the
-    // deadline had passed.
+    // The sender gets the reply "cancelled"; the refusal only goes into the record. A late copy of
+    // the attempt then gets the reply "not run", as after a missed deadline.
     EndRefused(aJob, {RefusalReason::Deadline, Milliseconds(0)}, true);
     return;
   }
@@ -57,12 +59,12 @@
         overdue.push_back(waiter.mHandle);
       }
     }
-    // Left to StartQueued, which refuses a queued request once its latest deadline has passed.
+    // StartQueued ends queued requests that can no longer be answered by their latest deadline.
     if (job.mPhase == JobPhase::Queued && overdue.size() == job.mWaiters.size()) {
       continue;
     }
     for (const ReplyHandle handle : overdue) {
-      RemoveWaiter(job, handle);
+      EndWaiter(job, handle);
     }
   }
 }
--- a/lib/Request/AgentRequestEnds.cpp
+++ b/lib/Request/AgentRequestEnds.cpp
@@ -84,7 +84,7 @@
   mActions.emplace_back(ReplyToSender{aHandle, std::move(aReply)});
 }
 
-// Sends the record of a request that ended to the new owner of its bucket, if there is one.
+// If the bucket has a new owner, sends it the record of the ended request.
 void AgentRequestCore::Internals::ReportToNewOwner(const RequestId& aId)
 {
   const std::uint32_t bucket = mRecords.BucketFor(aId);
--- a/lib/Request/AgentRequestInternals.h
+++ b/lib/Request/AgentRequestInternals.h
@@ -55,7 +55,7 @@
 
   // Cancellation and deadlines (AgentRequestDeadlines.cpp).
   void Cancel(ReplyHandle aHandle);
-  void RemoveWaiter(RequestJob& aJob, ReplyHandle aHandle);
+  void EndWaiter(RequestJob& aJob, ReplyHandle aHandle);
   void EndOverdueWaiters(const RequestTime& aTime);
   void EndOverdueDeferred(const RequestTime& aTime);
   void RefuseQueuedNonIdempotent(const Refusal& aRefusal);
--- a/lib/Request/AgentRequestRuns.cpp
+++ b/lib/Request/AgentRequestRuns.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-Milliseconds RemainingFor(const RequestJob& aJob, const RequestTime& aTime, Milliseconds aHop)
+Milliseconds RemainingFor(const RequestJob& aJob, const RequestTime& aTime,
+                          Milliseconds aHopAllowance)
 {
-  const auto left = std::chrono::floor<Milliseconds>(aJob.mDeadline - aTime.mNow) - aHop;
+  const auto left = std::chrono::floor<Milliseconds>(aJob.mDeadline - aTime.mNow) - aHopAllowance;
   return std::max(left, Milliseconds(1));
 }
 
@@ -35,7 +36,8 @@
     StartRun(aJob, aTime);
     return;
   }
-  // A relayed request is not queued: its owner relayed it so that it does not have to wait.
+  // A relayed request is not queued: the bucket's owner relayed it so that it does not have to
+  // wait.
   if (aJob.mRequest.mRelayed) {
     EndRefused(aJob, *refusal);
     return;
--- a/lib/Request/BalancerRequestAttempts.cpp
+++ b/lib/Request/BalancerRequestAttempts.cpp
@@ -27,43 +27,42 @@
 
 } // namespace
 
-void BalancerRequestCore::Internals::Send(CallerExchange& aExchange, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Send(OpenRequest& aOpen, const RequestTime& aTime)
 {
   const auto remaining =
-    std::chrono::floor<Milliseconds>(aExchange.mDeadline - aTime.mNow) - mSettings.mHopAllowance;
+    std::chrono::floor<Milliseconds>(aOpen.mDeadline - aTime.mNow) - mSettings.mHopAllowance;
   if (remaining <= Milliseconds(0)) {
-    EndOverdue(aExchange);
+    EndOverdue(aOpen);
     return;
   }
-  const auto agent = ChooseAgent(aExchange);
+  const auto agent = ChooseAgent(aOpen);
   if (!agent) {
-    ++aExchange.mTries;
-    Retry(aExchange, RetryReason::Unreachable, Milliseconds(0), aTime);
+    ++aOpen.mTries;
+    Retry(aOpen, RetryReason::Unreachable, Milliseconds(0), aTime);
     return;
   }
-  const CallerRequest& request = aExchange.mRequest;
-  aExchange.mAgent = *agent;
-  aExchange.mKey = {aExchange.mId, MakeAttempt(request.mCallerAttempt, aExchange.mTries)};
-  ++aExchange.mTries;
-  aExchange.mInFlight = true;
-  aExchange.mMayHaveRunBefore = std::exchange(aExchange.mMayHaveRun, true);
+  const CallerRequest& request = aOpen.mRequest;
+  aOpen.mAgent = *agent;
+  aOpen.mKey = {aOpen.mId, MakeAttempt(request.mCallerAttempt, aOpen.mTries)};
+  ++aOpen.mTries;
+  aOpen.mInFlight = true;
+  aOpen.mMayHaveRunBefore = std::exchange(aOpen.mMayHaveRun, true);
   ++mAttemptsInFlight[*agent];
-  SetTimer(aExchange, aExchange.mDeadline);
-  mActions.emplace_back(SendToAgent{*agent, aExchange.mKey, request.mService, request.mIdempotent,
-                                    aExchange.mMayHaveRunBefore, remaining, request.mCaller,
+  SetTimer(aOpen, aOpen.mDeadline);
+  mActions.emplace_back(SendToAgent{*agent, aOpen.mKey, request.mService, request.mIdempotent,
+                                    aOpen.mMayHaveRunBefore, remaining, request.mCaller,
                                     request.mClass, request.mBody});
 }
 
-std::optional<std::string> BalancerRequestCore::Internals::ChooseAgent(
-  const CallerExchange& aExchange)
+std::optional<std::string> BalancerRequestCore::Internals::ChooseAgent(const OpenRequest& aOpen)
 {
-  const ServiceId service = aExchange.mRequest.mService;
-  if (!aExchange.mRequest.mIdempotent || (aExchange.mTryOwnerFirst && aExchange.mTries == 0)) {
-    return mTargets.OwnerOf(service, aExchange.mId);
+  const ServiceId service = aOpen.mRequest.mService;
+  if (!aOpen.mRequest.mIdempotent || (aOpen.mTryOwnerFirst && aOpen.mTries == 0)) {
+    return mTargets.OwnerOf(service, aOpen.mId);
   }
   std::vector<std::string> candidates = mTargets.CandidatesOf(service);
   if (candidates.size() > 1) {
-    std::erase(candidates, aExchange.mAgent);
+    std::erase(candidates, aOpen.mAgent);
   }
   if (candidates.empty()) {
     return {};
@@ -86,97 +85,95 @@
   return aCandidates[firstBetter ? first : second];
 }
 
-// Returns the exchange whose attempt in flight has the key, and ends the attempt. Null when there
-// is none.
-CallerExchange* BalancerRequestCore::Internals::TakeAttempt(const AttemptKey& aKey)
+// Returns the request whose attempt in flight has the key, and ends the attempt. Null when there is
+// none.
+OpenRequest* BalancerRequestCore::Internals::TakeAttempt(const AttemptKey& aKey)
 {
   const auto found = mByCallerAttempt.find({aKey.mId, aKey.mAttempt >> kTryBits});
-  CallerExchange* exchange =
-    found == mByCallerAttempt.end() ? nullptr : &mExchanges.at(found->second);
-  if (exchange == nullptr || !exchange->mInFlight || exchange->mKey != aKey) {
-    const bool givenUp = exchange != nullptr && aKey.mAttempt < exchange->mKey.mAttempt;
+  OpenRequest* open = found == mByCallerAttempt.end() ? nullptr : &mOpenRequests.at(found->second);
+  if (open == nullptr || !open->mInFlight || open->mKey != aKey) {
+    const bool givenUp = open != nullptr && aKey.mAttempt < open->mKey.mAttempt;
     mCounters.CountDrop(givenUp ? RequestDrop::LateAnswer : RequestDrop::UnmatchedAnswer);
     return nullptr;
   }
-  exchange->mInFlight = false;
-  --mAttemptsInFlight[exchange->mAgent];
-  return exchange;
+  open->mInFlight = false;
+  --mAttemptsInFlight[open->mAgent];
+  return open;
 }
 
-void BalancerRequestCore::Internals::HandleAnswered(CallerExchange& aExchange,
-                                                    ReceivedAnswer aReceived,
+void BalancerRequestCore::Internals::HandleAnswered(OpenRequest& aOpen, ReceivedAnswer aReceived,
                                                     const RequestTime& aTime)
 {
   if (aReceived.IsComplete()) {
-    mBudget.OnSuccess(aExchange.mRequest.mService, aExchange.mRequest.mCaller, aTime.mNow);
-    Finish(aExchange, AnsweredReply(std::move(aReceived.mAnswer)));
+    mBudget.OnSuccess(aOpen.mRequest.mService, aOpen.mRequest.mCaller, aTime.mNow);
+    Finish(aOpen, AnsweredReply(std::move(aReceived.mAnswer)));
     return;
   }
   mCounters.CountDrop(RequestDrop::Truncated);
-  Retry(aExchange, RetryReason::LinkLost, Milliseconds(0), aTime);
+  Retry(aOpen, RetryReason::LinkLost, Milliseconds(0), aTime);
 }
 
-void BalancerRequestCore::Internals::HandleNotRun(CallerExchange& aExchange,
-                                                  const Refusal& aRefusal, const RequestTime& aTime)
+void BalancerRequestCore::Internals::HandleNotRun(OpenRequest& aOpen, const Refusal& aRefusal,
+                                                  const RequestTime& aTime)
 {
   // A refusal by the owner of the bucket covers all lower attempts, because its record does.
   // Idempotent requests have no record, so a refusal says nothing about their earlier attempts.
-  aExchange.mMayHaveRun = aExchange.mRequest.mIdempotent && aExchange.mMayHaveRunBefore;
-  aExchange.mLastRefusal = aRefusal;
+  aOpen.mMayHaveRun = aOpen.mRequest.mIdempotent && aOpen.mMayHaveRunBefore;
+  aOpen.mLastRefusal = aRefusal;
   if (!IsTransient(aRefusal.mReason)) {
-    FinishWithoutAnswer(aExchange);
+    FinishWithoutAnswer(aOpen);
     return;
   }
-  Retry(aExchange, RetryReason::Refused, aRefusal.mRetryAfter, aTime);
+  Retry(aOpen, RetryReason::Refused, aRefusal.mRetryAfter, aTime);
 }
 
-void BalancerRequestCore::Internals::HandleUnknown(CallerExchange& aExchange,
+void BalancerRequestCore::Internals::HandleUnknown(OpenRequest& aOpen,
                                                    const std::optional<Refusal>& aRefusal,
                                                    const RequestTime& aTime)
 {
-  aExchange.mLastRefusal = aRefusal;
-  if (!aExchange.mRequest.mIdempotent) {
-    FinishWithoutAnswer(aExchange);
+  aOpen.mLastRefusal = aRefusal;
+  if (!aOpen.mRequest.mIdempotent) {
+    FinishWithoutAnswer(aOpen);
     return;
   }
-  Retry(aExchange, RetryReason::Failed, Milliseconds(0), aTime);
+  Retry(aOpen, RetryReason::Failed, Milliseconds(0), aTime);
 }
 
-void BalancerRequestCore::Internals::Retry(CallerExchange& aExchange, RetryReason aReason,
-                                           Milliseconds aAtLeast, const RequestTime& aTime)
+void BalancerRequestCore::Internals::Retry(OpenRequest& aOpen, RetryReason aReason,
+                                           Milliseconds aMinDelay, const RequestTime& aTime)
 {
-  if (aExchange.mCancelled) {
-    FinishWithoutAnswer(aExchange);
+  if (aOpen.mCancelled) {
+    FinishWithoutAnswer(aOpen);
     return;
   }
-  if (aExchange.mTries >= mSettings.mMaxTries) {
-    DenyRetry(aExchange, RetryDenial::Tries);
+  if (aOpen.mTries >= mSettings.mMaxTries) {
+    DenyRetry(aOpen, RetryDenial::Tries);
     return;
   }
   const RuntimeClock::duration delay = std::max<RuntimeClock::duration>(
-    aAtLeast, FullJitterDelay(aExchange.mTries - 1, mSettings.mBackoff, mRandom));
-  if (aTime.mNow + delay + mSettings.mHopAllowance >= aExchange.mDeadline) {
-    DenyRetry(aExchange, RetryDenial::Deadline);
+    aMinDelay, FullJitterDelay(aOpen.mTries - 1, mSettings.mBackoff, mRandom));
+  if (aTime.mNow + delay + mSettings.mHopAllowance >= aOpen.mDeadline) {
+    DenyRetry(aOpen, RetryDenial::Deadline);
     return;
   }
   // An attempt at an agent that does not own the bucket puts no load on an upstream, so the retry
   // takes nothing from the budget.
-  const CallerRequest& request = aExchange.mRequest;
+  const CallerRequest& request = aOpen.mRequest;
   if (aReason != RetryReason::NotOwner &&
       !mBudget.TryRetry(request.mService, request.mCaller, aTime.mNow)) {
-    DenyRetry(aExchange, RetryDenial::Budget);
+    DenyRetry(aOpen, RetryDenial::Budget);
     return;
   }
   mCounters.CountRetry(aReason);
   // Even without a delay the retry waits for a later tick, so that one tick makes at most one
   // attempt for a request.
-  SetTimer(aExchange, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
+  SetTimer(aOpen, aTime.mNow + std::max<RuntimeClock::duration>(delay, Milliseconds(1)));
 }
 
-void BalancerRequestCore::Internals::DenyRetry(CallerExchange& aExchange, RetryDenial aReason)
+void BalancerRequestCore::Internals::DenyRetry(OpenRequest& aOpen, RetryDenial aReason)
 {
   mCounters.CountDenial(aReason);
-  FinishWithoutAnswer(aExchange);
+  FinishWithoutAnswer(aOpen);
 }
 
 } // namespace dandelionslip
--- a/lib/Request/BalancerRequestCore.cpp
+++ b/lib/Request/BalancerRequestCore.cpp
@@ -31,8 +31,8 @@
       return;
     }
   }
-  const bool hasId = id.has_value();
-  if (hasId && mByCallerAttempt.contains({*id, aRequest.mCallerAttempt})) {
+  const bool callerSentValidId = id.has_value();
+  if (callerSentValidId && mByCallerAttempt.contains({*id, aRequest.mCallerAttempt})) {
     mCounters.CountDrop(RequestDrop::DuplicateAttempt);
     if (!aRequest.mIdempotent) {
       Reply(aRequest.mHandle, *id, UnknownReply());
@@ -42,69 +42,69 @@
   }
   const RequestId used = id ? *id : RequestId::Make(aTime.mWallMs, mRandom);
   const std::uint64_t token = mNextToken++;
-  CallerExchange& exchange = mExchanges[token];
-  exchange.mToken = token;
-  exchange.mId = used;
-  exchange.mTryOwnerFirst = !aRequest.mIdempotent || hasId;
-  exchange.mDeadline = aTime.mNow + aRequest.mRemaining;
+  OpenRequest& open = mOpenRequests[token];
+  open.mToken = token;
+  open.mId = used;
+  open.mTryOwnerFirst = !aRequest.mIdempotent || callerSentValidId;
+  open.mDeadline = aTime.mNow + aRequest.mRemaining;
   // An earlier attempt of the caller, perhaps through another balancer, may run or have run.
-  exchange.mMayHaveRun = hasId && aRequest.mCallerAttempt > 1;
+  open.mMayHaveRun = callerSentValidId && aRequest.mCallerAttempt > 1;
   mByHandle[aRequest.mHandle] = token;
   mByCallerAttempt[{used, aRequest.mCallerAttempt}] = token;
-  exchange.mRequest = std::move(aRequest);
-  Send(exchange, aTime);
+  open.mRequest = std::move(aRequest);
+  Send(open, aTime);
 }
 
-void BalancerRequestCore::Internals::Cancel(CallerExchange& aExchange)
+void BalancerRequestCore::Internals::Cancel(OpenRequest& aOpen)
 {
-  aExchange.mCancelled = true;
-  if (!aExchange.mInFlight) {
-    FinishWithoutAnswer(aExchange);
+  aOpen.mCancelled = true;
+  if (!aOpen.mInFlight) {
+    FinishWithoutAnswer(aOpen);
     return;
   }
-  mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
+  mActions.emplace_back(CancelAtAgent{aOpen.mAgent, aOpen.mKey});
 }
 
-void BalancerRequestCore::Internals::Finish(CallerExchange& aExchange, RequestReply aReply)
+void BalancerRequestCore::Internals::Finish(OpenRequest& aOpen, RequestReply aReply)
 {
-  if (aExchange.mInFlight) {
-    --mAttemptsInFlight[aExchange.mAgent];
+  if (aOpen.mInFlight) {
+    --mAttemptsInFlight[aOpen.mAgent];
   }
-  mTimers.erase({aExchange.mTimerAt, aExchange.mToken});
-  mByHandle.erase(aExchange.mRequest.mHandle);
-  mByCallerAttempt.erase({aExchange.mId, aExchange.mRequest.mCallerAttempt});
-  Reply(aExchange.mRequest.mHandle, aExchange.mId, std::move(aReply));
-  mExchanges.erase(aExchange.mToken);
+  mTimers.erase({aOpen.mTimerAt, aOpen.mToken});
+  mByHandle.erase(aOpen.mRequest.mHandle);
+  mByCallerAttempt.erase({aOpen.mId, aOpen.mRequest.mCallerAttempt});
+  Reply(aOpen.mRequest.mHandle, aOpen.mId, std::move(aReply));
+  mOpenRequests.erase(aOpen.mToken);
 }
 
 // Replies "unknown" when an attempt may have run, otherwise "cancelled" or "not run".
-void BalancerRequestCore::Internals::FinishWithoutAnswer(CallerExchange& aExchange)
+void BalancerRequestCore::Internals::FinishWithoutAnswer(OpenRequest& aOpen)
 {
-  if (aExchange.mMayHaveRun) {
-    RequestReply reply = UnknownReply(aExchange.mLastRefusal);
-    reply.mDigest = aExchange.mDigest;
-    Finish(aExchange, std::move(reply));
+  if (aOpen.mMayHaveRun) {
+    RequestReply reply = UnknownReply(aOpen.mLastRefusal);
+    reply.mDigest = aOpen.mDigest;
+    Finish(aOpen, std::move(reply));
     return;
   }
-  if (aExchange.mCancelled) {
-    Finish(aExchange, CancelledReply());
+  if (aOpen.mCancelled) {
+    Finish(aOpen, CancelledReply());
     return;
   }
   const Refusal refusal =
-    aExchange.mLastRefusal.value_or(Refusal{RefusalReason::NoUpstream, Milliseconds(0)});
+    aOpen.mLastRefusal.value_or(Refusal{RefusalReason::NoUpstream, Milliseconds(0)});
   mCounters.CountRefusal(refusal.mReason);
-  Finish(aExchange, NotRunReply(refusal));
+  Finish(aOpen, NotRunReply(refusal));
 }
 
-void BalancerRequestCore::Internals::EndOverdue(CallerExchange& aExchange)
+void BalancerRequestCore::Internals::EndOverdue(OpenRequest& aOpen)
 {
-  if (aExchange.mInFlight) {
-    mActions.emplace_back(CancelAtAgent{aExchange.mAgent, aExchange.mKey});
+  if (aOpen.mInFlight) {
+    mActions.emplace_back(CancelAtAgent{aOpen.mAgent, aOpen.mKey});
   }
-  if (!aExchange.mLastRefusal) {
-    aExchange.mLastRefusal = Refusal{RefusalReason::Deadline, Milliseconds(0)};
+  if (!aOpen.mLastRefusal) {
+    aOpen.mLastRefusal = Refusal{RefusalReason::Deadline, Milliseconds(0)};
   }
-  FinishWithoutAnswer(aExchange);
+  FinishWithoutAnswer(aOpen);
 }
 
 void BalancerRequestCore::Internals::Reply(ReplyHandle aHandle, const RequestId& aId,
@@ -114,17 +114,17 @@
   mActions.emplace_back(ReplyToCaller{aHandle, aId, std::move(aReply)});
 }
 
-CallerExchange* BalancerRequestCore::Internals::FindByHandle(ReplyHandle aHandle)
+OpenRequest* BalancerRequestCore::Internals::FindByHandle(ReplyHandle aHandle)
 {
   const auto found = mByHandle.find(aHandle);
-  return found == mByHandle.end() ? nullptr : &mExchanges.at(found->second);
+  return found == mByHandle.end() ? nullptr : &mOpenRequests.at(found->second);
 }
 
-void BalancerRequestCore::Internals::SetTimer(CallerExchange& aExchange, TimePoint aWhen)
+void BalancerRequestCore::Internals::SetTimer(OpenRequest& aOpen, TimePoint aWhen)
 {
-  mTimers.erase({aExchange.mTimerAt, aExchange.mToken});
-  aExchange.mTimerAt = aWhen;
-  mTimers.emplace(aWhen, aExchange.mToken);
+  mTimers.erase({aOpen.mTimerAt, aOpen.mToken});
+  aOpen.mTimerAt = aWhen;
+  mTimers.emplace(aWhen, aOpen.mToken);
 }
 
 BalancerRequestCore::BalancerRequestCore(BalancerRequestSettings aSettings,
@@ -146,9 +146,8 @@
 BalancerRequestActions BalancerRequestCore::OnCallerCancelled(ReplyHandle aHandle,
                                                               const RequestTime& /*aTime*/)
 {
-  if (CallerExchange* exchange = mInternals->FindByHandle(aHandle);
-      exchange != nullptr && !exchange->mCancelled) {
-    mInternals->Cancel(*exchange);
+  if (OpenRequest* open = mInternals->FindByHandle(aHandle); open != nullptr && !open->mCancelled) {
+    mInternals->Cancel(*open);
   }
   return mInternals->TakeActions();
 }
@@ -159,25 +158,25 @@
                                                           ReceivedAnswer aReceived,
                                                           const RequestTime& aTime)
 {
-  CallerExchange* exchange = mInternals->TakeAttempt(aKey);
-  if (exchange == nullptr) {
+  OpenRequest* open = mInternals->TakeAttempt(aKey);
+  if (open == nullptr) {
     return mInternals->TakeActions();
   }
   const Refusal refusal = aRefusal.value_or(Refusal{RefusalReason::NoUpstream, Milliseconds(0)});
   switch (aOutcome) {
     case RequestOutcome::Answered:
-      mInternals->HandleAnswered(*exchange, std::move(aReceived), aTime);
+      mInternals->HandleAnswered(*open, std::move(aReceived), aTime);
       break;
     case RequestOutcome::NotRun:
     case RequestOutcome::Cancelled:
-      mInternals->HandleNotRun(*exchange, refusal, aTime);
+      mInternals->HandleNotRun(*open, refusal, aTime);
       break;
     case RequestOutcome::Unknown:
-      mInternals->HandleUnknown(*exchange, aRefusal, aTime);
+      mInternals->HandleUnknown(*open, aRefusal, aTime);
       break;
     case RequestOutcome::NotOwner:
-      exchange->mMayHaveRun = exchange->mMayHaveRunBefore;
-      mInternals->Retry(*exchange, RetryReason::NotOwner, refusal.mRetryAfter, aTime);
+      open->mMayHaveRun = open->mMayHaveRunBefore;
+      mInternals->Retry(*open, RetryReason::NotOwner, refusal.mRetryAfter, aTime);
       break;
   }
   return mInternals->TakeActions();
@@ -186,11 +185,11 @@
 BalancerRequestActions BalancerRequestCore::OnAgentLinkFailed(const AttemptKey& aKey, bool aSent,
                                                               const RequestTime& aTime)
 {
-  if (CallerExchange* exchange = mInternals->TakeAttempt(aKey)) {
+  if (OpenRequest* open = mInternals->TakeAttempt(aKey)) {
     if (!aSent) {
-      exchange->mMayHaveRun = exchange->mMayHaveRunBefore;
+      open->mMayHaveRun = open->mMayHaveRunBefore;
     }
-    mInternals->Retry(*exchange, aSent ? RetryReason::LinkLost : RetryReason::Unreachable,
+    mInternals->Retry(*open, aSent ? RetryReason::LinkLost : RetryReason::Unreachable,
                       Milliseconds(0), aTime);
   }
   return mInternals->TakeActions();
@@ -198,14 +197,14 @@
 
 BalancerRequestActions BalancerRequestCore::OnTick(const RequestTime& aTime)
 {
-  // Each pass ends the exchange or sets its timer to a later time.
+  // Each pass ends the request or sets its timer to a later time.
   auto& timers = mInternals->mTimers;
   while (!timers.empty() && timers.begin()->first <= aTime.mNow) {
-    CallerExchange& exchange = mInternals->mExchanges.at(timers.begin()->second);
-    if (aTime.mNow >= exchange.mDeadline) {
-      mInternals->EndOverdue(exchange);
+    OpenRequest& open = mInternals->mOpenRequests.at(timers.begin()->second);
+    if (aTime.mNow >= open.mDeadline) {
+      mInternals->EndOverdue(open);
     } else {
-      mInternals->Send(exchange, aTime);
+      mInternals->Send(open, aTime);
     }
   }
   return mInternals->TakeActions();
@@ -213,7 +212,7 @@
 
 bool BalancerRequestCore::Active() const
 {
-  return !mInternals->mExchanges.empty();
+  return !mInternals->mOpenRequests.empty();
 }
 
 } // namespace dandelionslip
--- a/lib/Request/BalancerRequestInternals.h
+++ b/lib/Request/BalancerRequestInternals.h
@@ -10,7 +10,7 @@
 namespace dandelionslip {
 
 /// One request of a caller, with its attempts at agents.
-struct CallerExchange
+struct OpenRequest
 {
   std::uint64_t mToken = 0;
   CallerRequest mRequest;
@@ -37,41 +37,40 @@
 
   // Start and end of requests (BalancerRequestCore.cpp).
   void Accept(CallerRequest aRequest, const RequestTime& aTime);
-  void Cancel(CallerExchange& aExchange);
-  void Finish(CallerExchange& aExchange, RequestReply aReply);
-  void FinishWithoutAnswer(CallerExchange& aExchange);
-  void EndOverdue(CallerExchange& aExchange);
+  void Cancel(OpenRequest& aOpen);
+  void Finish(OpenRequest& aOpen, RequestReply aReply);
+  void FinishWithoutAnswer(OpenRequest& aOpen);
+  void EndOverdue(OpenRequest& aOpen);
   void Reply(ReplyHandle aHandle, const RequestId& aId, RequestReply aReply);
 
   // Attempts at agents (BalancerRequestAttempts.cpp).
-  void Send(CallerExchange& aExchange, const RequestTime& aTime);
-  std::optional<std::string> ChooseAgent(const CallerExchange& aExchange);
+  void Send(OpenRequest& aOpen, const RequestTime& aTime);
+  std::optional<std::string> ChooseAgent(const OpenRequest& aOpen);
   std::string ChooseLessLoaded(const std::vector<std::string>& aCandidates);
-  CallerExchange* TakeAttempt(const AttemptKey& aKey);
-  void HandleAnswered(CallerExchange& aExchange, ReceivedAnswer aReceived,
-                      const RequestTime& aTime);
-  void HandleNotRun(CallerExchange& aExchange, const Refusal& aRefusal, const RequestTime& aTime);
-  void HandleUnknown(CallerExchange& aExchange, const std::optional<Refusal>& aRefusal,
+  OpenRequest* TakeAttempt(const AttemptKey& aKey);
+  void HandleAnswered(OpenRequest& aOpen, ReceivedAnswer aReceived, const RequestTime& aTime);
+  void HandleNotRun(OpenRequest& aOpen, const Refusal& aRefusal, const RequestTime& aTime);
+  void HandleUnknown(OpenRequest& aOpen, const std::optional<Refusal>& aRefusal,
                      const RequestTime& aTime);
-  void Retry(CallerExchange& aExchange, RetryReason aReason, Milliseconds aAtLeast,
+  void Retry(OpenRequest& aOpen, RetryReason aReason, Milliseconds aMinDelay,
              const RequestTime& aTime);
-  void DenyRetry(CallerExchange& aExchange, RetryDenial aReason);
+  void DenyRetry(OpenRequest& aOpen, RetryDenial aReason);
 
-  CallerExchange* FindByHandle(ReplyHandle aHandle);
-  void SetTimer(CallerExchange& aExchange, TimePoint aWhen);
+  OpenRequest* FindByHandle(ReplyHandle aHandle);
+  void SetTimer(OpenRequest& aOpen, TimePoint aWhen);
   BalancerRequestActions TakeActions() { return std::exchange(mActions, {}); }
 
-  using CallerAttempt = std::pair<RequestId, std::uint32_t>;
+  using CallerAttemptKey = std::pair<RequestId, std::uint32_t>;
 
   BalancerRequestSettings mSettings;
   const RequestTargets& mTargets;
   Random mRandom;
   RetryBudget mBudget;
   RequestCounters mCounters;
-  std::map<std::uint64_t, CallerExchange> mExchanges;
+  std::map<std::uint64_t, OpenRequest> mOpenRequests;
   std::map<ReplyHandle, std::uint64_t> mByHandle;
-  std::map<CallerAttempt, std::uint64_t> mByCallerAttempt;
-  std::set<std::pair<TimePoint, std::uint64_t>> mTimers;  ///< One for each exchange.
+  std::map<CallerAttemptKey, std::uint64_t> mByCallerAttempt;
+  std::set<std::pair<TimePoint, std::uint64_t>> mTimers;  ///< One for each open request.
   std::map<std::string, std::uint32_t> mAttemptsInFlight; ///< Attempts in flight by agent.
   std::uint64_t mNextToken = 1;
   BalancerRequestActions mActions;
--- a/lib/Request/RecordTransfer.cpp
+++ b/lib/Request/RecordBuckets.cpp
@@ -141,7 +141,7 @@
   if (!records) {
     return records.as_failure();
   }
-  std::vector<std::uint32_t> taken;
+  std::vector<std::uint32_t> completed;
   for (const BucketWire& wire : table.value().mBuckets) {
     if (wire.mBucket >= mBuckets || wire.mNewOwner != mSelf) {
       return Fail(ErrorCode::InvalidInput, "records.import", std::string(aPeer),
@@ -149,22 +149,22 @@
     }
     const Bucket& bucket = mBucketStates[wire.mBucket];
     if (bucket.mState == RecordBucketState::Incomplete && bucket.mGeneration == wire.mGeneration) {
-      taken.push_back(wire.mBucket);
+      completed.push_back(wire.mBucket);
     }
   }
   for (const BucketWire& wire : table.value().mBuckets) {
     Bucket& bucket = mBucketStates[wire.mBucket];
-    if (std::find(taken.begin(), taken.end(), wire.mBucket) != taken.end()) {
+    if (std::find(completed.begin(), completed.end(), wire.mBucket) != completed.end()) {
       bucket.mState = RecordBucketState::Complete;
       bucket.mCompleteSince = std::max(bucket.mCompleteSince, wire.mCompleteSince);
     }
   }
   for (auto& [id, record] : records.value()) {
-    if (std::find(taken.begin(), taken.end(), BucketFor(id)) != taken.end()) {
+    if (std::find(completed.begin(), completed.end(), BucketFor(id)) != completed.end()) {
       Merge(id, std::move(record));
     }
   }
-  return taken;
+  return completed;
 }
 
 Json RequestRecords::ExportAll(std::int64_t aWallMs)
--- a/lib/Request/RecordMerge.cpp
+++ b/lib/Request/RecordMerge.cpp
@@ -5,8 +5,9 @@
 
 namespace dandelionslip {
 
-// Done and Unknown are final, whichever agent they come from; Done replaces Unknown. A request that
-// is pending at this agent ends only by its own run, whatever the incoming record says.
+// A Done record is final, and an Unknown one is replaced only by Done, whichever agent they come
+// from; both replace Refused records and Pending ones of another agent. A request that is pending
+// at this agent ends only by its own run, whatever the incoming record says.
 void RequestRecords::Merge(const RequestId& aId, RequestRecord aIncoming)
 {
   const RequestRecord* found = Find(aId);
@@ -40,15 +41,20 @@
 }
 
 // Merges a pending record. The local record is Refused, or Pending at another agent. The incoming
-// record is newer only if it was added for a higher attempt than the local one covers (Refused) or
-// was added for (Pending). Otherwise the local record stays; if it is a refusal, it says how the
-// incoming pending request ended.
+// record replaces it only if its first attempt is higher than
+// - the highest attempt that the local record covers, if that is Refused;
+// - the first attempt of the local record, if that is Pending.
+// Otherwise the local record stays; if it is a refusal, it says how the incoming pending request
+// ended. An incoming record that names this agent comes from an earlier process and never replaces
+// the local one.
 void RequestRecords::MergePending(const RequestId& aId, RequestRecord aLocal,
                                   RequestRecord aIncoming)
 {
-  const RequestRecord& found = *Find(aId);
-  const Attempt known = found.mState == RecordState::Refused ? found.mAttempt : found.mFirstAttempt;
-  if (aIncoming.mFirstAttempt > known && aIncoming.mRunningAgent != mSelf) {
+  // aLocal already has the higher of both attempts; the comparison needs the stored one.
+  const RequestRecord& stored = *Find(aId);
+  const Attempt known =
+    stored.mState == RecordState::Refused ? stored.mAttempt : stored.mFirstAttempt;
+  if (aIncoming.mFirstAttempt > known && aIncoming.mHandlingAgent != mSelf) {
     aIncoming.mAttempt = aLocal.mAttempt;
     Store(aId, std::move(aIncoming));
     return;
@@ -62,8 +68,9 @@
 void RequestRecords::MergeRefused(const RequestId& aId, const RequestRecord& aLocal,
                                   RequestRecord aIncoming)
 {
-  const RequestRecord& found = *Find(aId);
-  if (found.mState == RecordState::Refused || aIncoming.mAttempt >= found.mFirstAttempt) {
+  // As above, aLocal has the higher of both attempts.
+  const RequestRecord& stored = *Find(aId);
+  if (stored.mState == RecordState::Refused || aIncoming.mAttempt >= stored.mFirstAttempt) {
     aIncoming.mAttempt = aLocal.mAttempt;
     Store(aId, std::move(aIncoming));
   }
--- a/lib/Request/RecordWire.cpp
+++ b/lib/Request/RecordWire.cpp
@@ -34,7 +34,7 @@
   wire.mState = aRecord.mState;
   wire.mAttempt = aRecord.mAttempt;
   wire.mFirstAttempt = aRecord.mFirstAttempt;
-  wire.mRunningAgent = aRecord.mRunningAgent;
+  wire.mHandlingAgent = aRecord.mHandlingAgent;
   wire.mLength = aRecord.mDigest.mLength;
   wire.mHash = aRecord.mDigest.mHash;
   wire.mReason = aRecord.mRefusal.mReason;
@@ -57,7 +57,7 @@
   RequestRecord record{.mState = aWire.mState,
                        .mAttempt = aWire.mAttempt,
                        .mFirstAttempt = aWire.mFirstAttempt,
-                       .mRunningAgent = aWire.mRunningAgent,
+                       .mHandlingAgent = aWire.mHandlingAgent,
                        .mAnswer = {},
                        .mDigest = {aWire.mLength, aWire.mHash},
                        .mRefusal = {aWire.mReason, aWire.mRetryAfter}};
--- a/lib/Request/RecordWire.h
+++ b/lib/Request/RecordWire.h
@@ -12,7 +12,7 @@
   RecordState mState = RecordState::Pending;
   Attempt mAttempt = 0;
   Attempt mFirstAttempt = 0;
-  std::string mRunningAgent;
+  std::string mHandlingAgent;
   bool mKept = false; ///< Whether the answer itself is included, not only its digest.
   std::uint32_t mStatus = 0;
   std::string mContentType;
@@ -30,7 +30,7 @@
   aVisitor.Field("state", aValue.mState);
   aVisitor.Field("attempt", aValue.mAttempt);
   aVisitor.Optional("first_attempt", aValue.mFirstAttempt);
-  aVisitor.Optional("holder", aValue.mRunningAgent);
+  aVisitor.Optional("holder", aValue.mHandlingAgent);
   aVisitor.Optional("kept", aValue.mKept);
   aVisitor.Optional("status", aValue.mStatus, {0, 999});
   aVisitor.Optional("content_type", aValue.mContentType);
--- a/lib/Request/RequestJob.h
+++ b/lib/Request/RequestJob.h
@@ -30,7 +30,7 @@
   JobPhase mPhase = JobPhase::Queued;
   RunId mRun = 0;
   TimePoint mStarted;
-  TimePoint mDeadline; ///< Latest deadline of all waiters there have been.
+  TimePoint mDeadline; ///< Latest deadline of all current and former waiters.
   bool mTriedAlternate = false;
   bool mCancelSent = false;
   std::vector<JobWaiter> mWaiters;
--- a/lib/Request/RequestQueue.cpp
+++ b/lib/Request/RequestQueue.cpp
@@ -13,8 +13,9 @@
 std::optional<Refusal> RequestQueue::CheckDeadline(TimePoint aDeadline, TimePoint aNow,
                                                    std::size_t aAhead, std::size_t aRunning) const
 {
-  // While n requests run, one ends every n-th part of the expected run time. The wait takes one
-  // such part for each request ahead, and one until this request gets its own slot.
+  // While n requests run, one of them ends after every 1/n of the expected run time on average. A
+  // request waits for one such end for each request ahead of it, and for one more to get its own
+  // slot.
   const auto running = static_cast<std::int64_t>(std::max<std::size_t>(aRunning, 1));
   const auto turns = static_cast<std::int64_t>(aRunning == 0 ? aAhead : aAhead + 1);
   const RuntimeClock::duration wait = mExpectedRunTime * turns / running;
--- a/lib/Request/RequestRecords.cpp
+++ b/lib/Request/RequestRecords.cpp
@@ -1,4 +1,4 @@
-// Adding, updating and removing of single records, and the limits of the table.
+// Adds, updates and removes single records within the limits of the table.
 #include "dandelionslip/Request/RequestRecords.h"
 
 #include "dandelionslip/Support/Hash.h"
@@ -14,7 +14,7 @@
   RequestRecord record;
   record.mState = aState;
   record.mAttempt = aAttempt;
-  record.mRunningAgent = std::move(aAgent);
+  record.mHandlingAgent = std::move(aAgent);
   return record;
 }
 
@@ -119,7 +119,7 @@
 {
   std::vector<RequestId> lost;
   for (const auto& [id, record] : mRecords) {
-    if (record.mState == RecordState::Pending && record.mRunningAgent == aAgent &&
+    if (record.mState == RecordState::Pending && record.mHandlingAgent == aAgent &&
         aAgent != mSelf) {
       lost.push_back(id);
     }
@@ -134,7 +134,7 @@
 
 bool RequestRecords::IsOwnPending(const RequestRecord& aRecord) const
 {
-  return aRecord.mState == RecordState::Pending && aRecord.mRunningAgent == mSelf;
+  return aRecord.mState == RecordState::Pending && aRecord.mHandlingAgent == mSelf;
 }
 
 std::size_t RequestRecords::BytesOf(const RequestRecord& aRecord) const
--- a/lib/Request/RetryBudget.cpp
+++ b/lib/Request/RetryBudget.cpp
@@ -12,13 +12,13 @@
 
 void RetryBudget::OnSuccess(ServiceId aService, CallerKey aCaller, TimePoint aNow)
 {
-  Bucket& bucket = BucketFor({aService, aCaller}, aNow);
-  bucket.mTokens = std::min(mLimits.mMaxTokens, bucket.mTokens + mLimits.mSuccessShare);
+  TokenBucket& bucket = TokenBucketFor({aService, aCaller}, aNow);
+  bucket.mTokens = std::min(mLimits.mMaxTokens, bucket.mTokens + mLimits.mTokensPerSuccess);
 }
 
 bool RetryBudget::TryRetry(ServiceId aService, CallerKey aCaller, TimePoint aNow)
 {
-  Bucket& bucket = BucketFor({aService, aCaller}, aNow);
+  TokenBucket& bucket = TokenBucketFor({aService, aCaller}, aNow);
   // Ten additions of 0.1 in floating point give slightly less than 1.
   constexpr double kTolerance = 1e-9;
   if (bucket.mTokens < 1 - kTolerance) {
@@ -28,7 +28,7 @@
   return true;
 }
 
-RetryBudget::Bucket& RetryBudget::Refill(Bucket& aBucket, TimePoint aNow) const
+RetryBudget::TokenBucket& RetryBudget::Refill(TokenBucket& aBucket, TimePoint aNow) const
 {
   const std::chrono::duration<double> elapsed = aNow - aBucket.mUpdated;
   aBucket.mTokens =
@@ -37,24 +37,24 @@
   return aBucket;
 }
 
-RetryBudget::Bucket& RetryBudget::BucketFor(const Key& aKey, TimePoint aNow)
+RetryBudget::TokenBucket& RetryBudget::TokenBucketFor(const Key& aKey, TimePoint aNow)
 {
-  if (const auto found = mBuckets.find(aKey); found != mBuckets.end()) {
+  if (const auto found = mTokenBuckets.find(aKey); found != mTokenBuckets.end()) {
     mLeastRecentlyUsed.splice(mLeastRecentlyUsed.end(), mLeastRecentlyUsed,
                               found->second.mPosition);
     return Refill(found->second, aNow);
   }
-  if (mBuckets.size() >= mLimits.mMaxCallers) {
-    const auto oldest =
-      mLeastRecentlyUsed.empty() ? mBuckets.end() : mBuckets.find(mLeastRecentlyUsed.front());
-    if (oldest == mBuckets.end() || aNow - oldest->second.mUpdated < mLimits.mIdle) {
-      return Refill(mShared.try_emplace(aKey.first, Bucket{1, aNow, {}}).first->second, aNow);
+  if (mTokenBuckets.size() >= mLimits.mMaxBudgets) {
+    const auto oldest = mLeastRecentlyUsed.empty() ? mTokenBuckets.end()
+                                                   : mTokenBuckets.find(mLeastRecentlyUsed.front());
+    if (oldest == mTokenBuckets.end() || aNow - oldest->second.mUpdated < mLimits.mIdle) {
+      return Refill(mShared.try_emplace(aKey.first, TokenBucket{1, aNow, {}}).first->second, aNow);
     }
     mLeastRecentlyUsed.pop_front();
-    mBuckets.erase(oldest);
+    mTokenBuckets.erase(oldest);
   }
   const auto position = mLeastRecentlyUsed.insert(mLeastRecentlyUsed.end(), aKey);
-  return mBuckets.emplace(aKey, Bucket{1, aNow, position}).first->second;
+  return mTokenBuckets.emplace(aKey, TokenBucket{1, aNow, position}).first->second;
 }
 
 } // namespace dandelionslip
--- a/unittests/Request/AgentRequestCoreTest.cpp
+++ b/unittests/Request/AgentRequestCoreTest.cpp
@@ -215,7 +215,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Send(ahead, 1, 50'000)));
   }
 
-  // Guards against two runs of one id: while an agent has no contact to control, another agent can
+  // Guards against two runs of one id: while an agent is without a valid lease, another agent can
   // become the owner.
   void NonIdempotentRequestsNeedALease()
   {
@@ -233,8 +233,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), All<RunAtUpstream>(Send(NewId(), 1, 5)).size());
   }
 
-  // Guards against relaying one attempt twice, and against a reply that the alternate agent's reply
-  // does not support.
+  // Guards against relaying one attempt twice, and against the reply "answered" or "not run"
+  // without a complete reply of the alternate agent that says so.
   void FullAgentRelaysOnce()
   {
     mAlternate = AlternateAgent{"u2", 9};
@@ -271,7 +271,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Send(ids[2], 2, 3)));
   }
 
-  // Guards against refusing a request that the upstream refused although the alternate can run it.
+  // Guards against the reply "not run" to a request that the upstream refused, while the alternate
+  // agent could still run it.
   void ShedRequestIsRelayed()
   {
     mAlternate = AlternateAgent{"u2", 9};
--- a/unittests/Request/BalancerRequestCoreTest.cpp
+++ b/unittests/Request/BalancerRequestCoreTest.cpp
@@ -61,12 +61,15 @@
     return mCore->OnRequest(std::move(request), At(aMs));
   }
 
-  SendToAgent Sent(bool aIdempotent = false) { return Only<SendToAgent>(Send(aIdempotent)); }
+  SendToAgent FirstAttempt(bool aIdempotent = false)
+  {
+    return Only<SendToAgent>(Send(aIdempotent));
+  }
 
-  BalancerRequestActions Answer(const AttemptKey& aKey, RequestOutcome aOutcome,
-                                ReceivedAnswer aReceived = {},
-                                RefusalReason aReason = RefusalReason::SlotsFull,
-                                std::int64_t aMs = 1)
+  BalancerRequestActions ReplyTo(const AttemptKey& aKey, RequestOutcome aOutcome,
+                                 ReceivedAnswer aReceived = {},
+                                 RefusalReason aReason = RefusalReason::SlotsFull,
+                                 std::int64_t aMs = 1)
   {
     return mCore->OnAgentAnswer(aKey, aOutcome, Refusal{aReason, Milliseconds(0)},
                                 std::move(aReceived), At(aMs));
@@ -88,21 +91,21 @@
   // Guards against passing on a truncated answer, or one of another attempt or request.
   void OnlyCompleteMatchingAnswersAreDelivered()
   {
-    const AttemptKey key = Sent().mKey;
-    const AttemptKey other = Sent().mKey;
-    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, TruncatedAnswer("a")).empty());
+    const AttemptKey key = FirstAttempt().mKey;
+    const AttemptKey other = FirstAttempt().mKey;
+    CPPUNIT_ASSERT(ReplyTo(key, RequestOutcome::Answered, TruncatedAnswer("a")).empty());
     const AttemptKey second = Next().mKey;
     CPPUNIT_ASSERT(second.mId == key.mId && second.mAttempt > key.mAttempt);
-    CPPUNIT_ASSERT(Answer(key, RequestOutcome::Answered, CompleteAnswer("late")).empty());
+    CPPUNIT_ASSERT(ReplyTo(key, RequestOutcome::Answered, CompleteAnswer("late")).empty());
     CPPUNIT_ASSERT(
-      Answer({key.mId, second.mAttempt + 1}, RequestOutcome::Answered, CompleteAnswer("x"))
+      ReplyTo({key.mId, second.mAttempt + 1}, RequestOutcome::Answered, CompleteAnswer("x"))
         .empty());
     const auto answer =
-      Only<ReplyToCaller>(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")));
+      Only<ReplyToCaller>(ReplyTo(second, RequestOutcome::Answered, CompleteAnswer("a")));
     CPPUNIT_ASSERT(answer.mId == key.mId && answer.mReply.mAnswer.mBody == BytesOf("a"));
-    CPPUNIT_ASSERT(Answer(second, RequestOutcome::Answered, CompleteAnswer("a")).empty());
+    CPPUNIT_ASSERT(ReplyTo(second, RequestOutcome::Answered, CompleteAnswer("a")).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
-                         Outcome(Answer(other, RequestOutcome::Answered, CompleteAnswer("b"))));
+                         Outcome(ReplyTo(other, RequestOutcome::Answered, CompleteAnswer("b"))));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestDrops, "late_answer"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), Count(metric::kRequestDrops, "unmatched_answer"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestRetries, "link_lost"));
@@ -112,9 +115,9 @@
   // proves that it did not run.
   void NotRunOnlyWhenCertain()
   {
-    const AttemptKey refused = Sent().mKey;
-    CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(Answer(refused, RequestOutcome::NotRun, {},
-                                                                RefusalReason::RecordsFull)));
+    const AttemptKey refused = FirstAttempt().mKey;
+    CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(ReplyTo(refused, RequestOutcome::NotRun,
+                                                                 {}, RefusalReason::RecordsFull)));
     mTargets.mOwner.reset();
     CPPUNIT_ASSERT(Send().empty());
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"), Outcome(mCore->OnTick(At(2000))));
@@ -134,14 +137,14 @@
   void UnknownOutcomeIsNeverRetried()
   {
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
-                         Outcome(Answer(Sent().mKey, RequestOutcome::Unknown)));
+                         Outcome(ReplyTo(FirstAttempt().mKey, RequestOutcome::Unknown)));
     CPPUNIT_ASSERT(!mCore->Active());
   }
 
   // Guards against giving up, or changing the id, when only the link to the owner failed.
   void LostLinkIsRetriedWithTheSameId()
   {
-    const SendToAgent first = Sent();
+    const SendToAgent first = FirstAttempt();
     CPPUNIT_ASSERT(mCore->OnAgentLinkFailed(first.mKey, true, At(1)).empty());
     mTargets.mOwner = "u2";
     const SendToAgent second = Next();
@@ -150,26 +153,26 @@
     CPPUNIT_ASSERT_EQUAL(std::string("u2"), second.mAgent);
     CPPUNIT_ASSERT(second.mRemaining < first.mRemaining);
     CPPUNIT_ASSERT(
-      Answer(second.mKey, RequestOutcome::NotOwner, {}, RefusalReason::TransferPending, 1002)
+      ReplyTo(second.mKey, RequestOutcome::NotOwner, {}, RefusalReason::TransferPending, 1002)
         .empty());
     const SendToAgent third = Next(1900);
     CPPUNIT_ASSERT_EQUAL(
       std::string("not_run"),
-      Outcome(Answer(third.mKey, RequestOutcome::NotRun, {}, RefusalReason::Deadline, 1901)));
+      Outcome(ReplyTo(third.mKey, RequestOutcome::NotRun, {}, RefusalReason::Deadline, 1901)));
   }
 
   // Guards against replies and retries after the deadline, also when the clock jumps.
   void DeadlineEndsRequestsAndRetries()
   {
-    const SendToAgent sent = Sent();
+    const SendToAgent sent = FirstAttempt();
     CPPUNIT_ASSERT(sent.mRemaining < Milliseconds(2000));
     const BalancerRequestActions ended = mCore->OnTick(At(3'600'000));
     CPPUNIT_ASSERT(Only<CancelAtAgent>(ended).mKey == sent.mKey);
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(ended));
-    const SendToAgent refused = Sent();
+    const SendToAgent refused = FirstAttempt();
     CPPUNIT_ASSERT_EQUAL(
       std::string("not_run"),
-      Outcome(Answer(refused.mKey, RequestOutcome::NotRun, {}, RefusalReason::SlotsFull, 1999)));
+      Outcome(ReplyTo(refused.mKey, RequestOutcome::NotRun, {}, RefusalReason::SlotsFull, 1999)));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestRetriesDenied, "deadline"));
   }
 
@@ -177,21 +180,21 @@
   // after the cancellation.
   void CancellationIsForwardedToTheAgent()
   {
-    const SendToAgent sent = Sent();
+    const SendToAgent sent = FirstAttempt();
     CPPUNIT_ASSERT(Only<CancelAtAgent>(mCore->OnCallerCancelled(mHandle, At(1))).mKey == sent.mKey);
     CPPUNIT_ASSERT(mCore->OnCallerCancelled(mHandle, At(1)).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("cancelled"),
-                         Outcome(Answer(sent.mKey, RequestOutcome::Cancelled)));
-    const SendToAgent raced = Sent();
+                         Outcome(ReplyTo(sent.mKey, RequestOutcome::Cancelled)));
+    const SendToAgent raced = FirstAttempt();
     mCore->OnCallerCancelled(mHandle, At(1));
     CPPUNIT_ASSERT_EQUAL(
       std::string("answered"),
-      Outcome(Answer(raced.mKey, RequestOutcome::Answered, CompleteAnswer("a"))));
-    const SendToAgent lost = Sent();
+      Outcome(ReplyTo(raced.mKey, RequestOutcome::Answered, CompleteAnswer("a"))));
+    const SendToAgent lost = FirstAttempt();
     mCore->OnCallerCancelled(mHandle, At(1));
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"),
                          Outcome(mCore->OnAgentLinkFailed(lost.mKey, true, At(2))));
-    mCore->OnAgentLinkFailed(Sent().mKey, false, At(2));
+    mCore->OnAgentLinkFailed(FirstAttempt().mKey, false, At(2));
     CPPUNIT_ASSERT_EQUAL(std::string("cancelled"),
                          Outcome(mCore->OnCallerCancelled(mHandle, At(3))));
   }
@@ -215,16 +218,17 @@
   // on the agents.
   void IdempotentRequestsAreRetriedAtAnotherAgent()
   {
-    const SendToAgent first = Sent(true);
-    CPPUNIT_ASSERT(Answer(first.mKey, RequestOutcome::Unknown).empty());
+    const SendToAgent first = FirstAttempt(true);
+    CPPUNIT_ASSERT(ReplyTo(first.mKey, RequestOutcome::Unknown).empty());
     const SendToAgent second = Next();
     CPPUNIT_ASSERT(second.mAgent != first.mAgent);
     // The refusal says nothing about the first attempt, which may have run.
-    CPPUNIT_ASSERT_EQUAL(std::string("unknown"), Outcome(Answer(second.mKey, RequestOutcome::NotRun,
-                                                                {}, RefusalReason::Deadline)));
+    CPPUNIT_ASSERT_EQUAL(
+      std::string("unknown"),
+      Outcome(ReplyTo(second.mKey, RequestOutcome::NotRun, {}, RefusalReason::Deadline)));
     std::map<std::string, int> open;
     for (int i = 0; i < 300; ++i) {
-      ++open[Sent(true).mAgent];
+      ++open[FirstAttempt(true).mAgent];
     }
     for (const auto& [agent, count] : open) {
       CPPUNIT_ASSERT_MESSAGE(agent, count >= 95 && count <= 105);
@@ -237,9 +241,9 @@
     BalancerRequestSettings settings;
     settings.mBudget.mTokensPerSecond = 0;
     mCore = std::make_unique<BalancerRequestCore>(settings, mTargets, 62, *mRegistry);
-    CPPUNIT_ASSERT(Answer(Sent().mKey, RequestOutcome::NotRun).empty());
+    CPPUNIT_ASSERT(ReplyTo(FirstAttempt().mKey, RequestOutcome::NotRun).empty());
     CPPUNIT_ASSERT_EQUAL(std::string("not_run"),
-                         Outcome(Answer(Next().mKey, RequestOutcome::NotRun)));
+                         Outcome(ReplyTo(Next().mKey, RequestOutcome::NotRun)));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), Count(metric::kRequestRetriesDenied, "budget"));
   }
 
--- a/unittests/Request/RequestQueueTest.cpp
+++ b/unittests/Request/RequestQueueTest.cpp
@@ -116,16 +116,16 @@
   void BudgetTracksLimitedNumberOfCallers()
   {
     RetryBudgetLimits limits;
-    limits.mMaxCallers = 100;
+    limits.mMaxBudgets = 100;
     RetryBudget budget(limits);
     std::size_t granted = 0;
     for (CallerKey caller = 0; caller < 1000; ++caller) {
       granted += budget.TryRetry(1, caller, Now()) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(101), granted);
-    CPPUNIT_ASSERT_EQUAL(std::size_t(100), budget.TrackedCallers());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(100), budget.TrackedBudgets());
     CPPUNIT_ASSERT(budget.TryRetry(1, 5000, Now(60'000)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(100), budget.TrackedCallers());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(100), budget.TrackedBudgets());
   }
 
   // Guards against synchronised retries and against delays beyond the largest window.
--- a/unittests/Request/RequestRecordsTest.cpp
+++ b/unittests/Request/RequestRecordsTest.cpp
@@ -195,7 +195,7 @@
     CPPUNIT_ASSERT(a.TryAddPending(id, 1));
     a.MarkDone(id, {200, "", Bytes(20, 7)});
     const Bytes valid = EncodeCbor(Exported(a.FreezeAndExport({0}, "b", 2, kWallStartMs)));
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     for (int round = 0; round < 3000; ++round) {
       Bytes altered = valid;
       altered[mRandom.Below(altered.size())] = static_cast<std::uint8_t>(mRandom.Next());
@@ -203,11 +203,11 @@
       b.Acquire(0, 2);
       const auto json = DecodeCbor(altered, "a");
       if (!json || !b.Import(json.value(), "a")) {
-        ++refused;
+        ++rejected;
         CPPUNIT_ASSERT(b.Size() == 0 && b.StateOf(0) == RecordBucketState::Incomplete);
       }
     }
-    CPPUNIT_ASSERT(refused > 1000);
+    CPPUNIT_ASSERT(rejected > 1000);
   }
 
   Random mRandom{41};
--- a/unittests/Request/RequestSimulation.cpp
+++ b/unittests/Request/RequestSimulation.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr std::int64_t kTickUs = 10'000;
-constexpr std::int64_t kBurstUs = 3'500'000;
+// Time after the start of a burst in which ticks are scheduled.
+constexpr std::int64_t kTickSpanUs = 3'500'000;
 // Start times of the bursts of requests. The second is later than the first by more than
 // kClockSkewBound, so that buckets whose owner was lost accept new ids again. The third is later by
 // more than the retention, so that records have expired.
@@ -67,7 +68,7 @@
 
 void RequestSimulation::ScheduleTicks(std::int64_t aStart)
 {
-  for (std::int64_t at = aStart; at < aStart + kBurstUs; at += kTickUs) {
+  for (std::int64_t at = aStart; at < aStart + kTickSpanUs; at += kTickUs) {
     After(at, [this] {
       for (std::size_t i = 0; i < kAgents; ++i) {
         if (mAgents[i]->mCore) {
@@ -102,7 +103,7 @@
     event.mTask();
   }
   for (const auto& call : mCalls) {
-    mTotals.mUnanswered += call->mOpen;
+    mTotals.mWithoutReply += call->mOpen;
   }
 }
 
--- a/unittests/Request/RequestSimulation.h
+++ b/unittests/Request/RequestSimulation.h
@@ -22,12 +22,13 @@
   std::size_t mCancelled = 0;
   std::size_t mResends = 0;
   std::size_t mRelayed = 0;
-  std::size_t mBucketTransfers = 0;
-  std::size_t mLostOwners = 0;
+  std::size_t mTransferMessages = 0; ///< Delivered transfer messages, also repeated ones.
+  std::size_t mBucketsOfLostOwners = 0;
   std::size_t mRecordUpdates = 0;
   std::size_t mCrashes = 0;
   std::size_t mRestarts = 0;
-  std::size_t mUnanswered = 0; ///< Requests without a reply although their balancer did not crash.
+  /// Messages without a reply although their balancer did not crash.
+  std::size_t mWithoutReply = 0;
 };
 
 /// What fails while the only request of a scenario is in progress.
@@ -70,7 +71,7 @@
   struct Agent;
   struct Balancer;
   struct Call;
-  struct UpstreamRun;
+  struct SimulatedRun;
   struct Transfer;
   using OnReply = std::function<void(const RequestReply&)>;
   using Task = std::function<void()>;
@@ -79,6 +80,7 @@
     std::int64_t mAt;
     std::uint64_t mOrder;
     Task mTask;
+    /// Reversed, so that the priority queue returns the earliest event first.
     bool operator<(const Event& aOther) const
     {
       return std::tie(aOther.mAt, aOther.mOrder) < std::tie(mAt, mOrder);
@@ -122,8 +124,8 @@
   // Ownership and failures (RequestSimulationControl.cpp).
   void ScheduleFaults(std::int64_t aStart);
   void Inject(Fault aFault);
-  void SendFromControl(std::size_t aAgent,
-                       std::function<AgentRequestActions(AgentRequestCore&)> aEvent);
+  void DeliverEvent(std::size_t aAgent,
+                    std::function<AgentRequestActions(AgentRequestCore&)> aEvent);
   bool IsUsable(std::size_t aAgent) const;
   std::optional<std::size_t> PickOwner(std::size_t aNot);
   void SetOwner(std::uint32_t aBucket, std::size_t aOwner);
--- a/unittests/Request/RequestSimulationAgents.cpp
+++ b/unittests/Request/RequestSimulationAgents.cpp
@@ -11,7 +11,7 @@
   settings.mIncarnation = ++agent.mIncarnation;
   settings.mBuckets = kBuckets;
   settings.mSlots = 2;
-  agent.mStopping = false;
+  agent.mIneligible = false;
   agent.mSlots = std::make_unique<FixedSlots>(settings.mSlots);
   agent.mRegistry = std::make_unique<MetricsRegistry>();
   const auto alternate = [this, aAgent](std::uint32_t aBucket) -> std::optional<AlternateAgent> {
@@ -73,7 +73,7 @@
       const Bytes message = EncodeCbor(send.mRecord);
       ++mTotals.mRecordUpdates;
       After(Delay(), [this, from, message, to = IndexOf(send.mAgent)] {
-        SendFromControl(to, [this, from, message, to](AgentRequestCore& aCore) {
+        DeliverEvent(to, [this, from, message, to](AgentRequestCore& aCore) {
           const Json record = DecodeCbor(message, from).value();
           return aCore.OnRecordUpdate(record, from, TimeOf(*mAgents[to])).value();
         });
@@ -87,7 +87,7 @@
   const auto open = mAgents[aAgent]->mReplies.extract(aReply.mHandle);
   CPPUNIT_ASSERT_MESSAGE("a second reply to one message", !open.empty());
   const OpenReply& reply = open.mapped();
-  if (reply.mRecorded) {
+  if (reply.mIsClaim) {
     mHistory.AddClaim(reply.mKey.mId, reply.mKey.mAttempt, aReply.mReply);
   }
   reply.mOnReply(aReply.mReply);
@@ -95,35 +95,35 @@
 
 void RequestSimulation::RunUpstream(std::size_t aAgent, const RunAtUpstream& aRun)
 {
-  auto run = std::make_shared<UpstreamRun>();
+  auto run = std::make_shared<SimulatedRun>();
   mAgents[aAgent]->mRuns[aRun.mRun] = run;
-  const RunId number = aRun.mRun;
+  const RunId runId = aRun.mRun;
   if (Chance(0.08)) {
     const Refusal shed{RefusalReason::UpstreamShed, Milliseconds(10)};
-    EndRun(aAgent, number, [this, number, shed](AgentRequestCore& aCore) {
-      return aCore.OnUpstreamShed(number, shed, Time(0));
+    EndRun(aAgent, runId, [this, runId, shed](AgentRequestCore& aCore) {
+      return aCore.OnUpstreamShed(runId, shed, Time(0));
     });
     return;
   }
-  const auto failed = [this, number](AgentRequestCore& aCore) {
-    return aCore.OnUpstreamFailed(number, Time(0));
+  const auto failed = [this, runId](AgentRequestCore& aCore) {
+    return aCore.OnUpstreamFailed(runId, Time(0));
   };
-  After(Delay(), [this, run, aRun, aAgent, number, failed] {
+  After(Delay(), [this, run, aRun, aAgent, runId, failed] {
     if (run->mCancelled || run->mEnded) {
-      EndRun(aAgent, number, failed);
+      EndRun(aAgent, runId, failed);
       return;
     }
     const std::size_t index = mHistory.AddRun(aRun.mId, aRun.mAttempt);
     ++mTotals.mRuns;
     const std::string body = aRun.mId.ToString() + "#" + std::to_string(index);
-    After(10'000 + Delay() * 4, [this, run, aRun, aAgent, number, index, body] {
+    After(10'000 + Delay() * 4, [this, run, aRun, aAgent, runId, index, body] {
       if (run->mEnded) {
         return;
       }
       mHistory.SetAnswer(aRun.mId, index, BytesOf(body));
       const ReceivedAnswer received = Transmit({200, "text/plain", BytesOf(body)});
-      EndRun(aAgent, number, [this, number, received](AgentRequestCore& aCore) {
-        return aCore.OnUpstreamAnswer(number, received, Time(0));
+      EndRun(aAgent, runId, [this, runId, received](AgentRequestCore& aCore) {
+        return aCore.OnUpstreamAnswer(runId, received, Time(0));
       });
     });
   });
@@ -150,13 +150,13 @@
 
 void RequestSimulation::Relay(std::size_t aAgent, const RelayToAlternate& aRelay)
 {
-  auto run = std::make_shared<UpstreamRun>();
+  auto run = std::make_shared<SimulatedRun>();
   mAgents[aAgent]->mRuns[aRelay.mRun] = run;
   ++mTotals.mRelayed;
-  const RunId number = aRelay.mRun;
-  const auto linkFailed = [this, aAgent, number](bool aSent) {
-    EndRun(aAgent, number, [this, number, aSent](AgentRequestCore& aCore) {
-      return aCore.OnAlternateLinkFailed(number, aSent, Time(0));
+  const RunId runId = aRelay.mRun;
+  const auto linkFailed = [this, aAgent, runId](bool aSent) {
+    EndRun(aAgent, runId, [this, runId, aSent](AgentRequestCore& aCore) {
+      return aCore.OnAlternateLinkFailed(runId, aSent, Time(0));
     });
   };
   const std::size_t to = IndexOf(aRelay.mAgent);
@@ -178,13 +178,13 @@
   run->mAlternate = std::pair(to, key);
   // The first of several replies ends the run; EndRun ignores the others.
   const std::uint64_t incarnation = mAgents[aAgent]->mIncarnation;
-  const auto onReply = [this, aAgent, number, incarnation](const RequestReply& aReply) {
+  const auto onReply = [this, aAgent, runId, incarnation](const RequestReply& aReply) {
     if (mAgents[aAgent]->mIncarnation != incarnation) {
       return;
     }
-    EndRun(aAgent, number,
-           [this, number, aReply, received = Transmit(aReply.mAnswer)](AgentRequestCore& aCore) {
-             return aCore.OnAlternateAnswer(number, aReply.mOutcome,
+    EndRun(aAgent, runId,
+           [this, runId, aReply, received = Transmit(aReply.mAnswer)](AgentRequestCore& aCore) {
+             return aCore.OnAlternateAnswer(runId, aReply.mOutcome,
                                             aReply.mRefusal.value_or(Refusal{}), received, Time(0));
            });
   };
--- a/unittests/Request/RequestSimulationControl.cpp
+++ b/unittests/Request/RequestSimulationControl.cpp
@@ -17,8 +17,8 @@
   for (int i = 0; i < 5; ++i) {
     at([this] { MoveBuckets(); });
   }
-  using Fault = void (RequestSimulation::*)(std::size_t);
-  constexpr std::array<std::pair<Fault, double>, 4> kFaults{
+  using FaultFunction = void (RequestSimulation::*)(std::size_t);
+  constexpr std::array<std::pair<FaultFunction, double>, 4> kFaults{
     {{&RequestSimulation::CrashAgent, 0.5},
      {&RequestSimulation::CutOffFromControl, 0.4},
      {&RequestSimulation::RestartAgent, 0.6},
@@ -69,10 +69,10 @@
   }
 }
 
-// Passes an event from control to an agent. During a planned restart the event waits for the next
-// process; after a crash it is discarded.
-void RequestSimulation::SendFromControl(
-  std::size_t aAgent, std::function<AgentRequestActions(AgentRequestCore&)> aEvent)
+// Passes an event to an agent. During a planned restart the event waits for the next process; after
+// a crash it is discarded.
+void RequestSimulation::DeliverEvent(std::size_t aAgent,
+                                     std::function<AgentRequestActions(AgentRequestCore&)> aEvent)
 {
   Agent& agent = *mAgents[aAgent];
   if (agent.mCore) {
@@ -81,7 +81,7 @@
   }
   After(20'000, [this, aAgent, crashCount = agent.mCrashCount, aEvent = std::move(aEvent)] {
     if (mAgents[aAgent]->mCrashCount == crashCount) {
-      SendFromControl(aAgent, aEvent);
+      DeliverEvent(aAgent, aEvent);
     }
   });
 }
@@ -89,7 +89,7 @@
 bool RequestSimulation::IsUsable(std::size_t aAgent) const
 {
   const Agent& agent = *mAgents[aAgent];
-  return agent.mCore && !agent.mLost && !agent.mStopping;
+  return agent.mCore && !agent.mLost && !agent.mIneligible;
 }
 
 std::optional<std::size_t> RequestSimulation::PickOwner(std::size_t aNot)
@@ -128,7 +128,7 @@
     After(Delay(), [this, bucket, generation = mGeneration, to = *to,
                     crashCount = mAgents[*to]->mCrashCount] {
       if (mAgents[to]->mCrashCount == crashCount) {
-        SendFromControl(to, [this, bucket, generation](AgentRequestCore& aCore) {
+        DeliverEvent(to, [this, bucket, generation](AgentRequestCore& aCore) {
           return aCore.OnBucketAcquired(bucket, generation, Time(0));
         });
         PullBucket(bucket, generation);
@@ -154,7 +154,7 @@
   }
   if (transfer->mFromLost) {
     // The loss may have been reported before the bucket was acquired.
-    SendFromControl(to, [this, aBucket, to](AgentRequestCore& aCore) {
+    DeliverEvent(to, [this, aBucket, to](AgentRequestCore& aCore) {
       return aCore.OnPreviousOwnerLost(aBucket, TimeOf(*mAgents[to]));
     });
   }
@@ -175,7 +175,7 @@
           if (mAgents[to]->mCrashCount != crashCount || !mAgents[to]->mCore) {
             return;
           }
-          ++mTotals.mBucketTransfers;
+          ++mTotals.mTransferMessages;
           AgentRequestCore& core = *mAgents[to]->mCore;
           PerformAgentActions(
             to,
@@ -210,7 +210,7 @@
     return;
   }
   Agent& agent = *mAgents[aAgent];
-  agent.mStopping = true;
+  agent.mIneligible = true;
   PerformAgentActions(aAgent, agent.mCore->OnLease(false, TimeOf(agent)));
   After(20'000 + Delay(), [this, aAgent] { DeclareLost(aAgent); });
   After(900'000, [this, aAgent] {
@@ -221,7 +221,7 @@
     }
     ++mGeneration;
     reconnected.mLost = false;
-    reconnected.mStopping = false;
+    reconnected.mIneligible = false;
     PerformAgentActions(aAgent, reconnected.mCore->OnLease(true, TimeOf(reconnected)));
   });
 }
@@ -233,7 +233,7 @@
   }
   ++mTotals.mRestarts;
   Agent& agent = *mAgents[aAgent];
-  agent.mStopping = true;
+  agent.mIneligible = true;
   PerformAgentActions(aAgent, agent.mCore->OnPlannedStop(TimeOf(agent)));
   FinishRestart(aAgent, mNow + static_cast<std::int64_t>(mRandom.Below(200'000)));
 }
@@ -258,14 +258,14 @@
 void RequestSimulation::CrashUpstream(std::size_t aAgent)
 {
   std::vector<RunId> runs;
-  for (const auto& [number, run] : mAgents[aAgent]->mRuns) {
+  for (const auto& [runId, run] : mAgents[aAgent]->mRuns) {
     if (!run->mAlternate && !run->mEnded) {
-      runs.push_back(number);
+      runs.push_back(runId);
     }
   }
-  for (const RunId number : runs) {
-    EndRun(aAgent, number, [this, number](AgentRequestCore& aCore) {
-      return aCore.OnUpstreamFailed(number, Time(0));
+  for (const RunId runId : runs) {
+    EndRun(aAgent, runId, [this, runId](AgentRequestCore& aCore) {
+      return aCore.OnUpstreamFailed(runId, Time(0));
     });
   }
 }
@@ -278,10 +278,10 @@
     if (mOwners[bucket] == aAgent) {
       Reassign(bucket, aAgent);
     } else if (mTransfers[bucket] && mTransfers[bucket]->mFrom == aAgent) {
-      ++mTotals.mLostOwners;
+      ++mTotals.mBucketsOfLostOwners;
       const std::size_t to = mTransfers[bucket]->mTo;
       mTransfers[bucket]->mFromLost = true;
-      SendFromControl(to, [this, bucket, to](AgentRequestCore& aCore) {
+      DeliverEvent(to, [this, bucket, to](AgentRequestCore& aCore) {
         return aCore.OnPreviousOwnerLost(bucket, TimeOf(*mAgents[to]));
       });
     }
@@ -291,7 +291,7 @@
       After(Delay(),
             [this, i, name = mAgents[aAgent]->mName, crashCount = mAgents[i]->mCrashCount] {
               if (mAgents[i]->mCrashCount == crashCount) {
-                SendFromControl(i, [this, name](AgentRequestCore& aCore) {
+                DeliverEvent(i, [this, name](AgentRequestCore& aCore) {
                   return aCore.OnAgentLost(name, Time(0));
                 });
               }
@@ -306,18 +306,18 @@
   if (!to) {
     return;
   }
-  // If the lost agent had not received the bucket yet, the owner before it must not keep it: it
-  // learns that another agent owns the bucket now.
+  // If the bucket was still in transfer to the lost agent, tells its previous owner that another
+  // agent owns it now. Otherwise that agent would keep deciding about its ids.
   if (const auto transfer = std::move(mTransfers[aBucket]); transfer && mAgents[transfer->mFrom]) {
-    SendFromControl(transfer->mFrom,
-                    [this, aBucket, generation = mGeneration](AgentRequestCore& aCore) {
-                      return aCore.OnBucketTakenOver(aBucket, generation, Time(0));
-                    });
+    DeliverEvent(transfer->mFrom,
+                 [this, aBucket, generation = mGeneration](AgentRequestCore& aCore) {
+                   return aCore.OnBucketTakenOver(aBucket, generation, Time(0));
+                 });
   }
-  ++mTotals.mLostOwners;
+  ++mTotals.mBucketsOfLostOwners;
   const std::uint32_t generation = ++mGeneration;
   SetOwner(aBucket, *to);
-  SendFromControl(*to, [this, aBucket, generation, to = *to](AgentRequestCore& aCore) {
+  DeliverEvent(*to, [this, aBucket, generation, to = *to](AgentRequestCore& aCore) {
     const RequestTime time = TimeOf(*mAgents[to]);
     aCore.OnBucketAcquired(aBucket, generation, time);
     return aCore.OnPreviousOwnerLost(aBucket, time);
--- a/unittests/Request/RequestSimulationParts.h
+++ b/unittests/Request/RequestSimulationParts.h
@@ -16,10 +16,11 @@
 }
 
 /// A run at a simulated upstream or at an alternate agent.
-struct RequestSimulation::UpstreamRun
+struct RequestSimulation::SimulatedRun
 {
   bool mEnded = false;
   bool mCancelled = false;
+  /// Set for a relayed run: the alternate agent and the attempt.
   std::optional<std::pair<std::size_t, AttemptKey>> mAlternate;
 };
 
@@ -27,7 +28,8 @@
 struct OpenReply
 {
   AttemptKey mKey;
-  bool mRecorded = false; ///< Neither idempotent nor relayed.
+  /// Whether the reply goes into the history: the request is neither idempotent nor relayed.
+  bool mIsClaim = false;
   std::function<void(const RequestReply&)> mOnReply;
   std::function<void()> mOnLinkLost;
 };
@@ -39,12 +41,12 @@
   std::int64_t mWallOffsetMs = 0;
   std::uint64_t mCrashCount = 0; ///< Events from control are discarded after a crash.
   bool mLost = false;            ///< Declared lost by control.
-  bool mStopping = false;
+  bool mIneligible = false;      ///< Gets no buckets: it stops, or has no contact with control.
   std::unique_ptr<FixedSlots> mSlots;
   std::unique_ptr<MetricsRegistry> mRegistry;
   std::unique_ptr<AgentRequestCore> mCore; ///< Null while the process is down.
   std::map<ReplyHandle, OpenReply> mReplies;
-  std::map<RunId, std::shared_ptr<UpstreamRun>> mRuns;
+  std::map<RunId, std::shared_ptr<SimulatedRun>> mRuns;
 };
 
 /// One request of a caller over all its resends.
--- a/unittests/Request/RequestSimulationTest.cpp
+++ b/unittests/Request/RequestSimulationTest.cpp
@@ -26,15 +26,20 @@
                              (violations.empty() ? "" : violations.front()),
                            violations.empty());
     CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(aSeed) + ": messages without a reply",
-                                 std::size_t(0), simulation.Totals().mUnanswered);
-    constexpr std::array kMembers{
-      &SimulationTotals::mRequests,        &SimulationTotals::mRuns,
-      &SimulationTotals::mAnswered,        &SimulationTotals::mNotRun,
-      &SimulationTotals::mUnknown,         &SimulationTotals::mCancelled,
-      &SimulationTotals::mResends,         &SimulationTotals::mRelayed,
-      &SimulationTotals::mBucketTransfers, &SimulationTotals::mCrashes,
-      &SimulationTotals::mLostOwners,      &SimulationTotals::mRecordUpdates,
-      &SimulationTotals::mRestarts};
+                                 std::size_t(0), simulation.Totals().mWithoutReply);
+    constexpr std::array kMembers{&SimulationTotals::mRequests,
+                                  &SimulationTotals::mRuns,
+                                  &SimulationTotals::mAnswered,
+                                  &SimulationTotals::mNotRun,
+                                  &SimulationTotals::mUnknown,
+                                  &SimulationTotals::mCancelled,
+                                  &SimulationTotals::mResends,
+                                  &SimulationTotals::mRelayed,
+                                  &SimulationTotals::mTransferMessages,
+                                  &SimulationTotals::mCrashes,
+                                  &SimulationTotals::mBucketsOfLostOwners,
+                                  &SimulationTotals::mRecordUpdates,
+                                  &SimulationTotals::mRestarts};
     for (const auto member : kMembers) {
       aTotals.*member += simulation.Totals().*member;
     }
@@ -70,14 +75,15 @@
               << " answered=" << totals.mAnswered << " not_run=" << totals.mNotRun
               << " unknown=" << totals.mUnknown << " cancelled=" << totals.mCancelled
               << " resends=" << totals.mResends << " relayed=" << totals.mRelayed
-              << " transfers=" << totals.mBucketTransfers << " lost_owners=" << totals.mLostOwners
+              << " transfers=" << totals.mTransferMessages
+              << " lost_owners=" << totals.mBucketsOfLostOwners
               << " record_updates=" << totals.mRecordUpdates << " crashes=" << totals.mCrashes
               << " restarts=" << totals.mRestarts << std::flush;
     // The checks above mean something only if these events happened often.
     CPPUNIT_ASSERT(totals.mAnswered > totals.mRequests / 3);
     for (const std::size_t count :
          {totals.mNotRun, totals.mUnknown, totals.mResends, totals.mRelayed,
-          totals.mBucketTransfers, totals.mLostOwners, totals.mRecordUpdates}) {
+          totals.mTransferMessages, totals.mBucketsOfLostOwners, totals.mRecordUpdates}) {
       CPPUNIT_ASSERT(count > kSeeds / 2);
     }
     CPPUNIT_ASSERT(totals.mCancelled > kSeeds / 10);
