--- a/lib/Daemon/RequestRecordTransfer.cpp
+++ b/lib/Daemon/RequestRecordTransfer.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr char kPeer[] = "bucket transfer";
+constexpr char kPeer[] = "bucket transfer from the previous owner";
 constexpr std::int64_t kMsInSecond = 1'000;
 
 } // namespace
--- a/lib/Request/RecordBuckets.cpp
+++ b/lib/Request/RecordBuckets.cpp
@@ -92,8 +92,8 @@
     return Ok();
   }
   return Fail(ErrorCode::Unavailable, "records.freeze", aNewOwner,
-              "bucket " + std::to_string(aBucket) + " is " +
-                std::string(NameOf(bucket.mState).mName) + " since generation " +
+              "cannot freeze bucket " + std::to_string(aBucket) + ": its state is " +
+                std::string(NameOf(bucket.mState).mName) + ", entered in generation " +
                 std::to_string(bucket.mGeneration));
 }
 
@@ -145,7 +145,8 @@
   for (const BucketWire& wire : table.value().mBuckets) {
     if (wire.mBucket >= mBuckets || wire.mNewOwner != mSelf) {
       return Fail(ErrorCode::InvalidInput, "records.import", std::string(aPeer),
-                  "bucket " + std::to_string(wire.mBucket) + " is not transferred to this agent");
+                  "bucket " + std::to_string(wire.mBucket) +
+                    " does not exist or is not transferred to this agent");
     }
     const Bucket& bucket = mBucketStates[wire.mBucket];
     if (bucket.mState == RecordBucketState::Incomplete && bucket.mGeneration == wire.mGeneration) {
