--- a/lib/Request/RecordTransfer.cpp
+++ b/lib/Request/RecordBuckets.cpp
@@ -92,8 +92,8 @@
     return Ok();
   }
   return Fail(ErrorCode::Unavailable, "records.freeze", aNewOwner,
-              "bucket " + std::to_string(aBucket) + " is " +
-                std::string(NameOf(bucket.mState).mName) + " since generation " +
+              "cannot freeze bucket " + std::to_string(aBucket) + ": its state is " +
+                std::string(NameOf(bucket.mState).mName) + ", entered in generation " +
                 std::to_string(bucket.mGeneration));
 }
 
@@ -141,30 +141,31 @@
   if (!records) {
     return records.as_failure();
   }
-  std::vector<std::uint32_t> taken;
+  std::vector<std::uint32_t> completed;
   for (const BucketWire& wire : table.value().mBuckets) {
     if (wire.mBucket >= mBuckets || wire.mNewOwner != mSelf) {
       return Fail(ErrorCode::InvalidInput, "records.import", std::string(aPeer),
-                  "bucket " + std::to_string(wire.mBucket) + " is not transferred to this agent");
+                  "bucket " + std::to_string(wire.mBucket) +
+                    " does not exist or is not transferred to this agent");
     }
     const Bucket& bucket = mBucketStates[wire.mBucket];
     if (bucket.mState == RecordBucketState::Incomplete && bucket.mGeneration == wire.mGeneration) {
-      taken.push_back(wire.mBucket);
+      completed.push_back(wire.mBucket);
     }
   }
   for (const BucketWire& wire : table.value().mBuckets) {
     Bucket& bucket = mBucketStates[wire.mBucket];
-    if (std::find(taken.begin(), taken.end(), wire.mBucket) != taken.end()) {
+    if (std::find(completed.begin(), completed.end(), wire.mBucket) != completed.end()) {
       bucket.mState = RecordBucketState::Complete;
       bucket.mCompleteSince = std::max(bucket.mCompleteSince, wire.mCompleteSince);
     }
   }
   for (auto& [id, record] : records.value()) {
-    if (std::find(taken.begin(), taken.end(), BucketFor(id)) != taken.end()) {
+    if (std::find(completed.begin(), completed.end(), BucketFor(id)) != completed.end()) {
       Merge(id, std::move(record));
     }
   }
-  return taken;
+  return completed;
 }
 
 Json RequestRecords::ExportAll(std::int64_t aWallMs)
