--- a/include/dandelionslip/Control/AttachedNodes.h
+++ b/include/dandelionslip/Control/AttachedNodes.h
@@ -11,8 +11,9 @@
 
 namespace dandelionslip {
 
-/// Collects the announcements of attached nodes and builds summaries of them for the leader. Not
-/// thread-safe.
+/// Collects the announcements of attached nodes and builds summaries of them for the leader. A node
+/// is attached to a replica while it announces itself there (see
+/// MembershipSettings::mAttachWindow). Not thread-safe.
 ///
 /// A node gets a lease only after the leader has acknowledged a summary that covers the node. The
 /// lease starts when that summary was built; the leader counts from its arrival, which is later. So
@@ -31,8 +32,9 @@
                              std::uint64_t aViewRevision, TimePoint aNow);
 
   /// Handles the leader's answer to a summary. aViewRevision is the view that this replica serves
-  /// to nodes. If it is older than the answer's held revision, no lease is renewed: a node that was
-  /// lost in between would get a lease together with buckets that it no longer owns.
+  /// to nodes. If it is below the answer's held revision, no lease is renewed: a node that a view
+  /// after aViewRevision shows as lost would get a lease together with a view that still assigns it
+  /// buckets which it no longer owns.
   void HandleAnswer(const SummaryAnswer& aAnswer, std::uint64_t aViewRevision);
 
   /// Remaining time at aNow of the lease that the leader has acknowledged for this incarnation.
--- a/include/dandelionslip/Control/BinaryField.h
+++ b/include/dandelionslip/Control/BinaryField.h
@@ -5,7 +5,7 @@
 
 namespace dandelionslip {
 
-/// Describes a byte string field for both directions.
+/// Describes a byte string field to a reader or a writer.
 template <typename V>
 void BinaryField(V& aVisitor, const char* aKey, Bytes& aValue)
 {
--- a/include/dandelionslip/Control/ConfigurationStore.h
+++ b/include/dandelionslip/Control/ConfigurationStore.h
@@ -1,7 +1,7 @@
 // The replicated state machine: applies operators' commands to the configuration.
 #pragma once
 
-#include "dandelionslip/Control/StoreState.h"
+#include "dandelionslip/Control/ConfigurationStoreState.h"
 
 #include <optional>
 #include <string>
@@ -13,8 +13,9 @@
 class ConfigurationStore
 {
 public:
-  /// Applies the command of log entry aIndex, whole or not at all. A publication id whose answer is
-  /// kept gets that answer again. An entry at or below the last applied index changes nothing.
+  /// Applies the command of log entry aIndex, whole or not at all. A command whose publication id
+  /// has a kept answer gets that answer again. An entry at or below the last applied index changes
+  /// nothing.
   CommandAnswer Apply(std::uint64_t aIndex, const Command& aCommand);
 
   /// The configuration in force; its revision is the index of the last entry that changed it.
@@ -42,13 +43,14 @@
   void EvictAnswers();
   void IndexAnswers();
 
-  StoreState mState;
+  ConfigurationStoreState mState;
   std::map<std::string, CommandAnswer> mAnswerById;
 };
 
-/// Checks a new command's issue time against the wall clock of the leader before the append; the
-/// state machine has no clock. InvalidInput: more than 5 minutes in the future, which would make
-/// answers look older than they are, or older than the retention of answers.
+/// Checks a new command's issue time against the wall clock. Called by the leader before the
+/// append, because the state machine has no clock. InvalidInput: the issue time is more than 5
+/// minutes in the future (other kept answers would then look too old and be evicted too early), or
+/// longer ago than kAnswerRetentionMs.
 Result<void> CheckIssueTime(const Command& aCommand, std::int64_t aNowMs);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/StoreState.h
+++ b/include/dandelionslip/Control/ConfigurationStoreState.h
@@ -15,12 +15,13 @@
 /// Answers younger than this, by the issue times in the log, are kept regardless of their number.
 inline constexpr std::int64_t kAnswerRetentionMs = 24LL * 60 * 60 * 1000;
 
-/// Most answers that are kept: more than 200 times the 280 changes a day of the target size. Beyond
-/// it, commands are answered with not_applied, so that the replicas' memory stays bounded.
+/// Maximum number of kept answers: more than 200 times the 280 changes a day of the largest planned
+/// deployment. Beyond it, commands are answered with not_applied, so that the replicas' memory
+/// stays bounded.
 inline constexpr std::size_t kMaxAnswers = 65'536;
 
-/// Limits of the configuration: several times the target size of 710 addresses, 6 data centres and
-/// 3,300 upstreams.
+/// Limits of the configuration: several times the largest planned deployment with 710 addresses, 6
+/// data centres and 3,300 upstreams.
 inline constexpr std::size_t kMaxServices = 2'048;
 inline constexpr std::size_t kMaxAddressesPerService = 64;
 inline constexpr std::size_t kMaxDataCentres = 64;
@@ -47,7 +48,8 @@
   aVisitor.Field("answer", aValue.mAnswer);
 }
 
-/// The publication that last changed a service or data centre.
+/// The publication that last changed a service or data centre. A publication is one command of an
+/// operator; when it is sent again, it keeps its id.
 struct LastWriter
 {
   std::string mPublicationId;
@@ -66,7 +68,7 @@
 }
 
 /// Everything that a snapshot holds.
-struct StoreState
+struct ConfigurationStoreState
 {
   std::uint64_t mAppliedIndex = 0;
   std::int64_t mLogTimeMs = 0;         ///< Highest issue time seen.
@@ -77,11 +79,11 @@
   std::map<std::string, LastWriter> mDataCentreWriters;
   std::string mRouteDocument; ///< Text of the route table in force, as published.
 
-  bool operator==(const StoreState&) const = default;
+  bool operator==(const ConfigurationStoreState&) const = default;
 };
 
 template <typename V>
-void DescribeFields(V& aVisitor, StoreState& aValue)
+void DescribeFields(V& aVisitor, ConfigurationStoreState& aValue)
 {
   aVisitor.Field("applied_index", aValue.mAppliedIndex);
   aVisitor.Field("log_time_ms", aValue.mLogTimeMs);
--- a/include/dandelionslip/Control/FileSystem.h
+++ b/include/dandelionslip/Control/FileSystem.h
@@ -23,8 +23,8 @@
   Append, ///< Opens an existing file; writes go to its end.
 };
 
-/// File operations. Nothing is durable before Sync (contents) and SyncDirectory (names).
-/// All errors have the code Io and name the path.
+/// File operations. Nothing is durable before Sync (contents) and SyncDirectory (names). All errors
+/// have the code Io and name the path, or the descriptor of an open file.
 class FileSystem
 {
 public:
--- a/include/dandelionslip/Control/JoinRequest.h
+++ b/include/dandelionslip/Control/JoinRequest.h
@@ -8,8 +8,8 @@
 
 namespace dandelionslip {
 
-/// Sent periodically by every replica. From a member of the group it shows that the member runs at
-/// the address.
+/// Sent periodically by every replica. From a replica that is in the group already, it confirms the
+/// address of that replica.
 struct JoinRequest
 {
   ReplicaId mReplica;
--- a/include/dandelionslip/Control/LeaseTable.h
+++ b/include/dandelionslip/Control/LeaseTable.h
@@ -49,7 +49,8 @@
   RenewalOutcome RenewUnchanged(const std::string& aName, std::uint64_t aIncarnation,
                                 TimePoint aNow);
 
-  /// Marks members whose lease or restart grace has ended as lost; returns their names.
+  /// Marks members whose lease or restart grace (see MembershipSettings) has ended as lost; returns
+  /// their names.
   std::vector<std::string> Expire(TimePoint aNow);
 
   /// Drops members that were lost or left long ago and that no generation of aView names.
@@ -63,7 +64,7 @@
   void MarkLiveInView(std::uint64_t aRevision);
 
   /// Whether a view up to the held revision shows the member as live. Only then may it get a lease:
-  /// the next leader knows that view and gives the member a full lease before it declares it lost.
+  /// the next leader knows that view and waits for a full lease before it declares the member lost.
   bool IsLiveInHeldView(const std::string& aName, std::uint64_t aHeldRevision) const;
 
   /// The entry with this name, or null.
--- a/include/dandelionslip/Control/LogStore.h
+++ b/include/dandelionslip/Control/LogStore.h
@@ -14,7 +14,7 @@
 
 namespace dandelionslip {
 
-/// What a replica finds on its disk at start; the input of RaftCore.
+/// What a replica finds in its data directory at start; the input of RaftCore.
 struct RecoveredState
 {
   ReplicaId mReplica;
@@ -25,7 +25,7 @@
   /// Where an incomplete record was dropped; for log messages only.
   std::optional<Error> mDroppedTail;
 
-  /// Whether the disk holds no log at all, as on the first start of a replica.
+  /// Whether the data directory holds no log at all, as on the first start of a replica.
   bool IsEmpty() const { return !mSnapshot && mEntries.empty(); }
 };
 
@@ -54,11 +54,13 @@
   LogStore(const LogStore&) = delete;
   LogStore& operator=(const LogStore&) = delete;
 
-  /// What was found at Open, after Bootstrap if that was called. May be taken once.
+  /// The state that Open found, with the entry that Bootstrap added if it was called. Call this at
+  /// most once.
   RecoveredState TakeRecovered();
 
-  /// Writes the first membership to an empty store; it must be the same on every replica in it.
-  /// Call it at most once in the life of a replica, never on a disk that replaces a lost one.
+  /// Writes the first membership to an empty store. aMembership must be the same on all of its
+  /// replicas. Call this at most once in the life of a replica, and never for a data directory that
+  /// replaces a lost one.
   Status Bootstrap(const RaftMembership& aMembership);
 
   /// Writes term and vote.
--- a/include/dandelionslip/Control/MemberSummary.h
+++ b/include/dandelionslip/Control/MemberSummary.h
@@ -9,21 +9,23 @@
 
 namespace dandelionslip {
 
-/// Largest summary, view message or answer that is decoded. A whole view of the target size takes
-/// less than 2 MiB.
+/// Largest summary, view message or answer that is decoded. A whole view of the largest planned
+/// deployment takes less than 2 MiB.
 inline constexpr std::size_t kMaxControlMessageBytes = std::size_t{8} << 20U;
 
-/// Most members that one message may list; equals the default size of the lease table.
+/// Maximum number of members that one message lists; equals the default size of the lease table.
 inline constexpr std::size_t kMaxListedMembers = 8'192;
 
-/// Sent by a replica to the leader every 250 ms.
+/// The announcements of a replica's attached nodes, sent to the leader every 250 ms.
 struct MemberSummary
 {
   std::string mReplica;
   std::uint64_t mTerm = 0;     ///< Term of the leader it is meant for.
   std::uint64_t mSequence = 0; ///< Increases by one with each summary in a term.
   bool mWhole = false;         ///< mChanged lists every attached node.
+  /// Announcements that the leader has not acknowledged; all of them if mWhole.
   std::vector<Announcement> mChanged;
+  /// Nodes whose detachment the leader has not acknowledged.
   std::vector<std::string> mDetached;
   std::uint64_t mDigest = 0; ///< AttachedDigest of all attached nodes after this summary.
   std::uint64_t mViewRevision = 0;
--- a/include/dandelionslip/Control/MembershipCore.h
+++ b/include/dandelionslip/Control/MembershipCore.h
@@ -1,4 +1,5 @@
 // Leases and views of balancers and agents on one control replica, without I/O, clock or threads.
+// Members are balancers and agents here; the replicas of the Raft group are in RaftMembership.h.
 #pragma once
 
 #include "dandelionslip/Control/AttachedNodes.h"
@@ -15,8 +16,8 @@
 
 namespace dandelionslip {
 
-/// Leadership as RaftCore reports it.
-struct RoleChange
+/// The Raft term, leader and voters as RaftCore reports them.
+struct RaftStatus
 {
   std::uint64_t mTerm = 0;
   bool mLeading = false;            ///< This replica leads the term.
@@ -50,9 +51,8 @@
 public:
   MembershipCore(std::string aReplica, const MembershipSettings& aSettings);
 
-  /// An announcement from an attached node. aConfirmed is RaftCore::Confirmed: the leader that this
-  /// replica follows reached a quorum within the last 500 ms and this replica has applied that
-  /// leader's commit index. Without it the answer carries neither lease nor state.
+  /// An announcement from an attached node. aConfirmed is RaftCore::Confirmed at aNow (by default a
+  /// quorum contact within the last 500 ms). Without it the answer carries neither lease nor state.
   AnnouncementAnswer OnAnnouncement(const Announcement& aAnnouncement, bool aConfirmed,
                                     TimePoint aNow);
 
@@ -76,7 +76,7 @@
   Result<void> OnSnapshot(const Json& aSnapshot);
 
   /// A new term, leader or set of voters.
-  void OnRoleChange(const RoleChange& aChange, TimePoint aNow);
+  void OnRaftStatus(const RaftStatus& aStatus, TimePoint aNow);
 
   /// Handles timeouts; call every 20 ms.
   std::vector<MembershipAction> OnTick(TimePoint aNow);
@@ -85,7 +85,7 @@
   /// The newest view that this replica has.
   const View& CurrentView() const { return mViews.Newest(); }
 
-  /// The view that nodes get: the newest held one.
+  /// The view that nodes get: the newest view that this replica has and knows to be held.
   const View& ServedView() const { return mServedViews.Newest(); }
   const LeaseTable& Leases() const { return mLeases; }
 
@@ -109,10 +109,13 @@
   void AdoptViewOf(const MemberSummary& aSummary, Peer& aPeer, SummaryAnswer& aAnswer,
                    TimePoint aNow);
   void ApplyViewUpdate(const ViewUpdate& aUpdate);
-  void RaiseHeldRevision(std::uint64_t aRevision);
+  /// Raises the held revision and advances the served view as far as the held views are known.
+  void UpdateHeldRevision(std::uint64_t aRevision);
   Milliseconds LeaseFor(const Member& aMember, TimePoint aNow) const;
-  std::optional<ViewUpdate> ViewUpdateFor(Peer& aPeer, TimePoint aNow) const;
-  void BeginTerm(TimePoint aNow);
+  /// The update to send to the peer now, if any; records it as sent.
+  std::optional<ViewUpdate> PrepareViewUpdate(Peer& aPeer, TimePoint aNow) const;
+  /// Starts over for a new term or role. Also called when the leader of the term becomes known.
+  void OnLeadershipChange(TimePoint aNow);
   void StartIssuing(TimePoint aNow);
   void UpdateView(TimePoint aNow);
   bool IsVoter(const std::string& aReplica) const;
@@ -132,7 +135,7 @@
   AttachedNodes mAttached;
   LeaseTable mLeases;
   ViewBuilder mBuilder;
-  RoleChange mRole;
+  RaftStatus mRaftStatus;
   bool mIssuing = false;
   TimePoint mFirstIssueTime; ///< Earliest time of the first view in this term.
   std::map<std::string, Peer> mPeers;
--- a/include/dandelionslip/Control/MembershipSettings.h
+++ b/include/dandelionslip/Control/MembershipSettings.h
@@ -1,4 +1,5 @@
-// Periods and bounds of leases, summaries and generations.
+// Settings of MembershipCore.
+// Members are balancers and agents here; the replicas of the Raft group are in RaftMembership.h.
 #pragma once
 
 #include "dandelionslip/Support/RuntimeClock.h"
@@ -8,11 +9,13 @@
 
 namespace dandelionslip {
 
-/// Settings of the membership protocol; equal on all control replicas.
+/// Periods and bounds of leases, summaries, views and weight steps; equal on all control replicas.
 struct MembershipSettings
 {
   Milliseconds mLease{2'000};
   Milliseconds mLeaseMargin{500}; ///< Added to the lease before a member is declared lost.
+  /// A restarting member is declared lost after this time, or after lease plus margin if that is
+  /// longer.
   Milliseconds mRestartGrace{10'000};
   Milliseconds mSummaryInterval{250};
   /// Time after which an unanswered summary is replaced by the next.
@@ -25,12 +28,13 @@
   Milliseconds mStepInterval{1'000}; ///< Shortest time between weight steps of a service.
   /// Lost and left members stay in the view this long, so that nodes see why a member is gone.
   Milliseconds mForgetAfter{600'000};
-  std::size_t mMaxMembers = 8'192; ///< About twice the 3,720 nodes and servers of the target size.
+  /// About twice the 3,720 members of the largest planned deployment.
+  std::size_t mMaxMembers = 8'192;
 };
 
-/// Most views that a leader issues beyond the newest held one (see MembershipCore). Nodes do not
-/// get these views. With the limit, a leader without a quorum stops issuing, and the chain of
-/// differences stays short.
+/// Maximum number of views that a leader issues beyond the newest held one (see MembershipCore).
+/// Nodes do not get these views. With the limit, a leader without a quorum stops issuing, and the
+/// chain of differences stays short.
 inline constexpr std::uint64_t kMaxUnheldViews = 16;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/ProposalTracker.h
+++ b/include/dandelionslip/Control/ProposalTracker.h
@@ -23,19 +23,19 @@
   bool operator==(const ProposalResult&) const = default;
 };
 
-/// Decides open proposals by the entries that are applied. Not thread-safe.
+/// Determines the outcomes of open proposals from the applied entries. Not thread-safe.
 class ProposalTracker
 {
 public:
   /// Starts to wait for an entry returned by RaftCore::Propose.
   void Track(EntryId aEntry);
-  /// An entry was applied. Returns the outcomes that this decides.
+  /// An entry was applied. Returns the outcomes that follow from it.
   std::vector<ProposalResult> OnApplied(const LogEntry& aEntry);
   /// A snapshot replaced all entries up to aIndex; their outcomes are unknown.
   std::vector<ProposalResult> OnSnapshotInstalled(LogIndex aIndex);
-  /// Gives up on all open proposals, for example at a stop.
+  /// Stops tracking all open proposals, for example at a stop; their outcomes are unknown.
   std::vector<ProposalResult> AbandonAll();
-  /// Gives up on one proposal, for example at its deadline.
+  /// Stops tracking one proposal without a result, for example at its deadline.
   void Forget(EntryId aEntry);
   std::size_t OpenCount() const { return mOpen.size(); }
 
--- a/include/dandelionslip/Control/RaftAction.h
+++ b/include/dandelionslip/Control/RaftAction.h
@@ -1,4 +1,4 @@
-// Actions that RaftCore asks its runtime to carry out.
+// Actions that RaftCore asks the daemon to carry out.
 #pragma once
 
 #include "dandelionslip/Control/HardState.h"
@@ -19,7 +19,7 @@
   PreCandidate,
   Candidate,
   Leader,
-  Stopped, ///< The identity was refused; the core ignores all further events.
+  Stopped, ///< The replica must not take part any more; the core ignores all further events.
 };
 
 std::string_view ToString(RaftRole aRole);
@@ -70,7 +70,7 @@
   std::string mReason;
 };
 
-/// This replica was refused: log the reason and end the process.
+/// This replica must not take part any more: log the reason and end the process.
 struct StopAction
 {
   std::string mReason;
--- a/include/dandelionslip/Control/RaftCore.h
+++ b/include/dandelionslip/Control/RaftCore.h
@@ -17,9 +17,9 @@
   Milliseconds mHeartbeat{100};
   Milliseconds mElectionMin{500};
   Milliseconds mElectionMax{1000};
-  /// Longest election timeout within the first second after a start, when all replicas have
-  /// probably restarted and have no leader. If there is a leader, it and its followers refuse the
-  /// pre-vote. Zero: mElectionMax applies from the start.
+  /// Replaces mElectionMax in the first second after a start, when probably all replicas have
+  /// restarted and none leads, so that a leader is elected sooner. A live leader is not disturbed,
+  /// because it and its followers refuse the pre-vote. Zero: mElectionMax applies from the start.
   Milliseconds mFirstElection{0};
   Milliseconds mConfirmWindow{500}; ///< How long a quorum contact confirms reads.
   std::size_t mMaxAppendBytes = 64U << 10U;
@@ -32,9 +32,10 @@
 
 /// Raft with pre-vote, check-quorum, learners, single-server membership changes and snapshots.
 ///
-/// Each event returns actions. The runtime carries them out in the order of the returned list and
-/// in the order of the events: an action starts only after every earlier PersistAction and
-/// InstallSnapshotAction is synced. If one of them fails, the replica stops. Not thread-safe.
+/// Each event returns actions. The code that uses the core (the daemon) carries them out in the
+/// order of the returned list and in the order of the events: an action starts only after every
+/// earlier PersistAction and InstallSnapshotAction is synced. If one of them fails, the replica
+/// stops. Not thread-safe.
 class RaftCore
 {
 public:
@@ -52,8 +53,9 @@
 
   /// Appends a command. On success the outcome is open until an ApplyAction contains the entry with
   /// the returned index: if that entry has the returned term, the command is applied, otherwise it
-  /// never will be. An error means that the command was not appended: Unavailable (not the leader,
-  /// or a leadership transfer is running) or LimitExceeded (payload too large).
+  /// never will be. If an InstallSnapshotAction covers the index, the outcome stays unknown. An
+  /// error means that the command was not appended: Unavailable (not the leader, or a leadership
+  /// transfer is running) or LimitExceeded (payload too large).
   Result<EntryId> Propose(TimePoint aNow, Bytes aPayload, RaftActions& aActions);
   /// Appends a membership change under the same rules. Further errors: Conflict (the previous
   /// change is not committed, this term has no committed entry yet, or the learner's log is not
@@ -61,8 +63,9 @@
   /// NotFound (the replica is not in the membership).
   Result<EntryId> ProposeChange(TimePoint aNow, const RaftMembershipChange& aChange,
                                 RaftActions& aActions);
-  /// Hands leadership to an up-to-date voter before a planned stop; any voter when aTarget is
-  /// empty. Proposals are refused until it succeeds or one election timeout has passed.
+  /// Transfers leadership to aTarget, or to the voter with the longest matching log if aTarget is
+  /// empty, once that voter has the whole log. For use before a planned stop. Proposals are refused
+  /// until the transfer succeeds or one election timeout has passed.
   Status TransferLeadership(TimePoint aNow, const ReplicaId& aTarget, RaftActions& aActions);
   /// Whether enough entries were applied since the last snapshot.
   bool SnapshotDue() const;
--- a/include/dandelionslip/Control/RaftMessage.h
+++ b/include/dandelionslip/Control/RaftMessage.h
@@ -1,4 +1,4 @@
-// Messages between control replicas.
+// Raft messages between control replicas.
 #pragma once
 
 #include "dandelionslip/Control/LogEntry.h"
@@ -206,7 +206,7 @@
 {
 }
 
-/// Tells the receiver that it must not take part under its identity; it stops.
+/// Tells the receiver that it must not take part under its identity. The receiver then stops.
 struct ReplicaRefusal
 {
   std::string mReason;
@@ -232,10 +232,10 @@
   Term mTerm = 0;
   StoreId mFromStore = 0;
   bool mFromEmptyLog = false; ///< The sender has neither entries nor a snapshot.
-  StoreId mToStore = 0;       ///< Receiver's store as known to the sender; zero when unknown.
+  StoreId mToStore = 0; ///< Receiver's data directory as known to the sender; zero when unknown.
   RaftBody mBody;
-  /// Endpoint of the sender, filled in by its runtime. A learner without a log needs it to answer,
-  /// because it does not know the members yet.
+  /// Endpoint of the sender, filled in by its daemon. A learner with an empty log does not know the
+  /// members yet and sends its answers to this endpoint.
   std::string mFromAddress = {};
 
   bool operator==(const RaftMessage&) const = default;
--- a/include/dandelionslip/Control/ReplicaRepairPlanner.h
+++ b/include/dandelionslip/Control/ReplicaRepairPlanner.h
@@ -58,17 +58,17 @@
   struct JoinRecord
   {
     std::string mAddress;
-    TimePoint mAt;
+    TimePoint mReceivedAt;
   };
 
   Milliseconds TimeSinceLastMessage(const ReplicaId& aReplica, TimePoint aNow) const;
   bool IsSuperseded(const ReplicaGroup& aGroup, const ReplicaId& aReplica, TimePoint aNow) const;
   std::optional<ReplicaId> ReplaceableVoter(const ReplicaGroup& aGroup, TimePoint aNow) const;
-  std::optional<RaftMembershipChange> AddJoining(const ReplicaGroup& aGroup, TimePoint aNow) const;
-  std::optional<RaftMembershipChange> PromoteLearner(const ReplicaGroup& aGroup,
-                                                     TimePoint aNow) const;
-  std::optional<RaftMembershipChange> RemoveReplica(const ReplicaGroup& aGroup,
+  std::optional<RaftMembershipChange> NextAddition(const ReplicaGroup& aGroup,
+                                                   TimePoint aNow) const;
+  std::optional<RaftMembershipChange> NextPromotion(const ReplicaGroup& aGroup,
                                                     TimePoint aNow) const;
+  std::optional<RaftMembershipChange> NextRemoval(const ReplicaGroup& aGroup, TimePoint aNow) const;
 
   ReplicaRepairSettings mSettings;
   TimePoint mLeaderSince;
--- a/include/dandelionslip/Control/ViewBuilder.h
+++ b/include/dandelionslip/Control/ViewBuilder.h
@@ -14,13 +14,14 @@
 /// still changes it by whole units.
 inline constexpr std::uint32_t kMinWeight = kFullWeight / 100;
 
-/// Weight with which a member joins a generation that others already serve: 5% of kFullWeight, the
-/// default cold limit of connections.
+/// Weight of a member that joins a service with other members: 5% of kFullWeight, the same share as
+/// the default cold limit of connections.
 inline constexpr std::uint32_t kJoinWeight = kFullWeight / 20;
 
-/// A weight that differs from its target by less than this part of itself (3%) stays as it is, so
-/// that noise in the estimate moves no buckets. Together with the rounding to whole buckets (0.7%
-/// with 1,024 buckets and 7 members) this stays within the steady imbalance target of 1.05.
+/// A weight stays unchanged while its target differs from it by less than this share of the weight
+/// (3%), so that noise in the estimate moves no buckets. Together with the rounding to whole
+/// buckets (0.7% with 1,024 buckets and 7 members) this stays within the steady imbalance target of
+/// 1.05.
 inline constexpr std::uint32_t kDeadBandPermille = 30;
 
 /// A leader uses only generation numbers that equal its term modulo this stride. Two leaders that
@@ -30,7 +31,7 @@
 inline constexpr std::uint32_t kGenerationStride = 16;
 
 /// Numbers skipped after an acknowledged generation that no control replica knows any more: agents
-/// may hold kMaxGenerations newer ones.
+/// may hold up to kMaxGenerations (3) newer ones. One stride for each of them, and one more.
 inline constexpr std::uint32_t kForgottenGenerationGap = 4 * kGenerationStride;
 
 /// The lease entries of one service's agents, ordered by name.
@@ -40,9 +41,10 @@
 ///
 /// A planned change (join, drain, leave, weight step) waits until every live member of the newest
 /// generation has acknowledged it. A change forced by a loss or by a data centre that is out does
-/// not wait, because the buckets of that member have no live owner; it only removes members. It is
-/// delayed only if the last generation that all live members have acknowledged would drop out of
-/// the kMaxGenerations that a view holds: agents could then no longer find out where a flow is.
+/// not wait, because the buckets of that member have no live owner; it only removes members, unless
+/// none is left: then it takes all eligible members that take new work. It is delayed only if the
+/// last generation that all live members have acknowledged would drop out of the kMaxGenerations
+/// that a view holds: agents could then no longer find out where a flow is.
 class ViewBuilder
 {
 public:
@@ -68,7 +70,8 @@
   {
     ServiceId mServiceId = 0;
     TimePoint mLastStep;
-    bool mHasStepped = false; ///< mLastStep is valid.
+    /// mLastStep is valid: a step of this term, or the start of the term.
+    bool mHasLastStep = false;
   };
 
   static std::map<std::string, Member> BuildMembers(const Configuration& aConfiguration,
--- a/lib/Control/CommandRules.cpp
+++ b/lib/Control/CommandRules.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kMaxDataCentreLength = 63;
 constexpr std::size_t kMaxUpstreamLength = 255;
 
-using Rejection = std::optional<CommandAnswer>;
+using ErrorAnswer = std::optional<CommandAnswer>;
 
 CommandAnswer Refuse(std::string aDetail)
 {
@@ -52,11 +52,11 @@
   return Ok();
 }
 
-Rejection CheckChangeForm(const ServiceChange& aChange, const std::string& aPath)
+ErrorAnswer CheckChangeForm(const ServiceChange& aChange, const std::string& aPath)
 {
   if (!aChange.mSpec) {
     return aChange.mExpectedVersion > 0
-             ? Rejection()
+             ? ErrorAnswer()
              : Refuse(aPath + ".expected_version: found 0, expected the version to delete");
   }
   if (aChange.mSpec->mName != aChange.mName) {
@@ -68,10 +68,10 @@
                   ", expected " + std::to_string(aChange.mExpectedVersion + 1));
   }
   auto check = CheckSpec(*aChange.mSpec, aPath);
-  return check ? Rejection() : Refuse(check.error().Message());
+  return check ? ErrorAnswer() : Refuse(check.error().Message());
 }
 
-Rejection CheckServicesForm(const Command& aCommand)
+ErrorAnswer CheckServicesForm(const Command& aCommand)
 {
   std::set<std::string> names;
   for (std::size_t i = 0; i < aCommand.mServices.size(); ++i) {
@@ -80,14 +80,14 @@
       return Refuse(ServicePath(i) + ".name: found \"" + change.mName +
                     "\" twice, expected distinct names");
     }
-    if (auto rejection = CheckChangeForm(change, ServicePath(i))) {
-      return rejection;
+    if (auto errorAnswer = CheckChangeForm(change, ServicePath(i))) {
+      return errorAnswer;
     }
   }
   return {};
 }
 
-Rejection CheckForm(const Command& aCommand)
+ErrorAnswer CheckForm(const Command& aCommand)
 {
   if (aCommand.mServices.empty() && !aCommand.mDataCentre && !aCommand.mDrain &&
       !aCommand.mRoutes) {
@@ -125,7 +125,7 @@
   return {CommandOutcome::Conflict, 0, std::move(detail)};
 }
 
-Rejection CheckVersions(const StoreState& aState, const Command& aCommand)
+ErrorAnswer CheckVersions(const ConfigurationStoreState& aState, const Command& aCommand)
 {
   for (const ServiceChange& change : aCommand.mServices) {
     const ServiceEntry* entry = aState.mConfiguration.FindService(change.mName);
@@ -147,8 +147,8 @@
   return {};
 }
 
-Rejection ApplyServiceChange(Configuration& aNext, std::uint64_t aIndex,
-                             const ServiceChange& aChange, const std::string& aPath)
+ErrorAnswer ApplyServiceChange(Configuration& aNext, std::uint64_t aIndex,
+                               const ServiceChange& aChange, const std::string& aPath)
 {
   if (!aChange.mSpec) {
     aNext.mServices.erase(aChange.mName);
@@ -189,16 +189,17 @@
 Result<void> CheckAddresses(const Configuration& aConfiguration)
 {
   // Keyed by the canonical text: one endpoint has several spellings.
-  std::map<std::string, std::string> owners;
+  std::map<std::string, std::string> serviceByAddress;
   for (const auto& [name, entry] : aConfiguration.mServices) {
     for (const std::string& address : entry.mSpec.mAddresses) {
       const auto endpoint = Endpoint::Parse(address);
       if (!endpoint) {
         return endpoint.as_failure();
       }
-      if (const auto [owner, isNew] = owners.emplace(endpoint.value().ToString(), name); !isNew) {
+      if (const auto [known, isNew] = serviceByAddress.emplace(endpoint.value().ToString(), name);
+          !isNew) {
         return Fail(ErrorCode::InvalidInput, "configuration.check", name,
-                    "addresses: " + address + " belongs to service " + owner->second +
+                    "addresses: " + address + " belongs to service " + known->second +
                       " already, expected an address of one service only");
       }
     }
@@ -261,20 +262,21 @@
   return CheckAddresses(aConfiguration);
 }
 
-std::variant<Configuration, CommandAnswer> Evaluate(const StoreState& aState, std::uint64_t aIndex,
-                                                    const Command& aCommand)
+std::variant<Configuration, CommandAnswer> Evaluate(const ConfigurationStoreState& aState,
+                                                    std::uint64_t aIndex, const Command& aCommand)
 {
-  if (auto rejection = CheckForm(aCommand)) {
-    return std::move(*rejection);
+  if (auto errorAnswer = CheckForm(aCommand)) {
+    return std::move(*errorAnswer);
   }
-  if (auto rejection = CheckVersions(aState, aCommand)) {
-    return std::move(*rejection);
+  if (auto errorAnswer = CheckVersions(aState, aCommand)) {
+    return std::move(*errorAnswer);
   }
   Configuration next = aState.mConfiguration;
   next.mRevision = aIndex;
   for (std::size_t i = 0; i < aCommand.mServices.size(); ++i) {
-    if (auto rejection = ApplyServiceChange(next, aIndex, aCommand.mServices[i], ServicePath(i))) {
-      return std::move(*rejection);
+    if (auto errorAnswer =
+          ApplyServiceChange(next, aIndex, aCommand.mServices[i], ServicePath(i))) {
+      return std::move(*errorAnswer);
     }
   }
   ApplyOtherChanges(next, aCommand);
--- a/lib/Control/ConfigurationStore.cpp
+++ b/lib/Control/ConfigurationStore.cpp
@@ -13,7 +13,7 @@
 
 // Removes the oldest writers of deleted services beyond kMaxServices. The others are kept, so that
 // an operator whose change conflicts with a deletion is told who deleted the service.
-void PruneWriters(StoreState& aState)
+void PruneWriters(ConfigurationStoreState& aState)
 {
   while (aState.mServiceWriters.size() > kMaxServices) {
     auto oldest = aState.mServiceWriters.end();
@@ -28,7 +28,7 @@
   }
 }
 
-void RecordWriters(StoreState& aState, std::uint64_t aIndex, const Command& aCommand)
+void RecordWriters(ConfigurationStoreState& aState, std::uint64_t aIndex, const Command& aCommand)
 {
   const LastWriter writer{aCommand.mPublicationId, aCommand.mOperator, aIndex};
   for (const ServiceChange& change : aCommand.mServices) {
@@ -45,7 +45,7 @@
   return Fail(ErrorCode::InvalidInput, "snapshot.check", "", aDetail);
 }
 
-Result<void> CheckAnswers(const StoreState& aState)
+Result<void> CheckAnswers(const ConfigurationStoreState& aState)
 {
   if (aState.mAnswers.size() > kMaxAnswers) {
     return Inconsistent("answers: found more than " + std::to_string(kMaxAnswers));
@@ -66,7 +66,7 @@
   return Ok();
 }
 
-Result<void> CheckState(const StoreState& aState)
+Result<void> CheckState(const ConfigurationStoreState& aState)
 {
   if (aState.mConfiguration.mRevision > aState.mAppliedIndex) {
     return Inconsistent("configuration.revision: expected at most the applied index");
@@ -119,9 +119,9 @@
             "found " + std::to_string(kMaxAnswers) + " publications within 24 h, expected fewer"};
   }
   auto result = Evaluate(mState, aIndex, aCommand);
-  if (auto* rejection = std::get_if<CommandAnswer>(&result)) {
-    KeepAnswer(aIndex, aCommand, *rejection);
-    return std::move(*rejection);
+  if (auto* errorAnswer = std::get_if<CommandAnswer>(&result)) {
+    KeepAnswer(aIndex, aCommand, *errorAnswer);
+    return std::move(*errorAnswer);
   }
   auto& next = std::get<Configuration>(result);
   if (next.mRoutes.mVersion > mState.mConfiguration.mRoutes.mVersion) {
@@ -170,7 +170,7 @@
 
 Result<void> ConfigurationStore::Restore(const Json& aSnapshot)
 {
-  auto state = FromJson<StoreState>(aSnapshot, "snapshot");
+  auto state = FromJson<ConfigurationStoreState>(aSnapshot, "snapshot");
   if (!state) {
     return state.as_failure();
   }
--- a/lib/Control/GenerationPlan.cpp
+++ b/lib/Control/GenerationPlan.cpp
@@ -75,9 +75,10 @@
          mConfiguration.IsDataCentreOut(entry->mAnnouncement.mMember.mDataCentre);
 }
 
-// Eligible members with their announced weights, which they get at once if no other member serves:
-// weights are relative, so low ones would change nothing.
-std::vector<WeightedMember> GenerationPlan::AnnouncedWeights() const
+// Eligible members that have announced themselves and take new work, with their announced weights.
+// They get these weights at once if no other member serves: weights are relative, so low ones would
+// change nothing.
+std::vector<WeightedMember> GenerationPlan::MembersTakingNewWork() const
 {
   std::vector<WeightedMember> members;
   for (const LeaseEntry* entry : mAgents) {
@@ -108,7 +109,7 @@
 void GenerationPlan::AddJoining(std::vector<WeightedMember>& aMembers) const
 {
   std::vector<WeightedMember> joining;
-  for (const WeightedMember& candidate : AnnouncedWeights()) {
+  for (const WeightedMember& candidate : MembersTakingNewWork()) {
     if (!std::binary_search(aMembers.begin(), aMembers.end(), candidate, NameLess)) {
       joining.push_back({candidate.mMember, std::min(candidate.mWeight, kJoinWeight)});
     }
@@ -130,7 +131,7 @@
     }
   }
   if (step.mMembers.empty()) {
-    step.mMembers = AnnouncedWeights();
+    step.mMembers = MembersTakingNewWork();
     step.mIsWeightStep = true;
     return step.mMembers.empty() ? std::nullopt : std::optional(std::move(step));
   }
@@ -155,7 +156,7 @@
     return std::nullopt;
   }
   if (members.empty()) {
-    members = AnnouncedWeights();
+    members = MembersTakingNewWork();
   }
   return members.empty() ? std::nullopt : std::optional(std::move(members));
 }
--- a/lib/Control/GenerationPlan.h
+++ b/lib/Control/GenerationPlan.h
@@ -9,7 +9,7 @@
 
 namespace dandelionslip {
 
-/// The agents that announce themselves for each service.
+/// The lease entries of all agents by service, in any state.
 std::map<std::string, AgentsOfService> AgentsByService(const LeaseTable& aLeases);
 
 /// Plans the next generation of one service, regardless of acknowledgements.
@@ -26,18 +26,20 @@
                  const LeaseTable& aLeases, const AgentsOfService& aAgents);
 
   /// The next generation with all changes that are due; joins and weight steps only with aStepDue.
-  /// Empty if nothing changes or no member is eligible: the owners then keep their buckets and
-  /// flows.
+  /// If no member of the newest generation is eligible, the eligible members that take new work
+  /// replace them at once. Empty if nothing changes or no member is eligible: the owners then keep
+  /// their buckets and flows.
   std::optional<Step> PlannedChange(const ServiceView& aService, bool aStepDue) const;
 
   /// The next generation with only those members removed whose buckets have no live owner, or with
-  /// all eligible members if none is left. Empty if nobody is removed or nobody is eligible.
+  /// all eligible members that take new work if none is left. Empty if nobody is removed or the
+  /// result would have no members.
   std::optional<std::vector<WeightedMember>> ForcedRemoval(const ServiceView& aService) const;
 
 private:
   bool IsEligible(const LeaseEntry* aEntry) const;
   bool HasNoLiveOwner(const std::string& aName) const;
-  std::vector<WeightedMember> AnnouncedWeights() const;
+  std::vector<WeightedMember> MembersTakingNewWork() const;
   std::uint32_t SteppedWeight(const WeightedMember& aMember) const;
   void AddJoining(std::vector<WeightedMember>& aMembers) const;
 
--- a/lib/Control/LeaseTable.cpp
+++ b/lib/Control/LeaseTable.cpp
@@ -112,9 +112,10 @@
   if (same && RevertsPlannedStop(entry.mAnnouncedState, member.mState)) {
     return RenewalOutcome::Fenced;
   }
-  const std::uint64_t liveFrom = same && !IsGone(before.mState) ? entry.mLiveSinceRevision : 0;
-  entry =
-    LeaseEntry{aAnnouncement, member.mState, DeadlineFor(member.mState, aNow), liveFrom, true};
+  const std::uint64_t liveSinceRevision =
+    same && !IsGone(before.mState) ? entry.mLiveSinceRevision : 0;
+  entry = LeaseEntry{aAnnouncement, member.mState, DeadlineFor(member.mState, aNow),
+                     liveSinceRevision, true};
   if (same) {
     entry.mAnnouncement.mAckedGeneration = std::max(acked, aAnnouncement.mAckedGeneration);
   }
--- a/lib/Control/MembershipCore.cpp
+++ b/lib/Control/MembershipCore.cpp
@@ -8,19 +8,21 @@
 
 namespace {
 
+// A view revision holds the term of the leader that issued it in its upper 32 bits and counts the
+// views of that term from 1 in the lower 32.
 constexpr unsigned kTermShift = 32;
 
 template <typename State, typename Difference>
-void AddNewer(const RevisionHistory<State, Difference>& aHistory, std::uint64_t aHeld,
+void AddNewer(const RevisionHistory<State, Difference>& aHistory, std::uint64_t aKnownRevision,
               std::optional<State>& aWhole, std::optional<Difference>& aDifference)
 {
-  if (aHeld >= aHistory.Newest().mRevision) {
+  if (aKnownRevision >= aHistory.Newest().mRevision) {
     return;
   }
   // A node without state (revision 0) gets the whole state, even if a difference from revision 0 is
   // kept.
-  if (aHeld > 0) {
-    aDifference = aHistory.DifferenceFrom(aHeld);
+  if (aKnownRevision > 0) {
+    aDifference = aHistory.DifferenceFrom(aKnownRevision);
   }
   if (!aDifference) {
     aWhole = aHistory.Newest();
@@ -52,7 +54,7 @@
   RenewalOutcome outcome = IsFencedByView(member)
                              ? RenewalOutcome::Fenced
                              : mAttached.RecordAnnouncement(aAnnouncement, aNow);
-  if (outcome == RenewalOutcome::Accepted && mRole.mLeading) {
+  if (outcome == RenewalOutcome::Accepted && mRaftStatus.mLeading) {
     outcome = mLeases.Renew(aAnnouncement, aNow);
   }
   answer.mFenced = outcome == RenewalOutcome::Fenced;
@@ -67,7 +69,7 @@
 
 Milliseconds MembershipCore::LeaseFor(const Member& aMember, TimePoint aNow) const
 {
-  if (!mRole.mLeading) {
+  if (!mRaftStatus.mLeading) {
     return mAttached.LeaseFor(aMember.mName, aMember.mIncarnation, aNow);
   }
   return mLeases.IsLiveInHeldView(aMember.mName, mHeldRevision) ? mSettings.mLease
@@ -86,9 +88,10 @@
 
 SummaryAnswer MembershipCore::OnSummary(const MemberSummary& aSummary, TimePoint aNow)
 {
-  if (!mRole.mLeading || aSummary.mTerm != mRole.mTerm || aSummary.mReplica == mReplica) {
+  if (!mRaftStatus.mLeading || aSummary.mTerm != mRaftStatus.mTerm ||
+      aSummary.mReplica == mReplica) {
     SummaryAnswer answer;
-    answer.mTerm = mRole.mTerm;
+    answer.mTerm = mRaftStatus.mTerm;
     answer.mSequence = aSummary.mSequence;
     return answer;
   }
@@ -100,7 +103,7 @@
     AdoptViewOf(aSummary, peer, answer, aNow);
     StartIssuing(aNow);
   }
-  RaiseHeldRevision(QuorumRevision());
+  UpdateHeldRevision(QuorumRevision());
   return answer;
 }
 
@@ -108,7 +111,7 @@
                                  TimePoint aNow)
 {
   const bool ofEarlierTerm =
-    aSummary.mView && (aSummary.mView->mRevision >> kTermShift) < mRole.mTerm;
+    aSummary.mView && (aSummary.mView->mRevision >> kTermShift) < mRaftStatus.mTerm;
   if (ofEarlierTerm && mViews.Advance(*aSummary.mView)) {
     mLeases.Adopt(*aSummary.mView, aNow);
   }
@@ -119,11 +122,11 @@
 void MembershipCore::OnSummaryAnswer(const SummaryAnswer& aAnswer)
 {
   mAwaitingSummaryAnswer = false;
-  if (mRole.mLeading || aAnswer.mTerm != mRole.mTerm) {
+  if (mRaftStatus.mLeading || aAnswer.mTerm != mRaftStatus.mTerm) {
     return;
   }
   mViewRequested = aAnswer.mViewWanted;
-  RaiseHeldRevision(aAnswer.mHeldRevision);
+  UpdateHeldRevision(aAnswer.mHeldRevision);
   mAttached.HandleAnswer(aAnswer, ServedView().mRevision);
   if (aAnswer.mViewWanted || aAnswer.mWholeWanted) {
     mSummarySentAt.reset();
@@ -132,9 +135,9 @@
 
 ViewUpdateAnswer MembershipCore::OnViewUpdate(const ViewUpdate& aUpdate)
 {
-  if (!mRole.mLeading && aUpdate.mTerm == mRole.mTerm) {
+  if (!mRaftStatus.mLeading && aUpdate.mTerm == mRaftStatus.mTerm) {
     ApplyViewUpdate(aUpdate);
-    RaiseHeldRevision(aUpdate.mHeldRevision);
+    UpdateHeldRevision(aUpdate.mHeldRevision);
   }
   return {mReplica, aUpdate.mTerm, CurrentView().mRevision};
 }
@@ -157,11 +160,11 @@
   }
 }
 
-void MembershipCore::RaiseHeldRevision(std::uint64_t aRevision)
+void MembershipCore::UpdateHeldRevision(std::uint64_t aRevision)
 {
   mHeldRevision = std::max(mHeldRevision, aRevision);
   const std::uint64_t heldTerm = mHeldRevision >> kTermShift;
-  // A view of an earlier term may be one that never reached a quorum.
+  // Serves no view of a term before that of the held revision: it may never have reached a quorum.
   if (CurrentView().mRevision <= mHeldRevision) {
     if (CurrentView().mRevision >> kTermShift == heldTerm) {
       mServedViews.Advance(CurrentView());
@@ -176,12 +179,12 @@
 
 void MembershipCore::OnViewUpdateAnswer(const ViewUpdateAnswer& aAnswer)
 {
-  if (!mRole.mLeading || aAnswer.mTerm != mRole.mTerm) {
+  if (!mRaftStatus.mLeading || aAnswer.mTerm != mRaftStatus.mTerm) {
     return;
   }
   if (const auto peer = mPeers.find(aAnswer.mReplica); peer != mPeers.end()) {
     peer->second.mViewRevision = aAnswer.mViewRevision;
-    RaiseHeldRevision(QuorumRevision());
+    UpdateHeldRevision(QuorumRevision());
   }
 }
 
@@ -201,18 +204,19 @@
   return restored;
 }
 
-void MembershipCore::OnRoleChange(const RoleChange& aChange, TimePoint aNow)
+void MembershipCore::OnRaftStatus(const RaftStatus& aStatus, TimePoint aNow)
 {
-  const bool sameTerm = aChange.mTerm == mRole.mTerm && aChange.mLeading == mRole.mLeading &&
-                        aChange.mLeader == mRole.mLeader;
-  mRole = aChange;
-  if (!sameTerm) {
-    BeginTerm(aNow);
+  const bool unchanged = aStatus.mTerm == mRaftStatus.mTerm &&
+                         aStatus.mLeading == mRaftStatus.mLeading &&
+                         aStatus.mLeader == mRaftStatus.mLeader;
+  mRaftStatus = aStatus;
+  if (!unchanged) {
+    OnLeadershipChange(aNow);
   }
   StartIssuing(aNow);
 }
 
-void MembershipCore::BeginTerm(TimePoint aNow)
+void MembershipCore::OnLeadershipChange(TimePoint aNow)
 {
   mIssuing = false;
   mViewRequested = false;
@@ -221,7 +225,7 @@
   mViewUpdatedAt.reset();
   mPeers.clear();
   mLeases = LeaseTable(mSettings);
-  if (!mRole.mLeading) {
+  if (!mRaftStatus.mLeading) {
     return;
   }
   mLeases.Adopt(CurrentView(), aNow);
@@ -233,7 +237,7 @@
 
 void MembershipCore::StartIssuing(TimePoint aNow)
 {
-  if (!mRole.mLeading || mIssuing || !KnowsViewsOfQuorum()) {
+  if (!mRaftStatus.mLeading || mIssuing || !KnowsViewsOfQuorum()) {
     return;
   }
   mIssuing = true;
@@ -244,41 +248,43 @@
   if (CurrentView().mRevision == 0 && !mStore.Current().mServices.empty()) {
     mFirstIssueTime += mSettings.mLease + mSettings.mLeaseMargin;
   }
-  mBuilder.StartTerm(mRole.mTerm, CurrentView());
+  mBuilder.StartTerm(mRaftStatus.mTerm, CurrentView());
 }
 
 bool MembershipCore::IsVoter(const std::string& aReplica) const
 {
-  return std::find(mRole.mVoters.begin(), mRole.mVoters.end(), aReplica) != mRole.mVoters.end();
+  return std::find(mRaftStatus.mVoters.begin(), mRaftStatus.mVoters.end(), aReplica) !=
+         mRaftStatus.mVoters.end();
 }
 
 bool MembershipCore::KnowsViewsOfQuorum() const
 {
-  std::size_t heard = IsVoter(mReplica) ? 1 : 0;
+  std::size_t known = IsVoter(mReplica) ? 1 : 0;
   for (const auto& [name, peer] : mPeers) {
-    heard += peer.mViewKnown && IsVoter(name) ? 1 : 0;
+    known += peer.mViewKnown && IsVoter(name) ? 1 : 0;
   }
-  return heard > mRole.mVoters.size() / 2;
+  return known > mRaftStatus.mVoters.size() / 2;
 }
 
 std::uint64_t MembershipCore::QuorumRevision() const
 {
-  std::vector<std::uint64_t> held;
-  for (const std::string& voter : mRole.mVoters) {
+  std::vector<std::uint64_t> revisions;
+  for (const std::string& voter : mRaftStatus.mVoters) {
     const auto peer = mPeers.find(voter);
-    held.push_back(voter == mReplica ? CurrentView().mRevision
-                                     : (peer == mPeers.end() ? 0 : peer->second.mViewRevision));
+    revisions.push_back(voter == mReplica
+                          ? CurrentView().mRevision
+                          : (peer == mPeers.end() ? 0 : peer->second.mViewRevision));
   }
-  if (held.empty()) {
+  if (revisions.empty()) {
     return 0;
   }
-  std::sort(held.begin(), held.end(), std::greater<>());
-  return held[held.size() / 2];
+  std::sort(revisions.begin(), revisions.end(), std::greater<>());
+  return revisions[revisions.size() / 2];
 }
 
 bool MembershipCore::MayIssueView() const
 {
-  const std::uint64_t firstOfTerm = mRole.mTerm << kTermShift;
+  const std::uint64_t firstOfTerm = mRaftStatus.mTerm << kTermShift;
   const std::uint64_t held = std::max(QuorumRevision(), firstOfTerm);
   return CurrentView().mRevision < held + kMaxUnheldViews;
 }
@@ -296,24 +302,24 @@
   if (MayIssueView() && mBuilder.Update(mStore.Current(), mLeases, aNow)) {
     mViews.Advance(mBuilder.Current());
   }
-  if (CurrentView().mRevision >> kTermShift == mRole.mTerm) {
+  if (CurrentView().mRevision >> kTermShift == mRaftStatus.mTerm) {
     mLeases.MarkLiveInView(CurrentView().mRevision);
   }
-  RaiseHeldRevision(QuorumRevision());
+  UpdateHeldRevision(QuorumRevision());
 }
 
-std::optional<ViewUpdate> MembershipCore::ViewUpdateFor(Peer& aPeer, TimePoint aNow) const
+std::optional<ViewUpdate> MembershipCore::PrepareViewUpdate(Peer& aPeer, TimePoint aNow) const
 {
   const std::uint64_t newest = CurrentView().mRevision;
-  const bool waits =
+  const bool awaitsAnswer =
     aPeer.mViewRevisionSent == newest && aNow - aPeer.mViewSentAt < mSettings.mViewResend;
-  const bool behind = aPeer.mViewRevision < newest && !waits;
+  const bool behind = aPeer.mViewRevision < newest && !awaitsAnswer;
   if (aNow - aPeer.mLastSummaryAt > mSettings.mLease ||
       (!behind && aPeer.mHeldRevisionSent >= mHeldRevision)) {
     return std::nullopt;
   }
   ViewUpdate update;
-  update.mTerm = mRole.mTerm;
+  update.mTerm = mRaftStatus.mTerm;
   update.mHeldRevision = mHeldRevision;
   aPeer.mHeldRevisionSent = mHeldRevision;
   if (behind) {
@@ -327,7 +333,7 @@
 void MembershipCore::AddViewUpdates(std::vector<MembershipAction>& aActions, TimePoint aNow)
 {
   for (auto& [name, peer] : mPeers) {
-    if (auto update = ViewUpdateFor(peer, aNow)) {
+    if (auto update = PrepareViewUpdate(peer, aNow)) {
       aActions.emplace_back(SendViewUpdate{name, std::move(*update)});
     }
   }
@@ -335,28 +341,28 @@
 
 void MembershipCore::AddSummary(std::vector<MembershipAction>& aActions, TimePoint aNow)
 {
-  if (mRole.mLeader.empty()) {
+  if (mRaftStatus.mLeader.empty()) {
     return;
   }
-  const Milliseconds pause =
+  const Milliseconds interval =
     mAwaitingSummaryAnswer ? mSettings.mSummaryTimeout : mSettings.mSummaryInterval;
-  if (mSummarySentAt && aNow - *mSummarySentAt < pause) {
+  if (mSummarySentAt && aNow - *mSummarySentAt < interval) {
     return;
   }
   MemberSummary summary =
-    mAttached.BuildSummary(mReplica, mRole.mTerm, CurrentView().mRevision, aNow);
+    mAttached.BuildSummary(mReplica, mRaftStatus.mTerm, CurrentView().mRevision, aNow);
   if (mViewRequested) {
     summary.mView = CurrentView();
   }
   mSummarySentAt = aNow;
   mAwaitingSummaryAnswer = true;
-  aActions.emplace_back(SendSummary{mRole.mLeader, std::move(summary)});
+  aActions.emplace_back(SendSummary{mRaftStatus.mLeader, std::move(summary)});
 }
 
 std::vector<MembershipAction> MembershipCore::OnTick(TimePoint aNow)
 {
   std::vector<MembershipAction> actions;
-  if (!mRole.mLeading) {
+  if (!mRaftStatus.mLeading) {
     AddSummary(actions, aNow);
     return actions;
   }
--- a/lib/Control/RaftCoreImpl.cpp
+++ b/lib/Control/RaftCoreImpl.cpp
@@ -54,7 +54,7 @@
   if (Role() == RaftRole::Leader) {
     TickLeader();
   } else if (Role() != RaftRole::Stopped && mNow >= mElectionDeadline) {
-    IsCandidateEligible() ? StartPreVote() : ResetElectionDeadline();
+    MayStartElection() ? StartPreVote() : ResetElectionDeadline();
   }
   return CollectActions();
 }
@@ -224,6 +224,7 @@
   mPeers.clear();
   mVotes.clear();
   mTransferTarget.reset();
+  // Keeps a known leader of this term unless it was this replica itself.
   if (aLeader || mLeader == mSelf) {
     mLeader = std::move(aLeader);
   }
@@ -231,7 +232,7 @@
 
 void RaftCore::Impl::Stop(std::string aReason)
 {
-  if (mRole.Process(RoleEvent::Refused)) {
+  if (mRole.Process(RoleEvent::Stop)) {
     mStopReason = std::move(aReason);
     mLeader.reset();
     mPeers.clear();
@@ -252,7 +253,7 @@
   }
 }
 
-bool RaftCore::Impl::IsCandidateEligible() const
+bool RaftCore::Impl::MayStartElection() const
 {
   return !mLog.IsEmpty() && mLog.LatestMembership().IsVoter(mSelf);
 }
--- a/lib/Control/RaftCoreImpl.h
+++ b/lib/Control/RaftCoreImpl.h
@@ -57,7 +57,7 @@
   void BecomeFollower(Term aTerm, std::optional<ReplicaId> aLeader);
   void Stop(std::string aReason);
   void CheckOwnIdentity();
-  bool IsCandidateEligible() const;
+  bool MayStartElection() const;
 
   // Checks before a message is handled.
   std::optional<std::string> ReasonToRefuse(const RaftMessage& aMessage) const;
@@ -94,8 +94,12 @@
   // Leader side of replication.
   void Handle(const RaftMessage& aMessage, const AppendAnswer& aAnswer);
   void Handle(const RaftMessage& aMessage, const SnapshotAnswer& aAnswer);
+  /// The peer that an answer comes from, with its store id recorded; null if the answer must be
+  /// ignored.
   RaftPeer* PeerOf(const RaftMessage& aMessage);
-  bool CheckStore(const RaftMessage& aMessage, RaftPeer& aPeer);
+  /// Records the store id of the peer and restarts replication if its data directory was replaced.
+  /// Returns false if the message must be ignored.
+  bool AcceptStore(const RaftMessage& aMessage, RaftPeer& aPeer);
   void RecordContact(RaftPeer& aPeer, std::int64_t aSentNs) const;
   void RecordMatch(RaftPeer& aPeer, LogIndex aMatch);
   void RecordMismatch(RaftPeer& aPeer, const AppendAnswer& aAnswer);
--- a/lib/Control/RaftElection.cpp
+++ b/lib/Control/RaftElection.cpp
@@ -148,9 +148,9 @@
 {
   // A learner votes too, because it may have been promoted without having received the promotion.
   // The candidate counts only the voters of its own membership.
-  const bool free = mHardState.mVotedFor.empty() || mHardState.mVotedFor == aMessage.mFrom;
+  const bool mayVote = mHardState.mVotedFor.empty() || mHardState.mVotedFor == aMessage.mFrom;
   const bool granted =
-    free && !mLog.IsEmpty() && IsCandidateLogUpToDate(aRequest.mLastIndex, aRequest.mLastTerm);
+    mayVote && !mLog.IsEmpty() && IsCandidateLogUpToDate(aRequest.mLastIndex, aRequest.mLastTerm);
   if (granted) {
     SetHardState(mHardState.mTerm, aMessage.mFrom);
     ResetElectionDeadline();
@@ -169,7 +169,7 @@
 void RaftCore::Impl::Handle(const RaftMessage& aMessage, const TimeoutNow& /*aRequest*/)
 {
   if (Role() == RaftRole::Follower && mLeader == aMessage.mFrom && aMessage.mToStore == mStore &&
-      IsCandidateEligible()) {
+      MayStartElection()) {
     StartElection(true);
   }
 }
--- a/lib/Control/RaftReplication.cpp
+++ b/lib/Control/RaftReplication.cpp
@@ -59,16 +59,15 @@
   }
 }
 
-// The peer that an answer comes from, or null if the answer must be ignored.
 RaftPeer* RaftCore::Impl::PeerOf(const RaftMessage& aMessage)
 {
   const auto found = mPeers.find(aMessage.mFrom);
   const bool usable = Role() == RaftRole::Leader && aMessage.mToStore == mStore &&
-                      found != mPeers.end() && CheckStore(aMessage, found->second);
+                      found != mPeers.end() && AcceptStore(aMessage, found->second);
   return usable ? &found->second : nullptr;
 }
 
-bool RaftCore::Impl::CheckStore(const RaftMessage& aMessage, RaftPeer& aPeer)
+bool RaftCore::Impl::AcceptStore(const RaftMessage& aMessage, RaftPeer& aPeer)
 {
   const ReplicaInfo* info = mLog.LatestMembership().Find(aMessage.mFrom);
   const StoreId store = aMessage.mFromStore;
@@ -181,8 +180,8 @@
 {
   switch (aPeer.mStateMachine.State()) {
     case PeerState::Refused:
-      // The refusal is sent in answer to a message of the peer, once the membership is committed;
-      // the heartbeat makes the peer send one.
+      // Makes the peer answer: once the membership is committed, its next message is answered with
+      // a refusal.
       aPeer.mNextIndex = mLog.LastIndex() + 1;
       SendAppend(aId, aPeer, false);
       return;
--- a/lib/Control/RecordCodec.h
+++ b/lib/Control/RecordCodec.h
@@ -31,7 +31,7 @@
 {
   RecordStatus mStatus = RecordStatus::Corrupt;
   std::span<const std::uint8_t> mPayload;
-  std::uint64_t mEnd = 0;  ///< Offset after the record.
+  std::uint64_t mEnd = 0;  ///< Offset after the record; valid only if it is Complete.
   std::string_view mError; ///< Why the record is not Complete; empty if it is.
 };
 
--- a/lib/Control/ReplicaRepairPlanner.cpp
+++ b/lib/Control/ReplicaRepairPlanner.cpp
@@ -15,7 +15,7 @@
                                          TimePoint aNow)
 {
   std::erase_if(mJoining, [&](const auto& aItem) {
-    return aNow - aItem.second.mAt > mSettings.mJoinLifetime ||
+    return aNow - aItem.second.mReceivedAt > mSettings.mJoinLifetime ||
            (aItem.second.mAddress == aAddress && aItem.first != aReplica);
   });
   if (mJoining.size() < mSettings.mMaxReplicas || mJoining.contains(aReplica)) {
@@ -37,8 +37,8 @@
 Milliseconds ReplicaRepairPlanner::TimeSinceLastMessage(const ReplicaId& aReplica,
                                                         TimePoint aNow) const
 {
-  const auto heard = mLastMessage.find(aReplica);
-  const TimePoint since = heard == mLastMessage.end() ? mLeaderSince : heard->second;
+  const auto last = mLastMessage.find(aReplica);
+  const TimePoint since = last == mLastMessage.end() ? mLeaderSince : last->second;
   return std::chrono::duration_cast<Milliseconds>(aNow - since);
 }
 
@@ -55,7 +55,8 @@
   return std::any_of(mJoining.begin(), mJoining.end(), [&](const auto& aItem) {
     const auto& [joining, request] = aItem;
     return joining != aReplica && request.mAddress == info->mAddress &&
-           !aGroup.mMembers.IsRemoved(joining) && aNow - request.mAt <= mSettings.mJoinLifetime;
+           !aGroup.mMembers.IsRemoved(joining) &&
+           aNow - request.mReceivedAt <= mSettings.mJoinLifetime;
   });
 }
 
@@ -79,14 +80,14 @@
   return longestIdle;
 }
 
-std::optional<RaftMembershipChange> ReplicaRepairPlanner::AddJoining(const ReplicaGroup& aGroup,
-                                                                     TimePoint aNow) const
+std::optional<RaftMembershipChange> ReplicaRepairPlanner::NextAddition(const ReplicaGroup& aGroup,
+                                                                       TimePoint aNow) const
 {
   if (aGroup.mMembers.mReplicas.size() >= mSettings.mMaxReplicas) {
     return std::nullopt;
   }
   for (const auto& [id, request] : mJoining) {
-    const bool fresh = aNow - request.mAt <= mSettings.mJoinLifetime;
+    const bool fresh = aNow - request.mReceivedAt <= mSettings.mJoinLifetime;
     if (fresh && aGroup.mMembers.Find(id) == nullptr && !aGroup.mMembers.IsRemoved(id)) {
       return RaftMembershipChange{RaftMembershipChangeKind::AddLearner, id, request.mAddress};
     }
@@ -94,8 +95,8 @@
   return std::nullopt;
 }
 
-std::optional<RaftMembershipChange> ReplicaRepairPlanner::PromoteLearner(const ReplicaGroup& aGroup,
-                                                                         TimePoint aNow) const
+std::optional<RaftMembershipChange> ReplicaRepairPlanner::NextPromotion(const ReplicaGroup& aGroup,
+                                                                        TimePoint aNow) const
 {
   const std::size_t voters = aGroup.mMembers.VoterCount();
   const bool wanted = voters < mSettings.mTargetVoters ||
@@ -113,8 +114,8 @@
   return std::nullopt;
 }
 
-std::optional<RaftMembershipChange> ReplicaRepairPlanner::RemoveReplica(const ReplicaGroup& aGroup,
-                                                                        TimePoint aNow) const
+std::optional<RaftMembershipChange> ReplicaRepairPlanner::NextRemoval(const ReplicaGroup& aGroup,
+                                                                      TimePoint aNow) const
 {
   if (aGroup.mMembers.VoterCount() > mSettings.mTargetVoters) {
     if (const auto voter = ReplaceableVoter(aGroup, aNow)) {
@@ -138,9 +139,9 @@
                                                                              TimePoint) const;
   // Removes a surplus voter first: while it counts for the quorum, one more loss can stop the
   // group.
-  static constexpr std::array<Step, 3> kSteps{&ReplicaRepairPlanner::RemoveReplica,
-                                              &ReplicaRepairPlanner::PromoteLearner,
-                                              &ReplicaRepairPlanner::AddJoining};
+  static constexpr std::array<Step, 3> kSteps{&ReplicaRepairPlanner::NextRemoval,
+                                              &ReplicaRepairPlanner::NextPromotion,
+                                              &ReplicaRepairPlanner::NextAddition};
   for (const Step step : kSteps) {
     if (auto change = (this->*step)(aGroup, aNow)) {
       return change;
--- a/lib/Control/RoleStateMachine.cpp
+++ b/lib/Control/RoleStateMachine.cpp
@@ -46,10 +46,10 @@
                          _row<PreCandidate, On<RoleEvent::StepDown>, Follower>,
                          _row<Candidate, On<RoleEvent::StepDown>, Follower>,
                          _row<Leader, On<RoleEvent::StepDown>, Follower>,
-                         _row<Follower, On<RoleEvent::Refused>, Stopped>,
-                         _row<PreCandidate, On<RoleEvent::Refused>, Stopped>,
-                         _row<Candidate, On<RoleEvent::Refused>, Stopped>,
-                         _row<Leader, On<RoleEvent::Refused>, Stopped>>
+                         _row<Follower, On<RoleEvent::Stop>, Stopped>,
+                         _row<PreCandidate, On<RoleEvent::Stop>, Stopped>,
+                         _row<Candidate, On<RoleEvent::Stop>, Stopped>,
+                         _row<Leader, On<RoleEvent::Stop>, Stopped>>
   {};
 
   template <typename E, typename Machine>
@@ -73,7 +73,7 @@
 constexpr std::array kProcessors{
   &ProcessOn<RoleEvent::ElectionDue>, &ProcessOn<RoleEvent::PreVoteWon>,
   &ProcessOn<RoleEvent::VoteWon>,     &ProcessOn<RoleEvent::TransferRequested>,
-  &ProcessOn<RoleEvent::StepDown>,    &ProcessOn<RoleEvent::Refused>,
+  &ProcessOn<RoleEvent::StepDown>,    &ProcessOn<RoleEvent::Stop>,
 };
 
 } // namespace
--- a/lib/Control/RoleStateMachine.h
+++ b/lib/Control/RoleStateMachine.h
@@ -14,7 +14,7 @@
   VoteWon,           ///< A majority voted for this replica.
   TransferRequested, ///< The leader transfers leadership to this replica.
   StepDown,          ///< A newer term or a leader appeared, or the quorum contact was lost.
-  Refused,           ///< This replica must not take part under its identity.
+  Stop,              ///< This replica must not take part any more.
 };
 
 /// State machine of a replica's own role.
--- a/lib/Control/ViewBuilder.cpp
+++ b/lib/Control/ViewBuilder.cpp
@@ -9,6 +9,8 @@
 
 namespace {
 
+// A view revision holds the term of the leader that issued it in its upper 32 bits and counts the
+// views of that term from 1 in the lower 32.
 constexpr unsigned kTermShift = 32;
 
 // Whether a new generation can be added without dropping the last one that all live members have
@@ -116,12 +118,12 @@
       found != mView.mServices.end() && found->second.mServiceId == aEntry.mId) {
     service = found->second;
   }
-  StepTiming& pace = mStepTimings[aName];
-  if (pace.mServiceId != aEntry.mId) {
+  StepTiming& timing = mStepTimings[aName];
+  if (timing.mServiceId != aEntry.mId) {
     // The previous leader may have stepped the weights just before this term.
-    pace = StepTiming{aEntry.mId, aNow, !service.mGenerations.empty()};
+    timing = StepTiming{aEntry.mId, aNow, !service.mGenerations.empty()};
   }
-  const bool stepDue = !pace.mHasStepped || aNow - pace.mLastStep >= mSettings.mStepInterval;
+  const bool stepDue = !timing.mHasLastStep || aNow - timing.mLastStep >= mSettings.mStepInterval;
   const GenerationPlan plan(aName, aConfiguration, aLeases, aAgents);
   const std::uint32_t acked = HighestAcked(aAgents);
   if (!service.mGenerations.empty() && acked > NewestNumber(service)) {
@@ -136,8 +138,8 @@
   if (acknowledged) {
     if (auto next = plan.PlannedChange(service, stepDue)) {
       if (next->mIsWeightStep) {
-        pace.mLastStep = aNow;
-        pace.mHasStepped = true;
+        timing.mLastStep = aNow;
+        timing.mHasLastStep = true;
       }
       AddGeneration(service, std::move(next->mMembers), acked);
     }
--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -239,14 +239,14 @@
   void OnRole(RaftRole aRole, Term aTerm, const std::string& aLeader,
               const RaftMembership& aMembers) override
   {
-    RoleChange change{aTerm, aRole == RaftRole::Leader, aLeader, {}};
+    RaftStatus change{aTerm, aRole == RaftRole::Leader, aLeader, {}};
     for (const auto& [id, info] : aMembers.mReplicas) {
       if (info.mVoter) {
         change.mVoters.push_back(id);
       }
     }
     const std::lock_guard lock(mMutex);
-    mMembership.OnRoleChange(change, RuntimeClock::now());
+    mMembership.OnRaftStatus(change, RuntimeClock::now());
     if (change.mLeading && mNewestLedTerm != aTerm) {
       mNewestLedTerm = aTerm;
       mRepairPlanner.OnBecameLeader(RuntimeClock::now());
--- a/unittests/Control/ConfigurationStoreTest.cpp
+++ b/unittests/Control/ConfigurationStoreTest.cpp
@@ -51,7 +51,8 @@
   }
 
   // Guards against an older route table, or another one with the same version, that replaces an
-  // acknowledged table, and against a refusal of such a late copy.
+  // acknowledged table, and against a command with an older table that is refused instead of
+  // applied without effect on the routes.
   void OlderRouteTablesAreIgnored()
   {
     ConfigurationStore store;
--- a/unittests/Control/ControlCodecTest.cpp
+++ b/unittests/Control/ControlCodecTest.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t kSeeds = 2'000;
 
-// Flips, drops, inserts or repeats bytes.
+// Flips a bit, overwrites or inserts a byte, or truncates, one to three times.
 Bytes Damage(Bytes aBytes, Random& aRandom)
 {
   for (std::uint64_t i = 1 + aRandom.Below(3); i > 0 && !aBytes.empty(); --i) {
@@ -146,7 +146,7 @@
     announcement.mMember.mBackup = "b";
     announcement.mMember.mRequestEndpoint = "192.0.2.7:900";
     MembershipCore core("r0", MembershipSettings{});
-    core.OnRoleChange({1, true, "r0", {"r0"}}, kTestStart);
+    core.OnRaftStatus({1, true, "r0", {"r0"}}, kTestStart);
     TimePoint now = kTestStart;
     CheckDamagedForms(announcement, Decode<Announcement>, [&](const Announcement& aAnnouncement) {
       now += std::chrono::milliseconds(100);
@@ -164,7 +164,7 @@
       SampleSummary(), [](const Bytes& aBytes) { return DecodeMemberSummary(aBytes, "test"); },
       [](const MemberSummary& aSummary) {
         MembershipCore core("r0", MembershipSettings{});
-        core.OnRoleChange({2, true, "r0", {"r0", "r1", "r2"}}, kTestStart);
+        core.OnRaftStatus({2, true, "r0", {"r0", "r1", "r2"}}, kTestStart);
         core.OnSummary(aSummary, kTestStart);
         core.OnTick(kTestStart + std::chrono::seconds(3));
         CPPUNIT_ASSERT(core.CurrentView().mRevision >> 32U <= 2);
@@ -172,7 +172,7 @@
     SummaryAnswer answer{2, 1, true, 5, false, true, {"a"}, {"b"}};
     CheckDamagedForms(answer, Decode<SummaryAnswer>, [](const SummaryAnswer& aAnswer) {
       MembershipCore core("r1", MembershipSettings{});
-      core.OnRoleChange({2, false, "r0", {"r0", "r1"}}, kTestStart);
+      core.OnRaftStatus({2, false, "r0", {"r0", "r1"}}, kTestStart);
       core.OnAnnouncement(AgentAnnouncement("a"), true, kTestStart);
       core.OnTick(kTestStart);
       core.OnSummaryAnswer(aAnswer);
@@ -188,7 +188,7 @@
     next.mMembers["c"] = AgentAnnouncement("c").mMember;
     const auto use = [](const ViewUpdate& aUpdate) {
       MembershipCore core("r1", MembershipSettings{});
-      core.OnRoleChange({1, false, "r0", {"r0", "r1"}}, kTestStart);
+      core.OnRaftStatus({1, false, "r0", {"r0", "r1"}}, kTestStart);
       core.OnViewUpdate({1, 0, SampleView(), std::nullopt});
       core.OnViewUpdate(aUpdate);
       const std::uint64_t revision = core.CurrentView().mRevision;
@@ -218,16 +218,17 @@
     ConfigurationStore store;
     store.Apply(1, PublishCommand(1, TestSpec("planner", 1, "192.0.2.1:80")));
     store.Apply(2, PublishCommand(2, TestSpec("planner", 1, "192.0.2.2:80")));
-    const auto state = FromJson<StoreState>(store.Snapshot(), "test");
-    CheckDamagedForms(state.value(), Decode<StoreState>, [](const StoreState& aState) {
-      ConfigurationStore restored;
-      if (restored.Restore(ToJson(aState))) {
-        CPPUNIT_ASSERT(restored.Snapshot() == ToJson(aState));
-        restored.Apply(aState.mAppliedIndex + 1, DeleteCommand(3, "planner", 1));
-      } else {
-        CPPUNIT_ASSERT(restored.Snapshot() == ConfigurationStore().Snapshot());
-      }
-    });
+    const auto state = FromJson<ConfigurationStoreState>(store.Snapshot(), "test");
+    CheckDamagedForms(state.value(), Decode<ConfigurationStoreState>,
+                      [](const ConfigurationStoreState& aState) {
+                        ConfigurationStore restored;
+                        if (restored.Restore(ToJson(aState))) {
+                          CPPUNIT_ASSERT(restored.Snapshot() == ToJson(aState));
+                          restored.Apply(aState.mAppliedIndex + 1, DeleteCommand(3, "planner", 1));
+                        } else {
+                          CPPUNIT_ASSERT(restored.Snapshot() == ConfigurationStore().Snapshot());
+                        }
+                      });
   }
 
   // Guards against memory without bound when a peer sends oversized messages.
--- a/unittests/Control/ControlFixtures.h
+++ b/unittests/Control/ControlFixtures.h
@@ -17,7 +17,7 @@
 
 ServiceSpec TestSpec(const std::string& aName, std::uint64_t aVersion, const std::string& aAddress);
 
-/// Publishes one service under an expected version.
+/// A command that publishes one service and expects the version before that of the spec.
 Command PublishCommand(std::uint64_t aId, const ServiceSpec& aSpec, std::int64_t aIssuedMs = 1'000);
 
 Command DeleteCommand(std::uint64_t aId, const std::string& aName, std::uint64_t aVersion);
--- a/unittests/Control/DifferenceTest.cpp
+++ b/unittests/Control/DifferenceTest.cpp
@@ -133,8 +133,8 @@
     CPPUNIT_ASSERT(before == view);
   }
 
-  // Guards against a configuration or view that reverts on a node, and against state taken
-  // from an isolated control VM.
+  // Guards against a configuration or view that reverts on a node, and against state taken from an
+  // isolated control replica.
   void NodesNeverRevertToOlderState()
   {
     NodeState node;
--- a/unittests/Control/FakeFileSystem.h
+++ b/unittests/Control/FakeFileSystem.h
@@ -14,7 +14,7 @@
 enum class CrashMode
 {
   DropAll, ///< Nothing.
-  Random,  ///< Any subset of the name changes and any part of the appended bytes.
+  Random,  ///< Any subset of the name changes and any prefix of the appended bytes.
 };
 
 /// FileSystem in memory for one directory. Counts the operations that change something, and can
--- a/unittests/Control/HistoryChecker.cpp
+++ b/unittests/Control/HistoryChecker.cpp
@@ -26,9 +26,9 @@
   if (!added && leader->second != aReplica) {
     Violate(aReplica, "second leader in term " + std::to_string(aTerm));
   }
-  for (const AcceptedEntry& accepted : mAccepted) {
-    if (accepted.mId.mTerm < aTerm && !aHas(accepted.mId)) {
-      Violate(aReplica, "new leader lacks accepted " + Name(accepted.mId));
+  for (const ReportedEntry& reported : mReportedApplied) {
+    if (reported.mId.mTerm < aTerm && !aHas(reported.mId)) {
+      Violate(aReplica, "new leader lacks accepted " + Name(reported.mId));
     }
   }
 }
@@ -65,7 +65,7 @@
   CheckDigest(aReplica, position);
   if (aEntry.mKind == EntryKind::Command) {
     mAppliedPayloads.insert(Hash64(aEntry.mPayload));
-    if (mRefused.contains(Hash64(aEntry.mPayload))) {
+    if (mReportedNotApplied.contains(Hash64(aEntry.mPayload))) {
       Violate(aReplica, "applied refused " + Name(aEntry.Id()));
     }
   }
@@ -82,18 +82,18 @@
   CheckDigest(aReplica, position);
 }
 
-void HistoryChecker::Accepted(TimePoint aNow, const LogEntry& aEntry)
+void HistoryChecker::ReportedApplied(TimePoint aNow, const LogEntry& aEntry)
 {
   const auto committed = mCommitted.find(aEntry.mIndex);
   if (committed == mCommitted.end() || committed->second != aEntry.Id()) {
     Violate("proposer", "accepted " + Name(aEntry.Id()) + " is not applied");
   }
-  mAccepted.push_back({aNow, aEntry.Id()});
+  mReportedApplied.push_back({aNow, aEntry.Id()});
 }
 
-void HistoryChecker::Refused(const Bytes& aPayload)
+void HistoryChecker::ReportedNotApplied(const Bytes& aPayload)
 {
-  mRefused.insert(Hash64(aPayload));
+  mReportedNotApplied.insert(Hash64(aPayload));
   if (mAppliedPayloads.contains(Hash64(aPayload))) {
     Violate("proposer", "a refused payload was applied");
   }
@@ -102,7 +102,7 @@
 void HistoryChecker::Confirmed(const ReplicaId& aReplica, TimePoint aSince)
 {
   const LogIndex applied = mPositions[aReplica].mIndex;
-  for (auto at = mAccepted.rbegin(); at != mAccepted.rend(); ++at) {
+  for (auto at = mReportedApplied.rbegin(); at != mReportedApplied.rend(); ++at) {
     if (at->mTime < aSince) {
       if (at->mId.mIndex > applied) {
         Violate(aReplica, "confirmed without accepted " + Name(at->mId));
--- a/unittests/Control/HistoryChecker.h
+++ b/unittests/Control/HistoryChecker.h
@@ -28,15 +28,16 @@
   /// A replica replaced its state by that of a snapshot.
   void Installed(const ReplicaId& aReplica, LogIndex aIndex, std::uint64_t aDigest);
   /// A proposer was told that its entry is applied.
-  void Accepted(TimePoint aNow, const LogEntry& aEntry);
+  void ReportedApplied(TimePoint aNow, const LogEntry& aEntry);
   /// A proposer was told that its payload will never be applied.
-  void Refused(const Bytes& aPayload);
-  /// A replica reports that it is confirmed: all that was accepted before aSince must be applied.
+  void ReportedNotApplied(const Bytes& aPayload);
+  /// A replica reports that it is confirmed: all that was reported as applied before aSince must be
+  /// applied here.
   void Confirmed(const ReplicaId& aReplica, TimePoint aSince);
 
   /// Digest of all entries that a replica has applied.
   std::uint64_t DigestOf(const ReplicaId& aReplica) const;
-  std::size_t AcceptedCount() const { return mAccepted.size(); }
+  std::size_t ReportedAppliedCount() const { return mReportedApplied.size(); }
   /// The first violation, or an empty text.
   std::string FirstViolation() const { return mViolations.empty() ? "" : mViolations.front(); }
 
@@ -46,7 +47,7 @@
     LogIndex mIndex = 0;
     std::uint64_t mDigest = 0;
   };
-  struct AcceptedEntry
+  struct ReportedEntry
   {
     TimePoint mTime;
     EntryId mId;
@@ -61,8 +62,8 @@
   std::map<LogIndex, EntryId> mCommitted;
   std::map<LogIndex, std::uint64_t> mDigests;
   std::map<ReplicaId, Position> mPositions;
-  std::vector<AcceptedEntry> mAccepted; ///< In order of time.
-  std::set<std::uint64_t> mRefused;     ///< Hashes of payloads.
+  std::vector<ReportedEntry> mReportedApplied; ///< In order of time.
+  std::set<std::uint64_t> mReportedNotApplied; ///< Hashes of payloads.
   std::set<std::uint64_t> mAppliedPayloads;
   std::vector<std::string> mViolations;
 };
--- a/unittests/Control/HistoryCheckerTest.cpp
+++ b/unittests/Control/HistoryCheckerTest.cpp
@@ -35,8 +35,8 @@
       checker.Applied(replica, Command(1, 1, 1));
       checker.Applied(replica, Command(2, 1, 2));
     }
-    checker.Accepted(kStart, Command(1, 1, 1));
-    checker.Refused({9});
+    checker.ReportedApplied(kStart, Command(1, 1, 1));
+    checker.ReportedNotApplied({9});
     checker.LeaderElected(2, "b", kHasAll);
     checker.Confirmed("b", kStart + Milliseconds(1));
     return checker;
@@ -82,8 +82,10 @@
     Expect("state differs after entry 1", [](auto& aChecker) { aChecker.Started("c", 1, 7); });
     Expect("after applying entry 2",
            [](auto& aChecker) { aChecker.Installed("b", 1, aChecker.DigestOf("b")); });
-    Expect("is not applied", [](auto& aChecker) { aChecker.Accepted(kStart, Command(3, 1, 3)); });
-    Expect("a refused payload was applied", [](auto& aChecker) { aChecker.Refused({2}); });
+    Expect("is not applied",
+           [](auto& aChecker) { aChecker.ReportedApplied(kStart, Command(3, 1, 3)); });
+    Expect("a refused payload was applied",
+           [](auto& aChecker) { aChecker.ReportedNotApplied({2}); });
     Expect("applied refused entry 3",
            [](auto& aChecker) { aChecker.Applied("a", Command(3, 1, 9)); });
     Expect("confirmed without accepted entry 1",
--- a/unittests/Control/LeaseTableTest.cpp
+++ b/unittests/Control/LeaseTableTest.cpp
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT(MemberState::Left == StateOf(table, "c"));
   }
 
-  // Guards against two processes that both own one upstream.
+  // Guards against two processes that both act for one upstream.
   void LowerIncarnationsAreFenced()
   {
     LeaseTable table{MembershipSettings{}};
@@ -139,7 +139,7 @@
     CPPUNIT_ASSERT(table.Find("b") != nullptr);
   }
 
-  // Guards against members that no view can describe.
+  // Guards against a lease for an announcement that breaks a rule, such as an empty name.
   void InvalidAnnouncementsAreRefused()
   {
     LeaseTable table{MembershipSettings{}};
--- a/unittests/Control/RegisterHistory.cpp
+++ b/unittests/Control/Linearizability.cpp
@@ -1,5 +1,5 @@
 // Search for a linearization that skips states it has already tried.
-#include "RegisterHistory.h"
+#include "Linearizability.h"
 
 #include <algorithm>
 #include <optional>
--- a/unittests/Control/LogStoreTest.cpp
+++ b/unittests/Control/LogStoreTest.cpp
@@ -296,7 +296,7 @@
     }
   }
 
-  // Guards against a replica taking over the disk of another one.
+  // Guards against a replica taking over the data directory of another one.
   void IdentityBelongsToTheDirectory()
   {
     FakeFileSystem files;
@@ -313,7 +313,7 @@
     CPPUNIT_ASSERT(!LogStore::Open(empty, {kDirectory, kSmallSegment, "not a UUID"}, random));
   }
 
-  // Guards against a log in use that gets a first entry again.
+  // Guards against a bootstrap of a store that already holds a log.
   void BootstrapNeedsAnEmptyStore()
   {
     FakeFileSystem files;
--- a/unittests/Control/MembershipCluster.cpp
+++ b/unittests/Control/MembershipCluster.cpp
@@ -13,7 +13,7 @@
 constexpr Milliseconds kAnnounceInterval = 500ms;
 constexpr Milliseconds kConfirmWindow = 500ms;
 constexpr Milliseconds kElectionTimeout = 500ms;
-constexpr Milliseconds kStepDown = 1'000ms;
+constexpr Milliseconds kStepDownTimeout = 1'000ms;
 
 } // namespace
 
@@ -59,7 +59,7 @@
   return aFrom == aTo || (mIsolated != aFrom && mIsolated != aTo);
 }
 
-bool MembershipCluster::Delivered(std::size_t aFrom, std::size_t aTo)
+bool MembershipCluster::DrawDelivery(std::size_t aFrom, std::size_t aTo)
 {
   return Reachable(aFrom, aTo) && mRandom.Below(100) >= mLossPercent;
 }
@@ -72,7 +72,7 @@
 void MembershipCluster::ReportRole(std::size_t aReplica, bool aKnowsLeader)
 {
   Replica& replica = mReplicas[aReplica];
-  RoleChange change;
+  RaftStatus change;
   replica.mTerm = aKnowsLeader ? mTerm : replica.mTerm;
   replica.mKnowsLeader = aKnowsLeader;
   change.mTerm = replica.mTerm;
@@ -81,7 +81,7 @@
   for (std::size_t i = 0; i < kClusterReplicas; ++i) {
     change.mVoters.push_back(NameOf(i));
   }
-  replica.mCore->OnRoleChange(change, mNow);
+  replica.mCore->OnRaftStatus(change, mNow);
 }
 
 void MembershipCluster::Elect(std::size_t aReplica)
@@ -105,7 +105,7 @@
         ReportRole(i, true);
       }
       replica.mLastQuorumContact = mNow;
-    } else if (replica.mLastQuorumContact + kStepDown == mNow) {
+    } else if (replica.mLastQuorumContact + kStepDownTimeout == mNow) {
       ReportRole(i, false);
     }
   }
@@ -118,11 +118,11 @@
 {
   if (const auto* summary = std::get_if<SendSummary>(&aAction)) {
     const std::size_t to = std::stoul(summary->mTo.substr(1));
-    if (Delivered(aFrom, to)) {
+    if (DrawDelivery(aFrom, to)) {
       const auto decoded = DecodeMemberSummary(ToCbor(summary->mSummary), "test");
       CPPUNIT_ASSERT(decoded);
       const SummaryAnswer answer = Core(to).OnSummary(decoded.value(), mNow);
-      if (Delivered(to, aFrom)) {
+      if (DrawDelivery(to, aFrom)) {
         Core(aFrom).OnSummaryAnswer(answer);
       }
     }
@@ -130,11 +130,11 @@
   }
   const auto& update = std::get<SendViewUpdate>(aAction);
   const std::size_t to = std::stoul(update.mTo.substr(1));
-  if (Delivered(aFrom, to)) {
+  if (DrawDelivery(aFrom, to)) {
     const auto decoded = DecodeViewUpdate(ToCbor(update.mUpdate), "test");
     CPPUNIT_ASSERT(decoded);
     const ViewUpdateAnswer answer = Core(to).OnViewUpdate(decoded.value());
-    if (Delivered(to, aFrom)) {
+    if (DrawDelivery(to, aFrom)) {
       Core(aFrom).OnViewUpdateAnswer(answer);
     }
   }
--- a/unittests/Control/MembershipCluster.h
+++ b/unittests/Control/MembershipCluster.h
@@ -71,7 +71,7 @@
 
   static std::string NameOf(std::size_t aReplica) { return Numbered("r", aReplica); }
   bool Reachable(std::size_t aFrom, std::size_t aTo) const;
-  bool Delivered(std::size_t aFrom, std::size_t aTo);
+  bool DrawDelivery(std::size_t aFrom, std::size_t aTo);
   void ReportRole(std::size_t aReplica, bool aKnowsLeader);
   void UpdateRoles();
   void Deliver(std::size_t aFrom, const MembershipAction& aAction);
--- a/unittests/Control/MembershipCoreTest.cpp
+++ b/unittests/Control/MembershipCoreTest.cpp
@@ -32,7 +32,7 @@
     }
   }
 
-  // Guards against nodes that never learn the configuration, the view or get a lease.
+  // Guards against nodes that never get the configuration, the view or a lease.
   void NodesGetStateAndLease()
   {
     MembershipCluster cluster(1);
@@ -53,7 +53,7 @@
     CPPUNIT_ASSERT(cluster.Core(0).CurrentView() == cluster.Core(2).CurrentView());
   }
 
-  // Guards against an isolated control VM that serves an outdated configuration to a new node.
+  // Guards against an isolated control replica that serves an outdated configuration to a new node.
   void UnconfirmedReplicasGrantNothing()
   {
     MembershipCluster cluster(1);
@@ -87,7 +87,7 @@
   void LeasesNeedAHeldView()
   {
     MembershipCore leader("r0", MembershipSettings{});
-    leader.OnRoleChange({1, true, "r0", {"r0", "r1", "r2"}}, kTestStart);
+    leader.OnRaftStatus({1, true, "r0", {"r0", "r1", "r2"}}, kTestStart);
     CPPUNIT_ASSERT(leader.OnAnnouncement(AgentAnnouncement("a"), true, kTestStart).mLease == 0ms);
     AttachedNodes nodes{MembershipSettings{}};
     nodes.RecordAnnouncement(AgentAnnouncement("a"), kTestStart);
@@ -197,7 +197,7 @@
   void ViewsOfOtherTermsAreRefused()
   {
     MembershipCore core("r1", MembershipSettings{});
-    core.OnRoleChange({5, false, "r0", {"r0", "r1", "r2"}}, kTestStart);
+    core.OnRaftStatus({5, false, "r0", {"r0", "r1", "r2"}}, kTestStart);
     const auto update = [](std::uint64_t aTerm, std::uint64_t aRevisionTerm) {
       ViewUpdate message;
       message.mTerm = aTerm;
--- a/unittests/Control/PublicationHistoryTest.cpp
+++ b/unittests/Control/PublicationHistoryTest.cpp
@@ -1,6 +1,6 @@
 // Checks that concurrent publications of several operators are linearizable.
 #include "ControlFixtures.h"
-#include "RegisterHistory.h"
+#include "Linearizability.h"
 
 #include "dandelionslip/Support/Random.h"
 
@@ -207,14 +207,14 @@
 class PublicationHistoryTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PublicationHistoryTest);
-  CPPUNIT_TEST(CheckerRefusesWrongHistories);
-  CPPUNIT_TEST(CheckerRefusesAStoreWithoutVersionCheck);
-  CPPUNIT_TEST(CheckerRefusesAStoreThatForgetsAnswers);
+  CPPUNIT_TEST(CheckerRejectsWrongHistories);
+  CPPUNIT_TEST(CheckerRejectsAStoreWithoutVersionCheck);
+  CPPUNIT_TEST(CheckerRejectsAStoreThatForgetsAnswers);
   CPPUNIT_TEST(ConcurrentPublicationsAreLinearizable);
   CPPUNIT_TEST_SUITE_END();
 
   // Guards against a checker that accepts everything.
-  void CheckerRefusesWrongHistories()
+  void CheckerRejectsWrongHistories()
   {
     const RegisterOperation first{1, 4, 0, 1, RegisterOutcome::Applied, {}};
     const RegisterOperation second{2, 5, 0, 2, RegisterOutcome::Applied, {}};
@@ -240,17 +240,17 @@
   }
 
   template <typename F>
-  static std::size_t RefusedRuns(F aApply)
+  static std::size_t NonLinearizableRuns(F aApply)
   {
-    std::size_t refused = 0;
+    std::size_t notLinearizable = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-      refused += IsLinearizable(ConcurrentRun(seed, aApply).Run()) ? 0 : 1;
+      notLinearizable += IsLinearizable(ConcurrentRun(seed, aApply).Run()) ? 0 : 1;
     }
-    return refused;
+    return notLinearizable;
   }
 
   // Guards against runs without conflicting publications, which would prove nothing.
-  void CheckerRefusesAStoreWithoutVersionCheck()
+  void CheckerRejectsAStoreWithoutVersionCheck()
   {
     const auto overwrite = [](ConfigurationStore& aStore, std::uint64_t aIndex, Command aCommand) {
       const ServiceEntry* entry = aStore.Current().FindService("planner");
@@ -259,18 +259,18 @@
       change.mSpec->mVersion = change.mExpectedVersion + 1;
       return aStore.Apply(aIndex, aCommand);
     };
-    CPPUNIT_ASSERT(RefusedRuns(overwrite) > 190);
+    CPPUNIT_ASSERT(NonLinearizableRuns(overwrite) > 190);
   }
 
   // Guards against runs without resends, which would prove nothing about lost answers.
-  void CheckerRefusesAStoreThatForgetsAnswers()
+  void CheckerRejectsAStoreThatForgetsAnswers()
   {
     const auto forget = [](ConfigurationStore& aStore, std::uint64_t aIndex, Command aCommand) {
       const std::string number = aCommand.mPublicationId.substr(24);
       aCommand.mPublicationId = PublicationId(std::stoull(number, nullptr, 16) + kIdRange * aIndex);
       return aStore.Apply(aIndex, aCommand);
     };
-    CPPUNIT_ASSERT(RefusedRuns(forget) > 100);
+    CPPUNIT_ASSERT(NonLinearizableRuns(forget) > 100);
   }
 
   // Guards against two operators who publish the same version and both succeed, and against a
@@ -279,7 +279,7 @@
   {
     const auto apply = [](ConfigurationStore& aStore, std::uint64_t aIndex,
                           const Command& aCommand) { return aStore.Apply(aIndex, aCommand); };
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, RefusedRuns(apply));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, NonLinearizableRuns(apply));
   }
 };
 
--- a/unittests/Control/RaftCoreTest.cpp
+++ b/unittests/Control/RaftCoreTest.cpp
@@ -68,7 +68,7 @@
     AwaitConverged(cluster);
   }
 
-  // Guards against a log that elects no leader or commits nothing without faults.
+  // Guards against a group that elects no leader or commits nothing although there are no faults.
   void ThreeReplicasElectAndCommit()
   {
     SimulatedCluster cluster(3, 3, 1);
@@ -137,7 +137,8 @@
   }
 
   // Guards against an entry that is both answered as lost and applied, when the leader fails after
-  // the append and before the answer; the moment of the loss is varied.
+  // the append and before the answer. The leader is lost either right after the append or one
+  // simulation step (10 ms) later: RunFor rounds 1 to 7 ms up to one step.
   void LeaderLostBeforeAnswerLeavesOneOutcome()
   {
     for (int steps = 0; steps < 8; ++steps) {
@@ -251,7 +252,7 @@
     CheckHistory(cluster);
   }
 
-  // Crashes a replica, empties its disk and starts it under its old identity.
+  // Crashes a replica, empties its data directory and starts it under its old identity.
   static void Wipe(SimulatedCluster& aCluster, std::size_t aIndex)
   {
     aCluster.At(aIndex).Crash();
@@ -277,7 +278,8 @@
     AwaitRefused(cluster, wiped);
   }
 
-  // Guards against the same for a promoted replica, under a leader that did not promote it.
+  // Guards against a promoted replica that takes part with an empty data directory under a leader
+  // that did not promote it.
   void WipedPromotedReplicaIsRefused()
   {
     SimulatedCluster cluster(4, 3, 12);
@@ -293,7 +295,8 @@
     AwaitRefused(cluster, 3);
   }
 
-  // Guards against a learner, which never voted, that cannot start again with an empty disk.
+  // Guards against a learner, which never voted, that cannot start again with an empty data
+  // directory.
   void WipedLearnerStartsAgain()
   {
     SimulatedCluster cluster(4, 3, 13);
@@ -306,8 +309,8 @@
     CPPUNIT_ASSERT(cluster.At(3).Core().LastIndex() > 5);
   }
 
-  // Guards against late messages to a lost disk that are stored on the new one, which would then
-  // look like the lost one.
+  // Guards against late messages to a lost data directory that are stored in the new one, which
+  // would then look like the lost one.
   void LateMessagesDoNotFillAWipedDisk()
   {
     HistoryChecker checker;
@@ -397,8 +400,8 @@
     CPPUNIT_ASSERT_EQUAL(LogIndex(3), core->CommitIndex());
   }
 
-  // Guards against a new leader that sends entries to a voter with an empty disk before it has
-  // committed the membership that shows that this voter must be refused.
+  // Guards against a new leader that sends entries to a voter with an empty data directory before
+  // it has committed the membership that shows that this voter must be refused.
   void VoterWithEmptyLogIsNotCountedBeforeTheFirstCommit()
   {
     const RecoveredState state = StateWithOldEntry();
--- a/unittests/Control/RaftScheduleTest.cpp
+++ b/unittests/Control/RaftScheduleTest.cpp
@@ -27,10 +27,10 @@
   return settings;
 }
 
-// Counts over all schedules; show that the faults took place.
+// Counts over all schedules, to check that the faults took place.
 struct Totals
 {
-  std::size_t mAccepted = 0;
+  std::size_t mReportedApplied = 0;
   std::size_t mCrashes = 0;
   std::size_t mSnapshotsInstalled = 0;
   std::size_t mChanges = 0;
@@ -59,11 +59,11 @@
   std::string Run(Totals& aTotals)
   {
     for (int step = 0; step < kFaultySteps && mCluster.Checker().FirstViolation().empty(); ++step) {
-      InjectFault();
+      TakeRandomAction();
       mCluster.Step();
     }
     const std::string recovery = Recover();
-    aTotals.mAccepted += mCluster.Checker().AcceptedCount();
+    aTotals.mReportedApplied += mCluster.Checker().ReportedAppliedCount();
     aTotals.mCrashes += mCrashes;
     aTotals.mChanges += mChanges;
     aTotals.mWipes += mWipes;
@@ -78,7 +78,7 @@
 private:
   bool Chance(double aShare) { return mRandom.Unit() < aShare; }
 
-  void InjectFault()
+  void TakeRandomAction()
   {
     const std::size_t index = mRandom.Below(mCount);
     SimulatedReplica& replica = mCluster.At(index);
@@ -115,11 +115,11 @@
       replica.TakeSnapshot();
     }
     if (replica.IsLeader()) {
-      InjectLeaderFault(replica);
+      TakeRandomLeaderAction(replica);
     }
   }
 
-  void InjectLeaderFault(SimulatedReplica& aLeader)
+  void TakeRandomLeaderAction(SimulatedReplica& aLeader)
   {
     if (Chance(0.01)) {
       aLeader.Transfer(mCluster.Now()).has_value();
@@ -194,7 +194,8 @@
     return text;
   }
 
-  // Starts the replicas that are down. Returns whether all run that were not refused.
+  // Starts the replicas that are down. Returns whether all replicas that were not refused are
+  // running.
   bool RestartAll()
   {
     bool all = true;
@@ -226,8 +227,9 @@
   CPPUNIT_TEST(EqualSeedsGiveEqualRuns);
   CPPUNIT_TEST_SUITE_END();
 
-  // Guards against two leaders in a term, lost or reordered accepted entries, applied indexes that
-  // go down, differing logs, stale confirmed replicas, and a log that does not recover.
+  // Guards against two leaders in a term, lost or reordered entries that were reported as applied,
+  // applied indexes that go down, differing logs, stale confirmed replicas, and a group that does
+  // not recover.
   void SeededSchedulesKeepTheInvariants()
   {
     const char* replay = std::getenv("DANDELIONSLIP_RAFT_SEED");
@@ -241,7 +243,7 @@
         failures += "seed " + std::to_string(seed) + ": " + violation + "\n";
       }
     }
-    std::cout << " (accepted " << totals.mAccepted << ", crashes " << totals.mCrashes
+    std::cout << " (accepted " << totals.mReportedApplied << ", crashes " << totals.mCrashes
               << ", snapshots installed " << totals.mSnapshotsInstalled << ", membership changes "
               << totals.mChanges << ", wiped disks " << totals.mWipes << ", sum of last terms "
               << totals.mTerms << ")";
@@ -261,7 +263,7 @@
     Totals second;
     Schedule(7).Run(first);
     Schedule(7).Run(second);
-    CPPUNIT_ASSERT_EQUAL(first.mAccepted, second.mAccepted);
+    CPPUNIT_ASSERT_EQUAL(first.mReportedApplied, second.mReportedApplied);
     CPPUNIT_ASSERT_EQUAL(first.mTerms, second.mTerms);
     CPPUNIT_ASSERT_EQUAL(first.mCrashes, second.mCrashes);
   }
--- a/unittests/Control/ReplicaRepairPlannerTest.cpp
+++ b/unittests/Control/ReplicaRepairPlannerTest.cpp
@@ -102,7 +102,7 @@
     AssertStep("");
   }
 
-  // Guards against a voter whose disk lacks committed entries.
+  // Guards against the promotion of a learner that lacks committed entries.
   void LearnersBehindAreNotPromoted()
   {
     AddVoters({"1", "2", "3"});
@@ -114,7 +114,7 @@
     AssertStep("promote 4");
   }
 
-  // Guards against fewer disks with a committed entry while a wiped replica is replaced.
+  // Guards against a committed entry that is on fewer disks while a wiped replica is replaced.
   void WipedReplicaIsReplacedBeforeItsOldIdentityIsRemoved()
   {
     AddVoters({"1", "2", "3", "4", "5"});
--- a/unittests/Control/SimulatedCluster.cpp
+++ b/unittests/Control/SimulatedCluster.cpp
@@ -102,12 +102,12 @@
 
 bool SimulatedCluster::ProposeAndAwait()
 {
-  const std::size_t before = mChecker.AcceptedCount();
+  const std::size_t before = mChecker.ReportedAppliedCount();
   return RunUntil([&] {
     if (SimulatedReplica* leader = Leader()) {
       Propose(*leader).has_value();
     }
-    return mChecker.AcceptedCount() > before;
+    return mChecker.ReportedAppliedCount() > before;
   });
 }
 
--- a/unittests/Control/SimulatedReplica.cpp
+++ b/unittests/Control/SimulatedReplica.cpp
@@ -86,7 +86,7 @@
   RaftActions actions;
   auto proposed = mCore->Propose(aNow, aPayload, actions);
   if (!proposed) {
-    mChecker.Refused(aPayload);
+    mChecker.ReportedNotApplied(aPayload);
     return proposed;
   }
   mProposals.Track(proposed.value());
@@ -223,9 +223,9 @@
 {
   for (const ProposalResult& result : aResults) {
     if (result.mOutcome == ProposalOutcome::Applied) {
-      mChecker.Accepted(aNow, *aEntry);
+      mChecker.ReportedApplied(aNow, *aEntry);
     } else if (result.mOutcome == ProposalOutcome::NotApplied) {
-      mChecker.Refused(mPayloads[result.mEntry]);
+      mChecker.ReportedNotApplied(mPayloads[result.mEntry]);
     }
     mPayloads.erase(result.mEntry);
   }
--- a/unittests/Control/ViewBuilderTest.cpp
+++ b/unittests/Control/ViewBuilderTest.cpp
@@ -39,7 +39,10 @@
     return found == mBuilder.Current().mServices.end() ? kNone : found->second.mGenerations;
   }
 
-  std::uint32_t Newest() const { return Generations().empty() ? 0 : Generations()[0].mNumber; }
+  std::uint32_t NewestNumber() const
+  {
+    return Generations().empty() ? 0 : Generations()[0].mNumber;
+  }
 
   std::uint32_t WeightOf(const std::string& aName) const
   {
@@ -55,7 +58,7 @@
   {
     for (auto& [name, agent] : mAgents) {
       if (!mNotAcknowledging.contains(name)) {
-        agent.mAckedGeneration = Newest();
+        agent.mAckedGeneration = NewestNumber();
       }
       mLeases.Renew(agent, mNow);
     }
@@ -154,15 +157,15 @@
     leader.Add("a");
     leader.Add("b");
     leader.Settle(4);
-    const std::uint32_t number = leader.Newest();
+    const std::uint32_t number = leader.NewestNumber();
     for (int i = 0; i < 100; ++i) {
       leader.mAgents["a"].mWeight = static_cast<std::uint32_t>(971 + random.Below(59));
       leader.Step();
     }
-    CPPUNIT_ASSERT_EQUAL(number, leader.Newest());
+    CPPUNIT_ASSERT_EQUAL(number, leader.NewestNumber());
     leader.mAgents["a"].mWeight = 960;
     leader.Step();
-    CPPUNIT_ASSERT_EQUAL(number + kGenerationStride, leader.Newest());
+    CPPUNIT_ASSERT_EQUAL(number + kGenerationStride, leader.NewestNumber());
   }
 
   // Guards against a new owner that fetches a directory from a previous owner whose directory is
@@ -175,14 +178,14 @@
     }
     leader.mNotAcknowledging = {"c"};
     leader.Step();
-    const std::uint32_t first = leader.Newest();
+    const std::uint32_t first = leader.NewestNumber();
     leader.mAgents["a"].mMember.mState = MemberState::Draining;
     leader.Add("d");
     leader.Settle(10);
-    CPPUNIT_ASSERT_EQUAL(first, leader.Newest());
+    CPPUNIT_ASSERT_EQUAL(first, leader.NewestNumber());
     leader.mNotAcknowledging.clear();
     leader.Step();
-    CPPUNIT_ASSERT_EQUAL(first + kGenerationStride, leader.Newest());
+    CPPUNIT_ASSERT_EQUAL(first + kGenerationStride, leader.NewestNumber());
     CPPUNIT_ASSERT_EQUAL(0U, leader.WeightOf("a"));
     leader.mConfiguration.mDrained["b"] = true;
     leader.Step(10ms);
@@ -229,7 +232,7 @@
       leader.mAgents[name].mMember.mDataCentre = name;
     }
     leader.Settle(4);
-    const std::uint32_t acknowledged = leader.Newest();
+    const std::uint32_t acknowledged = leader.NewestNumber();
     leader.mNotAcknowledging = {"a"};
     for (const char* out : {"b", "c", "d"}) {
       leader.mConfiguration.mDataCentres[out].mOutOfService = true;
@@ -250,14 +253,14 @@
     leader.Add("a");
     leader.Add("b");
     leader.Settle(4);
-    const std::uint32_t number = leader.Newest();
+    const std::uint32_t number = leader.NewestNumber();
     leader.mAgents["a"].mMember.mState = MemberState::Restarting;
     leader.mAgents["a"].mWeight = 0;
     leader.Step();
     leader.mAgents.erase("a");
     for (int i = 0; i < 19; ++i) {
       leader.Step();
-      CPPUNIT_ASSERT_EQUAL(number, leader.Newest());
+      CPPUNIT_ASSERT_EQUAL(number, leader.NewestNumber());
     }
     leader.Step();
     CPPUNIT_ASSERT_EQUAL(0U, leader.WeightOf("a"));
@@ -270,7 +273,7 @@
     Leader leader;
     leader.Add("a");
     leader.Settle(4);
-    const std::uint32_t number = leader.Newest();
+    const std::uint32_t number = leader.NewestNumber();
     leader.mConfiguration.mDrained["a"] = true;
     leader.Settle(4);
     CPPUNIT_ASSERT_EQUAL(1000U, leader.WeightOf("a"));
@@ -281,7 +284,7 @@
     CPPUNIT_ASSERT(MemberState::Lost == leader.mBuilder.Current().FindMember("a")->mState);
     leader.mAgents = agents;
     leader.Settle(4);
-    CPPUNIT_ASSERT_EQUAL(number, leader.Newest());
+    CPPUNIT_ASSERT_EQUAL(number, leader.NewestNumber());
   }
 
   // Guards against full load on members whose data centre has just returned to service.
@@ -330,10 +333,11 @@
       leader.mBuilder.StartTerm(term, known.mBuilder.Current());
       leader.mAgents["a"].mWeight = 500;
       for (std::uint64_t i = 0; i < kMaxUnheldViews; ++i) {
-        const std::uint32_t before = leader.Newest();
+        const std::uint32_t before = leader.NewestNumber();
         leader.mAgents["a"].mWeight = i % 2 == 0 ? 500 : 1000;
         leader.Step(1s);
-        CPPUNIT_ASSERT(leader.Newest() == before || used.insert(leader.Newest()).second);
+        CPPUNIT_ASSERT(leader.NewestNumber() == before ||
+                       used.insert(leader.NewestNumber()).second);
       }
       CPPUNIT_ASSERT(leader.mBuilder.Current().mRevision >> 32U == term);
     }
@@ -408,7 +412,8 @@
   }
 
   // Guards against sequences of loss, drain, data centre out, slow acknowledgement and new terms
-  // that break pacing, history or the order of revisions.
+  // after which weight steps come too early, the last acknowledged generation is dropped, or a
+  // revision goes down.
   void RandomChangesKeepTheRules()
   {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -447,7 +452,7 @@
         leader.Step(Milliseconds(random.Below(1'000)));
         CheckRules(leader, before, lastStep);
       }
-      CPPUNIT_ASSERT(leader.Newest() > 20 * kGenerationStride);
+      CPPUNIT_ASSERT(leader.NewestNumber() > 20 * kGenerationStride);
     }
   }
 };
