--- a/lib/Control/CommandRules.cpp
+++ b/lib/Control/CommandRules.cpp
@@ -250,7 +250,8 @@
   for (const auto& [name, entry] : aConfiguration.mServices) {
     if (entry.mSpec.mName != name || entry.mId == 0 || entry.mId > aConfiguration.mRevision) {
       return Fail(ErrorCode::InvalidInput, "configuration.check", name,
-                  "found another service name or an id outside 1 to the revision");
+                  "the service name of the spec differs from its key, or the id is not between 1 "
+                  "and the revision");
     }
     if (auto check = CheckSpec(entry.mSpec, name); !check) {
       return check;
--- a/lib/Control/ConfigurationStore.cpp
+++ b/lib/Control/ConfigurationStore.cpp
@@ -60,7 +60,7 @@
     last = kept.mIndex;
     if (!IsPublicationId(kept.mPublicationId) || !ids.insert(kept.mPublicationId).second) {
       return Inconsistent("answers: found publication id \"" + kept.mPublicationId +
-                          "\" malformed or twice");
+                          "\" malformed or repeated");
     }
   }
   return Ok();
@@ -73,7 +73,8 @@
   }
   if (aState.mServiceWriters.size() > kMaxServices ||
       aState.mDataCentreWriters.size() > kMaxDataCentres) {
-    return Inconsistent("writers: found more than services and data centres are allowed");
+    return Inconsistent("service_writers, data_centre_writers: found more entries than services "
+                        "and data centres are allowed");
   }
   if (auto check = CheckAnswers(aState); !check) {
     return check;
--- a/lib/Control/LeaseTable.cpp
+++ b/lib/Control/LeaseTable.cpp
@@ -41,7 +41,8 @@
   const Member& member = aAnnouncement.mMember;
   if (member.mName.empty() || member.mName.size() > kMaxNameLength ||
       member.mBackup.size() > kMaxNameLength) {
-    return Reject(member, "name, custodian: expected 1 to 255 characters");
+    return Reject(member,
+                  "name: expected 1 to 255 characters; custodian: expected at most 255 characters");
   }
   if (member.mDataCentre.empty() || member.mDataCentre.size() > kMaxNameLength) {
     return Reject(member, "data_centre: expected 1 to 255 characters");
@@ -52,7 +53,8 @@
   }
   if (member.mDatagramEndpoint.size() > kMaxEndpointLength ||
       member.mRequestEndpoint.size() > kMaxEndpointLength) {
-    return Reject(member, "endpoint: expected at most 64 characters");
+    return Reject(
+      member, "datagram_endpoint, request_endpoint: expected at most 64 characters in an endpoint");
   }
   if (member.mIncarnation == 0) {
     return Reject(member, "incarnation: found 0, expected the time of the start");
--- a/lib/Control/LogStore.cpp
+++ b/lib/Control/LogStore.cpp
@@ -99,7 +99,7 @@
   if (aSnapshot.mIndex <= mSnapshotId.mIndex || TermAt(aSnapshot.mIndex) != aSnapshot.mTerm) {
     return Fail(ErrorCode::InvalidInput, "store.snapshot", mSettings.mDirectory,
                 "entry " + std::to_string(aSnapshot.mIndex) + " of term " +
-                  std::to_string(aSnapshot.mTerm) + " is not in the log");
+                  std::to_string(aSnapshot.mTerm) + " is not in the log after the stored snapshot");
   }
   BOOST_OUTCOME_TRY(RecordFailure(WriteSnapshotFile(aSnapshot)));
   return RecordFailure(RemoveCoveredSegments());
--- a/lib/Control/RaftCoreImpl.cpp
+++ b/lib/Control/RaftCoreImpl.cpp
@@ -249,7 +249,7 @@
   }
   const ReplicaInfo* info = members.Find(mSelf);
   if (info != nullptr && info->mStore != 0 && info->mStore != mStore) {
-    Stop("identity " + mSelf + " was promoted with another disk");
+    Stop("identity " + mSelf + " was promoted to voter with another data directory");
   }
 }
 
--- a/lib/Control/RaftElection.cpp
+++ b/lib/Control/RaftElection.cpp
@@ -15,10 +15,10 @@
     return std::nullopt;
   }
   if (aMessage.mFromEmptyLog) {
-    return "identity " + aMessage.mFrom + " is a voter but its disk is empty";
+    return "identity " + aMessage.mFrom + " is a voter, but its data directory holds no log";
   }
   if (info->mStore != 0 && info->mStore != aMessage.mFromStore) {
-    return "identity " + aMessage.mFrom + " was promoted with another disk";
+    return "identity " + aMessage.mFrom + " was promoted to voter with another data directory";
   }
   return std::nullopt;
 }
--- a/lib/Control/RaftProposal.cpp
+++ b/lib/Control/RaftProposal.cpp
@@ -126,8 +126,9 @@
   const bool fresh = peer.mLastContact && mNow - *peer.mLastContact <= mSettings.mElectionMin;
   if (!fresh || peer.mStore == 0 || peer.mMatchIndex < mCommitIndex) {
     return Fail(ErrorCode::Conflict, "raft.change", aChange.mReplica,
-                "log is durable up to entry " + std::to_string(peer.mMatchIndex) + ", needed " +
-                  std::to_string(mCommitIndex) + (fresh ? "" : ", and no recent contact"));
+                "log is durable up to entry " + std::to_string(peer.mMatchIndex) +
+                  ", expected at least " + std::to_string(mCommitIndex) +
+                  (fresh ? "" : "; no recent contact"));
   }
   info.mVoter = true;
   info.mStore = peer.mStore;
@@ -163,7 +164,7 @@
   }
   if (best == nullptr) {
     return Fail(ErrorCode::NotFound, "raft.transfer", aTarget,
-                "no such voter is in contact with this leader");
+                "no voter to transfer leadership to is in contact with this leader");
   }
   mTransferTarget = best->first;
   mTransferDeadline = mNow + mSettings.mElectionMax;
--- a/lib/Control/RaftReplication.cpp
+++ b/lib/Control/RaftReplication.cpp
@@ -73,7 +73,8 @@
   const StoreId store = aMessage.mFromStore;
   if (info->mVoter && (aMessage.mFromEmptyLog || (info->mStore != 0 && info->mStore != store))) {
     if (aPeer.mStateMachine.Process(PeerEvent::Refused)) {
-      mRefusedPeers.push_back({aMessage.mFrom, "the disk is not the one that was promoted"});
+      mRefusedPeers.push_back(
+        {aMessage.mFrom, "the data directory is not the one that was promoted"});
     }
     return false;
   }
--- a/unittests/Control/RaftCoreTest.cpp
+++ b/unittests/Control/RaftCoreTest.cpp
@@ -263,7 +263,7 @@
   static void AwaitRefused(SimulatedCluster& aCluster, std::size_t aIndex)
   {
     CPPUNIT_ASSERT(aCluster.RunUntil([&] { return !aCluster.At(aIndex).Running(); }));
-    CPPUNIT_ASSERT(aCluster.At(aIndex).StopReason().find("disk") != std::string::npos);
+    CPPUNIT_ASSERT(aCluster.At(aIndex).StopReason().find("data directory") != std::string::npos);
     CommitSome(aCluster);
     CheckHistory(aCluster);
   }
