--- a/bench/BenchReport.h
+++ b/bench/BenchReport.h
@@ -18,8 +18,8 @@
   std::string mDeployment; ///< Configuration measured: sizes, threads.
   double mValue = 0;
   std::string mUnit;
-  std::optional<double> mBaseline;
-  std::optional<double> mTarget; ///< Largest acceptable value.
+  std::optional<double> mBaseline; ///< Value of the ring strategy, for comparison.
+  std::optional<double> mTarget;   ///< Largest acceptable value.
 };
 
 /// Options of a run.
--- a/include/dandelionslip/Net/DatagramHeader.h
+++ b/include/dandelionslip/Net/DatagramHeader.h
@@ -37,19 +37,20 @@
   std::uint8_t mHops = 0;   ///< Forwards between agents so far.
   ServiceId mServiceId = 0;
   std::uint64_t mViewRevision = 0;
-  std::uint32_t mGeneration = 0;
-  /// Forward, Reply, Refuse: flow hash. Probe, ProbeAnswer: configuration revision of the sender,
-  /// needed because taking a data centre out changes the configuration but not the view.
+  std::uint32_t mGeneration = 0; ///< Newest generation of the service in that view.
+  /// Forward, Reply, Refuse: flow hash. Probe, ProbeAnswer: configuration revision of the sender.
+  /// The view revision alone does not show that a data centre was taken out, because that changes
+  /// only the configuration.
   std::uint64_t mFlowHash = 0;
   Endpoint mCaller;
-  Endpoint mService;
-  Endpoint mBalancer;
+  Endpoint mService;  ///< Service address that the caller sent to.
+  Endpoint mBalancer; ///< Balancer through which replies reach the caller.
 
   bool operator==(const DatagramHeader&) const = default;
 };
 
 /// A decoded datagram; the payload points into the decoded bytes.
-struct DatagramView
+struct DecodedDatagram
 {
   DatagramHeader mHeader;
   std::span<const std::uint8_t> mPayload;
@@ -60,6 +61,6 @@
 
 /// Validates and decodes a datagram. Errors: InvalidInput for a wrong magic number or length, or an
 /// unknown version, kind or flag; Corrupt for a wrong checksum.
-Result<DatagramView> DecodeDatagram(std::span<const std::uint8_t> aBytes);
+Result<DecodedDatagram> DecodeDatagram(std::span<const std::uint8_t> aBytes);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Net/Http2Server.h
+++ b/include/dandelionslip/Net/Http2Server.h
@@ -21,7 +21,8 @@
 
   virtual const HttpRequest& Request() const = 0;
 
-  /// The remote address and port.
+  /// The remote address and port. HTTP/1.1 servers return "unknown" if the connection was lost
+  /// before they could read it.
   virtual const std::string& Peer() const = 0;
 
   /// Sends the response. Ignored after an earlier response and when the stream no longer exists.
--- a/include/dandelionslip/Net/MetricsEndpoint.h
+++ b/include/dandelionslip/Net/MetricsEndpoint.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 endpoint that serves the metrics of a process.
+// HTTP/1.1 server for the metrics of a process.
 #pragma once
 
 #include "dandelionslip/Model/Endpoint.h"
--- a/lib/Net/ByteOrder.h
+++ b/lib/Net/ByteOrder.h
@@ -17,14 +17,14 @@
   }
 
   template <typename T>
-  void Integer(T aValue)
+  void WriteInteger(T aValue)
   {
     for (std::size_t i = sizeof(T); i-- > 0;) {
       *mNext++ = static_cast<std::uint8_t>(aValue >> (8 * i));
     }
   }
 
-  void Raw(std::span<const std::uint8_t> aBytes)
+  void WriteBytes(std::span<const std::uint8_t> aBytes)
   {
     for (const std::uint8_t byte : aBytes) {
       *mNext++ = byte;
@@ -45,7 +45,7 @@
   }
 
   template <typename T>
-  T Integer()
+  T ReadInteger()
   {
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < sizeof(T); ++i) {
@@ -54,7 +54,7 @@
     return static_cast<T>(value);
   }
 
-  void Raw(std::span<std::uint8_t> aBytes)
+  void ReadBytes(std::span<std::uint8_t> aBytes)
   {
     for (std::uint8_t& byte : aBytes) {
       byte = *mNext++;
--- a/lib/Net/CallerDatagram.cpp
+++ b/lib/Net/CallerDatagram.cpp
@@ -1,4 +1,4 @@
-// Encoding and validating decoding of caller datagrams.
+// Encoding, validation and decoding of caller datagrams.
 #include "dandelionslip/Net/CallerDatagram.h"
 
 #include "ByteOrder.h"
@@ -32,12 +32,12 @@
                          " bytes, expected " + std::to_string(kRefusalSize));
   }
   ByteReader reader(aDatagram.mPayload.data());
-  const auto reason = reader.Integer<std::uint8_t>();
+  const auto reason = reader.ReadInteger<std::uint8_t>();
   if (reason >= EnumNames(RefusalReason{}).size()) {
     return DecodeFailure("unknown refusal reason " + std::to_string(reason));
   }
   aDatagram.mReason = static_cast<RefusalReason>(reason);
-  aDatagram.mRetryAfter = Milliseconds(reader.Integer<std::uint32_t>());
+  aDatagram.mRetryAfter = Milliseconds(reader.ReadInteger<std::uint32_t>());
   aDatagram.mPayload = {};
   return aDatagram;
 }
@@ -49,14 +49,14 @@
   const bool refused = aDatagram.mKind == CallerDatagramKind::Refused;
   Bytes bytes(kCallerDatagramHeaderSize + (refused ? kRefusalSize : aDatagram.mPayload.size()));
   ByteWriter writer(bytes.data());
-  writer.Integer(static_cast<std::uint8_t>(aDatagram.mKind));
-  writer.Integer(kVersion);
-  writer.Integer(aDatagram.mSessionTag);
+  writer.WriteInteger(static_cast<std::uint8_t>(aDatagram.mKind));
+  writer.WriteInteger(kVersion);
+  writer.WriteInteger(aDatagram.mSessionTag);
   if (refused) {
-    writer.Integer(static_cast<std::uint8_t>(aDatagram.mReason));
-    writer.Integer(ClampedMs(aDatagram.mRetryAfter));
+    writer.WriteInteger(static_cast<std::uint8_t>(aDatagram.mReason));
+    writer.WriteInteger(ClampedMs(aDatagram.mRetryAfter));
   } else {
-    writer.Raw(aDatagram.mPayload);
+    writer.WriteBytes(aDatagram.mPayload);
   }
   return bytes;
 }
@@ -68,18 +68,18 @@
                          std::to_string(kCallerDatagramHeaderSize));
   }
   ByteReader reader(aBytes.data());
-  const auto kind = reader.Integer<std::uint8_t>();
+  const auto kind = reader.ReadInteger<std::uint8_t>();
   if (kind < static_cast<std::uint8_t>(CallerDatagramKind::Open) ||
       kind > static_cast<std::uint8_t>(CallerDatagramKind::Refused)) {
     return DecodeFailure("unknown kind " + std::to_string(kind));
   }
-  if (const auto version = reader.Integer<std::uint8_t>(); version != kVersion) {
+  if (const auto version = reader.ReadInteger<std::uint8_t>(); version != kVersion) {
     return DecodeFailure("version " + std::to_string(version) + ", expected " +
                          std::to_string(kVersion));
   }
   CallerDatagram datagram;
   datagram.mKind = static_cast<CallerDatagramKind>(kind);
-  datagram.mSessionTag = reader.Integer<std::uint64_t>();
+  datagram.mSessionTag = reader.ReadInteger<std::uint64_t>();
   datagram.mPayload = aBytes.subspan(kCallerDatagramHeaderSize);
   if (datagram.mKind == CallerDatagramKind::Refused) {
     return DecodeRefusal(datagram);
--- a/lib/Net/DatagramHeader.cpp
+++ b/lib/Net/DatagramHeader.cpp
@@ -1,4 +1,4 @@
-// Encoding and validating decoding of datagrams between balancers and agents.
+// Encoding, validation and decoding of datagrams between balancers and agents.
 #include "dandelionslip/Net/DatagramHeader.h"
 
 #include "ByteOrder.h"
@@ -24,17 +24,17 @@
                                    (aHeader.mConfirmed ? kConfirmedFlag : 0));
 }
 
-void Write(ByteWriter& aWriter, const Endpoint& aEndpoint)
+void WriteEndpoint(ByteWriter& aWriter, const Endpoint& aEndpoint)
 {
-  aWriter.Raw(aEndpoint.mAddress);
-  aWriter.Integer(aEndpoint.mPort);
+  aWriter.WriteBytes(aEndpoint.mAddress);
+  aWriter.WriteInteger(aEndpoint.mPort);
 }
 
 Endpoint ReadEndpoint(ByteReader& aReader)
 {
   Endpoint endpoint;
-  aReader.Raw(endpoint.mAddress);
-  endpoint.mPort = aReader.Integer<std::uint16_t>();
+  aReader.ReadBytes(endpoint.mAddress);
+  endpoint.mPort = aReader.ReadInteger<std::uint16_t>();
   return endpoint;
 }
 
@@ -50,11 +50,11 @@
   header.mOpening = (aFlags & kOpeningFlag) != 0;
   header.mRedirected = (aFlags & kRedirectedFlag) != 0;
   header.mConfirmed = (aFlags & kConfirmedFlag) != 0;
-  header.mHops = aReader.Integer<std::uint8_t>();
-  header.mServiceId = aReader.Integer<std::uint64_t>();
-  header.mViewRevision = aReader.Integer<std::uint64_t>();
-  header.mGeneration = aReader.Integer<std::uint32_t>();
-  header.mFlowHash = aReader.Integer<std::uint64_t>();
+  header.mHops = aReader.ReadInteger<std::uint8_t>();
+  header.mServiceId = aReader.ReadInteger<std::uint64_t>();
+  header.mViewRevision = aReader.ReadInteger<std::uint64_t>();
+  header.mGeneration = aReader.ReadInteger<std::uint32_t>();
+  header.mFlowHash = aReader.ReadInteger<std::uint64_t>();
   header.mCaller = ReadEndpoint(aReader);
   header.mService = ReadEndpoint(aReader);
   header.mBalancer = ReadEndpoint(aReader);
@@ -67,23 +67,23 @@
 {
   std::array<std::uint8_t, kDatagramHeaderSize> bytes{};
   ByteWriter writer(bytes.data());
-  writer.Integer(kMagic);
-  writer.Integer(kVersion);
-  writer.Integer(static_cast<std::uint8_t>(aHeader.mKind));
-  writer.Integer(FlagsOf(aHeader));
-  writer.Integer(aHeader.mHops);
-  writer.Integer(aHeader.mServiceId);
-  writer.Integer(aHeader.mViewRevision);
-  writer.Integer(aHeader.mGeneration);
-  writer.Integer(aHeader.mFlowHash);
-  Write(writer, aHeader.mCaller);
-  Write(writer, aHeader.mService);
-  Write(writer, aHeader.mBalancer);
-  writer.Integer(Hash64(std::span(bytes).first(kChecksummedSize)));
+  writer.WriteInteger(kMagic);
+  writer.WriteInteger(kVersion);
+  writer.WriteInteger(static_cast<std::uint8_t>(aHeader.mKind));
+  writer.WriteInteger(FlagsOf(aHeader));
+  writer.WriteInteger(aHeader.mHops);
+  writer.WriteInteger(aHeader.mServiceId);
+  writer.WriteInteger(aHeader.mViewRevision);
+  writer.WriteInteger(aHeader.mGeneration);
+  writer.WriteInteger(aHeader.mFlowHash);
+  WriteEndpoint(writer, aHeader.mCaller);
+  WriteEndpoint(writer, aHeader.mService);
+  WriteEndpoint(writer, aHeader.mBalancer);
+  writer.WriteInteger(Hash64(std::span(bytes).first(kChecksummedSize)));
   return bytes;
 }
 
-Result<DatagramView> DecodeDatagram(std::span<const std::uint8_t> aBytes)
+Result<DecodedDatagram> DecodeDatagram(std::span<const std::uint8_t> aBytes)
 {
   if (aBytes.size() < kDatagramHeaderSize ||
       aBytes.size() > kDatagramHeaderSize + kMaxDatagramPayload) {
@@ -91,19 +91,19 @@
                          "length " + std::to_string(aBytes.size()) + " is out of range");
   }
   ByteReader reader(aBytes.data());
-  if (reader.Integer<std::uint32_t>() != kMagic) {
+  if (reader.ReadInteger<std::uint32_t>() != kMagic) {
     return DecodeFailure(ErrorCode::InvalidInput, "wrong magic");
   }
-  if (const auto version = reader.Integer<std::uint8_t>(); version != kVersion) {
+  if (const auto version = reader.ReadInteger<std::uint8_t>(); version != kVersion) {
     return DecodeFailure(ErrorCode::InvalidInput, "version " + std::to_string(version) +
                                                     ", expected " + std::to_string(kVersion));
   }
   ByteReader checksum(aBytes.data() + kChecksummedSize);
-  if (checksum.Integer<std::uint64_t>() != Hash64(aBytes.first(kChecksummedSize))) {
+  if (checksum.ReadInteger<std::uint64_t>() != Hash64(aBytes.first(kChecksummedSize))) {
     return DecodeFailure(ErrorCode::Corrupt, "wrong checksum");
   }
-  const auto kind = reader.Integer<std::uint8_t>();
-  const auto flags = reader.Integer<std::uint8_t>();
+  const auto kind = reader.ReadInteger<std::uint8_t>();
+  const auto flags = reader.ReadInteger<std::uint8_t>();
   if (kind < static_cast<std::uint8_t>(DatagramKind::Forward) ||
       kind > static_cast<std::uint8_t>(DatagramKind::ProbeAnswer)) {
     return DecodeFailure(ErrorCode::InvalidInput, "unknown kind " + std::to_string(kind));
@@ -111,7 +111,7 @@
   if ((flags & ~kAllFlags) != 0) {
     return DecodeFailure(ErrorCode::InvalidInput, "unknown flags " + std::to_string(flags));
   }
-  return DatagramView{ReadFields(reader, kind, flags), aBytes.subspan(kDatagramHeaderSize)};
+  return DecodedDatagram{ReadFields(reader, kind, flags), aBytes.subspan(kDatagramHeaderSize)};
 }
 
 } // namespace dandelionslip
--- a/lib/Net/Http1Server.cpp
+++ b/lib/Net/Http1Server.cpp
@@ -21,12 +21,13 @@
 namespace {
 
 // Limit for receiving a request and, separately, for writing its response. An idle connection is
-// closed after this time; clients of the control interface send again within a few seconds.
+// closed after this time; clients of the control interface send their next request within a few
+// seconds.
 constexpr std::chrono::seconds kConnectionTimeout{30};
 
-// Largest accepted request body, 1 MiB: 16 times the largest route table (64 KiB) of a deployment
-// of the size that the system is designed for.
-constexpr std::uint64_t kMaxRequestBytes = 1U << 20U;
+// Largest accepted request body: 1 MiB, 16 times the route table (64 KiB) of the largest deployment
+// that the system is designed for.
+constexpr std::uint64_t kMaxHttp1BodyBytes = 1U << 20U;
 
 using BeastRequest = http::request<http::vector_body<std::uint8_t>>;
 
@@ -122,7 +123,7 @@
 void Connection::Read()
 {
   mParser = std::make_unique<http::request_parser<http::vector_body<std::uint8_t>>>();
-  mParser->body_limit(kMaxRequestBytes);
+  mParser->body_limit(kMaxHttp1BodyBytes);
   mStream.expires_after(kConnectionTimeout);
   http::async_read(mStream, mBuffer, *mParser,
                    [self = shared_from_this()](boost::system::error_code aError, std::size_t) {
--- a/lib/Net/Http2Client.cpp
+++ b/lib/Net/Http2Client.cpp
@@ -19,9 +19,9 @@
 
 namespace {
 
-using Timer = asio::basic_waitable_timer<RuntimeClock>;
-// A connection attempt to a peer that is powered off or unreachable gets no answer, and the
-// operating system retries it only after seconds. A reachable peer answers within a few
+using AsioTimer = asio::basic_waitable_timer<RuntimeClock>;
+// A peer that is powered off or unreachable does not answer a connection attempt, and the operating
+// system repeats the attempt only after seconds. A reachable peer answers within a few
 // milliseconds.
 constexpr Milliseconds kConnectTimeout{700};
 
@@ -34,7 +34,7 @@
   HttpRequest mRequest;
   HttpResponse mResponse;
   Http2Client::Callback mCallback;
-  std::unique_ptr<Timer> mTimer;
+  std::unique_ptr<AsioTimer> mTimer;
   std::int32_t mStream = 0;
   bool mComplete = false;
 };
@@ -58,7 +58,7 @@
   }
 
   // Sends the request. Returns false without sending it if the session accepts no new streams.
-  bool Begin(const std::shared_ptr<PendingRequest>& aPending)
+  bool SendRequest(const std::shared_ptr<PendingRequest>& aPending)
   {
     if (!IsOpen()) {
       return false;
@@ -126,11 +126,11 @@
 
   void OnStreamClosed(std::int32_t aStream, std::uint32_t aCode) override
   {
-    const auto node = mPending.extract(aStream);
-    if (node.empty()) {
+    const auto entry = mPending.extract(aStream);
+    if (entry.empty()) {
       return;
     }
-    auto& pending = node.mapped();
+    auto& pending = entry.mapped();
     if (pending->mComplete && aCode == NGHTTP2_NO_ERROR) {
       Finish(pending, std::move(pending->mResponse));
       return;
@@ -179,10 +179,10 @@
   {
   }
 
-  void Begin(const std::shared_ptr<PendingRequest>& aPending, Milliseconds aTimeout)
+  void StartRequest(const std::shared_ptr<PendingRequest>& aPending, Milliseconds aTimeout)
   {
     mRequests[aPending->mId] = aPending;
-    aPending->mTimer = std::make_unique<Timer>(mStrand, aTimeout);
+    aPending->mTimer = std::make_unique<AsioTimer>(mStrand, aTimeout);
     aPending->mTimer->async_wait(
       [self = shared_from_this(), pending = aPending](const boost::system::error_code& aError) {
         if (!aError) {
@@ -203,7 +203,7 @@
       return;
     }
     mSession->ClearReceivedFlag();
-    if (!mSession->Begin(aPending)) {
+    if (!mSession->SendRequest(aPending)) {
       // The session accepts no new streams, for example after GOAWAY: send on a new connection.
       mSession.reset();
       mWaitingForConnection.push_back(aPending);
@@ -218,7 +218,7 @@
     }
     mConnecting = true;
     auto socket = std::make_shared<tcp::socket>(mStrand);
-    auto timer = std::make_shared<Timer>(mStrand, kConnectTimeout);
+    auto timer = std::make_shared<AsioTimer>(mStrand, kConnectTimeout);
     timer->async_wait([socket](const boost::system::error_code& aError) {
       if (!aError) {
         boost::system::error_code ignored;
@@ -335,7 +335,7 @@
   pending->mRequest = std::move(aRequest);
   pending->mCallback = std::move(aCallback);
   asio::post(mState->mStrand,
-             [state = mState, pending, aTimeout] { state->Begin(pending, aTimeout); });
+             [state = mState, pending, aTimeout] { state->StartRequest(pending, aTimeout); });
   return pending->mId;
 }
 
--- a/lib/Net/Http2Server.cpp
+++ b/lib/Net/Http2Server.cpp
@@ -137,8 +137,8 @@
 
   void OnStreamClosed(std::int32_t aStream, std::uint32_t /*aCode*/) override
   {
-    if (const auto node = mExchanges.extract(aStream); !node.empty()) {
-      OnExchangeEnded(*node.mapped());
+    if (const auto entry = mExchanges.extract(aStream); !entry.empty()) {
+      OnExchangeEnded(*entry.mapped());
     }
   }
 
@@ -206,13 +206,13 @@
           return;
         }
         if (!aError) {
-          self->Begin(std::move(aSocket));
+          self->StartSession(std::move(aSocket));
         }
         self->Accept();
       });
   }
 
-  void Begin(tcp::socket aSocket)
+  void StartSession(tcp::socket aSocket)
   {
     boost::system::error_code error;
     const auto remote = aSocket.remote_endpoint(error);
--- a/lib/Net/UdpSocket.cpp
+++ b/lib/Net/UdpSocket.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Most datagrams read per wake-up, so that a busy socket does not starve the others.
+// Maximum number of datagrams read per wake-up, so that a busy socket does not starve the others.
 constexpr int kReadBatch = 64;
 constexpr std::size_t kMaxDatagramBytes = 65'536;
 constexpr int kReceiveBufferBytes = 4 * 1024 * 1024;
--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -31,13 +31,13 @@
 
 
 class QuietReport(demo.Report):
-    """Collects the checks of the demo functions in use and prints only those that failed."""
+    """Collects the checks of the demo functions and prints only those that failed."""
 
-    def check(self, invariant, tried, counted, held):
-        self.rows.append((invariant, tried, counted, held))
+    def check(self, label, tried, counted, held):
+        self.rows.append((label, tried, counted, held))
         if not held:
             self.failed += 1
-            print(f"FAIL {invariant}: {tried}: {counted}", file=sys.stderr)
+            print(f"FAIL {label}: {tried}: {counted}", file=sys.stderr)
 
 
 class EndToEnd:
@@ -74,7 +74,7 @@
             self.add(name, highest, unit, detail)
 
     def open_flows(self):
-        wanted = FLOWS_PER_UPSTREAM * demo.PLANNER["servers"]
+        wanted = FLOWS_PER_UPSTREAM * demo.PLANNER["upstreams"]
         self.cluster.start_caller("planner-callers", demo.PLANNER,
                                   {"flows": wanted, "interval-ms": 1000, "open-over-ms": 3000})
         wait_for(lambda: demo.established(self.cluster) >= wanted, f"{wanted} flows established",
@@ -88,7 +88,7 @@
 
     def memory(self):
         highest = max(self.cluster.metrics(endpoint)["process_resident_memory_bytes"]
-                      for endpoint in self.cluster.node_endpoints())
+                      for endpoint in self.cluster.member_metrics_endpoints())
         self.add("control.memory_bytes_node", highest, "bytes",
                  "highest resident size of 13 nodes, flows open")
 
@@ -102,7 +102,7 @@
         return time.monotonic() - start
 
     def broken(self):
-        """Flows that break, as their callers count, in planned changes; times of publications."""
+        """Times of publications, and flows that break during planned changes, as callers count."""
         before, given_up, _ = demo.broken_flows(self.cluster)
         times = [self.publish() for _ in range(3 if self.quick else 10)]
         self.add("config.in_force_median_s", statistics.median(times), "s",
@@ -150,7 +150,7 @@
         except (TimeoutError, RuntimeError) as error:
             self.failures.append(f"deployment: {error}")
         finally:
-            self.cluster.stop_all()
+            self.cluster.kill_all()
         if self.failures or self.report.failed:
             print("logs are in " + self.cluster.folder, file=sys.stderr)
         else:
--- a/scripts/cluster.py
+++ b/scripts/cluster.py
@@ -55,7 +55,7 @@
             self.child.kill()
             self.child.wait()
 
-    def send(self, number):
+    def send_signal(self, number):
         self.child.send_signal(number)
 
     def running(self):
@@ -103,7 +103,7 @@
             path = self.write_json(f"control-{i + 1}.json", settings)
             program = self.program_path("dandelionslip-control")
             process = self.add_process(f"control-{i + 1}", [program, "--config=" + path])
-            # Only the first start has --bootstrap; later starts do not.
+            # --bootstrap is passed only at the first start.
             first = Process(process.name, process.arguments + ["--bootstrap"], self.folder)
             first.start()
             process.child = first.child
@@ -119,10 +119,10 @@
             self.add_process(name, [self.program_path("dandelionslip-balancer"),
                                     "--config=" + path]).start()
 
-    def start_upstreams(self, warm_up_ms=3000):
+    def start_upstreams_and_agents(self, warm_up_ms=3000):
         number = 0
         for service in self.services:
-            for k in range(service["servers"]):
+            for k in range(service["upstreams"]):
                 number += 1
                 name = f"{service['name']}-{k + 1}"
                 data_centre = self.data_centres[k % len(self.data_centres)]
@@ -167,7 +167,7 @@
             return None
 
     def fresh_summary(self, name):
-        """Waits for the next summary, so that it is written after this call."""
+        """Waits until the caller writes its next summary, and returns it."""
         path = self.callers[name]
         before = os.stat(path).st_mtime_ns if os.path.exists(path) else 0
         wait_for(lambda: os.path.exists(path) and os.stat(path).st_mtime_ns > before,
@@ -209,16 +209,16 @@
                 values[series] = float(value)
         return values
 
-    def node_endpoints(self):
+    def member_metrics_endpoints(self):
         """Metrics endpoints of all balancers and agents."""
-        nodes = [f"{NET}.2.{i + 1}:9100" for i in range(len(self.data_centres))]
-        return nodes + [agent["metrics"] for agent in self.agents.values()]
+        endpoints = [f"{NET}.2.{i + 1}:9100" for i in range(len(self.data_centres))]
+        return endpoints + [agent["metrics"] for agent in self.agents.values()]
 
     def in_force(self, revision, endpoints=None):
-        """Whether the endpoints (default: all nodes) report at least this revision."""
+        """Whether the endpoints (default: all members) report at least this revision."""
         return all(
             self.metrics(endpoint).get("dandelionslip_configuration_revision", 0) >= revision
-            for endpoint in endpoints or self.node_endpoints())
+            for endpoint in endpoints or self.member_metrics_endpoints())
 
     def upstream_json(self, name, path):
         """JSON that a stand-in upstream serves, for example at /stats; None on failure."""
@@ -227,6 +227,6 @@
                                 capture_output=True, text=True, timeout=10, check=False)
         return json.loads(result.stdout) if result.returncode == 0 else None
 
-    def stop_all(self):
+    def kill_all(self):
         for process in self.processes.values():
             process.kill()
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -13,8 +13,8 @@
 from cluster import NET, Cluster, wait_for
 
 DATA_CENTRES = ["klang-a", "klang-b", "klang-c"]
-PLANNER = {"name": "planner", "port": 7000, "servers": 7, "slots": 4, "service_ms": 20}
-RENDER = {"name": "render", "port": 7001, "servers": 3, "slots": 4, "service_ms": 20}
+PLANNER = {"name": "planner", "port": 7000, "upstreams": 7, "slots": 4, "service_ms": 20}
+RENDER = {"name": "render", "port": 7001, "upstreams": 3, "slots": 4, "service_ms": 20}
 
 # Longest accepted times, in seconds: until all nodes have a published configuration, and until the
 # last datagram reaches a data centre that is taken out.
@@ -47,10 +47,10 @@
         self.failed = 0
         self.rows = []
 
-    def check(self, invariant, tried, counted, held):
-        self.rows.append((invariant, tried, counted, held))
+    def check(self, label, tried, counted, held):
+        self.rows.append((label, tried, counted, held))
         self.failed += 0 if held else 1
-        print(f"{'ok  ' if held else 'FAIL'} {invariant}: {tried}: {counted}", flush=True)
+        print(f"{'ok  ' if held else 'FAIL'} {label}: {tried}: {counted}", flush=True)
 
 
 def broken_flows(cluster):
@@ -59,8 +59,8 @@
     flows = [summary["flows"] for summary in summaries]
     breaks = {}
     for flow in flows:
-        for what, count in flow["breaks"].items():
-            breaks[what] = breaks.get(what, 0) + count
+        for symptom, count in flow["breaks"].items():
+            breaks[symptom] = breaks.get(symptom, 0) + count
     return sum(flow["broken"] for flow in flows), sum(flow["given_up"] for flow in flows), breaks
 
 
@@ -68,8 +68,8 @@
     return sum(cluster.fresh_summary(name)["flows"]["established"] for name in cluster.callers)
 
 
-def run_planned_change(cluster, report, what, action):
-    """Makes a planned change and checks that it breaks no flow."""
+def check_no_broken_flows(cluster, report, what, action):
+    """Runs the action and checks that no flow broke."""
     before, _, _ = broken_flows(cluster)
     action()
     time.sleep(SETTLE_S)
@@ -89,7 +89,7 @@
 def check_in_force(cluster, report, revision, start, what):
     wait_for(lambda: cluster.in_force(revision), "configuration in force")
     took = time.monotonic() - start
-    report.check("I10", what, f"in force at {len(cluster.node_endpoints())} nodes after "
+    report.check("I10", what, f"in force at {len(cluster.member_metrics_endpoints())} nodes after "
                  f"{took:.2f} s (target {IN_FORCE_S} s)", took <= IN_FORCE_S)
 
 
@@ -140,7 +140,7 @@
 
 
 def refusal_count(cluster):
-    """Datagrams of flows that were refused to all callers so far."""
+    """Number of datagrams refused so far, over all callers."""
     return sum(sum(cluster.fresh_summary(name)["flows"]["refusals"].values())
                for name in cluster.callers)
 
@@ -169,15 +169,16 @@
     outcomes = {}
     for seen in history:
         outcomes[seen["outcome"]] = outcomes.get(seen["outcome"], 0) + 1
-    twice = [i for i, where in runs.items() if len(where) > 1]
-    false_refusals = [seen["request_id"] for seen in history
-                      if seen["outcome"] == "not_run" and seen["request_id"] in runs]
+    run_more_than_once = [i for i, where in runs.items() if len(where) > 1]
+    wrongly_not_run = [seen["request_id"] for seen in history
+                       if seen["outcome"] == "not_run" and seen["request_id"] in runs]
     crossed = [seen["request_id"] for seen in history if seen["outcome"] == "answered"
                and (not seen["intact"] or seen["run"] not in runs.get(seen["request_id"], []))]
     report.check("I7", f"{len(history)} non-idempotent requests {outcomes}",
-                 f"{len(runs)} ids ran, {len(twice)} more than once", not twice and len(runs) > 0)
+                 f"{len(runs)} ids ran, {len(run_more_than_once)} more than once",
+                 not run_more_than_once and len(runs) > 0)
     report.check("I6", f"{outcomes.get('not_run', 0)} refusals that say not run",
-                 f"{len(false_refusals)} of them ran", not false_refusals)
+                 f"{len(wrongly_not_run)} of them ran", not wrongly_not_run)
     report.check("I5", f"{outcomes.get('answered', 0)} answers",
                  f"{len(crossed)} crossed, cut short or of no run", not crossed)
 
@@ -234,12 +235,13 @@
     cluster.ctl("validate", *paths)
     revision, _ = publish(cluster, *paths)
     cluster.start_balancers()
-    cluster.start_upstreams()
+    cluster.start_upstreams_and_agents()
     wait_for(lambda: all(cluster.metrics(endpoint).get("dandelionslip_lease_valid") == 1
-                         for endpoint in cluster.node_endpoints()), "leases at all nodes")
+                         for endpoint in cluster.member_metrics_endpoints()), "leases at all nodes")
     wait_for(lambda: cluster.in_force(revision), "configuration in force")
     report.check("path", "service files published, nodes started",
-                 f"revision {revision} in force at {len(cluster.node_endpoints())} nodes", True)
+                 f"revision {revision} in force at {len(cluster.member_metrics_endpoints())} nodes",
+                 True)
 
 
 def start_callers(cluster, report, scale):
@@ -257,34 +259,35 @@
 def run(cluster, report, scale):
     start_cluster(cluster, report)
     start_callers(cluster, report, scale)
-    run_planned_change(cluster, report, "no change", lambda: None)
+    check_no_broken_flows(cluster, report, "no change", lambda: None)
 
     def publication():
         path = cluster.write_service(PLANNER, 2, opens_per_second=600)
         revision, start = publish(cluster, path)
         check_in_force(cluster, report, revision, start, "publication")
 
-    run_planned_change(cluster, report, "publication", publication)
+    check_no_broken_flows(cluster, report, "publication", publication)
     check_publication_conflict(cluster, report, 2)
     check_publication_resend(cluster, report, 3)
-    run_planned_change(cluster, report, "balancer restart",
-                       lambda: restart_and_check(cluster, report, "balancer-1"))
-    run_planned_change(cluster, report, "agent restart",
-                       lambda: restart_and_check(cluster, report, "planner-2"))
-    run_planned_change(cluster, report, "upstream drain", lambda: cluster.ctl("drain", "planner-3"))
-    run_planned_change(cluster, report, "upstream undrain",
-                       lambda: cluster.ctl("undrain", "planner-3"))
+    check_no_broken_flows(cluster, report, "balancer restart",
+                          lambda: restart_and_check(cluster, report, "balancer-1"))
+    check_no_broken_flows(cluster, report, "agent restart",
+                          lambda: restart_and_check(cluster, report, "planner-2"))
+    check_no_broken_flows(cluster, report, "upstream drain",
+                          lambda: cluster.ctl("drain", "planner-3"))
+    check_no_broken_flows(cluster, report, "upstream undrain",
+                          lambda: cluster.ctl("undrain", "planner-3"))
     name = leader(cluster)
-    run_planned_change(cluster, report, f"restart of the leading {name}",
-                       lambda: restart_and_check(cluster, report, name))
+    check_no_broken_flows(cluster, report, f"restart of the leading {name}",
+                          lambda: restart_and_check(cluster, report, name))
     check_data_centre_out(cluster, report, "klang-b")
     check_data_centre_in(cluster, report, "klang-b")
-    victim = leader(cluster)
-    cluster.processes[victim].kill()
-    run_planned_change(cluster, report, f"control leader {victim} killed, publication",
-                       lambda: publish(cluster, cluster.write_service(PLANNER, 3,
-                                                                      opens_per_second=700)))
-    cluster.processes[victim].start()
+    killed = leader(cluster)
+    cluster.processes[killed].kill()
+    check_no_broken_flows(cluster, report, f"control leader {killed} killed, publication",
+                          lambda: publish(cluster, cluster.write_service(PLANNER, 3,
+                                                                         opens_per_second=700)))
+    cluster.processes[killed].start()
     cluster.processes["planner-5"].kill()
     cluster.processes["planner-5"].start()
     wait_for(lambda: cluster.metrics(cluster.agents["planner-5"]["metrics"])
@@ -309,7 +312,7 @@
     except (TimeoutError, RuntimeError) as error:
         report.check("run", "the demo", str(error), False)
     finally:
-        cluster.stop_all()
+        cluster.kill_all()
     held = len(report.rows) - report.failed
     if report.failed or arguments.keep:
         print("logs are in " + cluster.folder)
--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -22,9 +22,9 @@
 
 SERIES = {"planner": [3, 6, 12], "render": [0, 3, 9]}
 
-# Wait before an idle measurement, in seconds, in which joins, ramps of load limits and weight steps
-# end.
-SETTLE_S = 6
+# Seconds to wait before an idle measurement, until joins, ramps of load limits and weight steps
+# have ended.
+IDLE_SETTLE_S = 6
 
 # Number of flows of the measurement under load; each sends 20 messages per second.
 LOAD_FLOWS = 300
@@ -51,9 +51,9 @@
     text = subprocess.run(["ss", "-tinpHO"], capture_output=True, text=True, check=True).stdout
     totals = dict.fromkeys(names.values(), 0)
     for line in text.splitlines():
-        owner = re.search(r"pid=(\d+)", line)
-        if owner and int(owner[1]) in names:
-            totals[names[int(owner[1])]] += sum(
+        pid_match = re.search(r"pid=(\d+)", line)
+        if pid_match and int(pid_match[1]) in names:
+            totals[names[int(pid_match[1])]] += sum(
                 int(count) for count in re.findall(r"bytes_(?:acked|received):(\d+)", line))
     return totals
 
@@ -85,7 +85,7 @@
 def measure_idle(cluster, seconds):
     """Mean cost of each process over an interval, by role and measure, without load.
 
-    Also returns whether no node changed its view revision meanwhile. Raises RuntimeError if the
+    Also returns True if all view revisions stayed the same, else False. Raises RuntimeError if the
     metrics of a process cannot be read.
     """
     start, before, sockets = time.monotonic(), sample(cluster), control_socket_bytes(cluster)
@@ -110,10 +110,10 @@
     if sockets and sockets_after:
         measures["control.bytes_per_second"] = [(sockets_after[name] - sockets[name]) / took
                                                 for name in sockets]
-    moved = [endpoint for endpoint in before
-             if before[endpoint].get("dandelionslip_view_revision")
-             != after[endpoint].get("dandelionslip_view_revision")]
-    return measures, not moved
+    changed_views = [endpoint for endpoint in before
+                     if before[endpoint].get("dandelionslip_view_revision")
+                     != after[endpoint].get("dandelionslip_view_revision")]
+    return measures, not changed_views
 
 
 def fit(points):
@@ -161,7 +161,7 @@
     cluster = Cluster(DATA_CENTRES, services)
     try:
         start_cluster(cluster, Report())
-        time.sleep(SETTLE_S)
+        time.sleep(IDLE_SETTLE_S)
         values, view_unchanged = measure_idle(cluster, seconds)
         means = {name: statistics.mean(each) for name, each in values.items()}
         if (size := state_answer_bytes(cluster)) is not None:
@@ -169,21 +169,21 @@
         cost = datagram_cost(cluster, means, seconds) if under_load else None
         return means, {name: max(each) for name, each in values.items()}, view_unchanged, cost
     finally:
-        cluster.stop_all()
+        cluster.kill_all()
         shutil.rmtree(cluster.folder)
 
 
 def measure_series(name, seconds):
     sizes = SERIES[name]
     points, maxima, view_unchanged, cost = {}, {}, {}, None
-    for servers in sizes:
-        services = ([dict(PLANNER, servers=servers)] if name == "planner" else
-                    [dict(PLANNER, servers=3), dict(RENDER, servers=servers)])
-        under_load = name == "planner" and servers == sizes[-1]
-        means, maxima[servers], view_unchanged[servers], cost = measure(services, seconds,
-                                                                        under_load)
+    for upstreams in sizes:
+        services = ([dict(PLANNER, upstreams=upstreams)] if name == "planner" else
+                    [dict(PLANNER, upstreams=3), dict(RENDER, upstreams=upstreams)])
+        under_load = name == "planner" and upstreams == sizes[-1]
+        means, maxima[upstreams], view_unchanged[upstreams], cost = measure(
+            services, seconds, under_load)
         for measured, value in means.items():
-            points.setdefault(measured, []).append((servers, value))
+            points.setdefault(measured, []).append((upstreams, value))
     # Fit only the measures that every number of upstreams has.
     fits = {measured: fit(each) for measured, each in points.items() if len(each) == len(sizes)}
     return {"x": name + " upstreams", "sizes": sizes, "seconds": seconds,
--- a/standins/FlowCallers.cpp
+++ b/standins/FlowCallers.cpp
@@ -36,7 +36,7 @@
     mFlows.push_back(std::move(flow));
   }
   constexpr Milliseconds kResolution{10};
-  mTimer = std::make_unique<RepeatingTimer>(mLoop, kResolution, [this] { Tick(); });
+  mTimer = std::make_unique<RepeatingTimer>(mLoop, kResolution, [this] { SendDueQuotes(); });
   return Ok();
 }
 
@@ -62,7 +62,7 @@
   return statistics;
 }
 
-void FlowCallers::Tick()
+void FlowCallers::SendDueQuotes()
 {
   const std::lock_guard lock(mMutex);
   const TimePoint now = RuntimeClock::now();
--- a/standins/FlowCallers.h
+++ b/standins/FlowCallers.h
@@ -1,4 +1,7 @@
-// Stand-in callers that keep flows open over UDP and detect broken flows.
+// Stand-in callers that keep flows open over UDP and detect broken flows. A flow is one session of
+// the stand-in upstream. To `quote N` the upstream answers `quote N UPSTREAM COUNT`, where COUNT is
+// the number of quote messages in the session. After `feed MS` the upstream sends `tick N UPSTREAM`
+// every MS milliseconds.
 #pragma once
 
 #include "dandelionslip/Net/CallerDatagram.h"
@@ -33,7 +36,7 @@
   std::uint64_t mOpened = 0;
   std::uint64_t mEstablished = 0; ///< Open flows that have received an answer.
   std::uint64_t mAnswers = 0;
-  std::uint64_t mTicks = 0;
+  std::uint64_t mTicks = 0;   ///< Feed messages received.
   std::uint64_t mBroken = 0;  ///< Answered by another upstream, lost by the upstream or silent.
   std::uint64_t mGivenUp = 0; ///< Ended because the data centre was taken out.
   std::uint64_t mFromOtherService = 0;                   ///< Answers from another service.
@@ -85,7 +88,7 @@
     TimePoint mNextSend;
   };
 
-  void Tick();
+  void SendDueQuotes();
   void SendQuote(Flow& aFlow);
   void SendText(Flow& aFlow, CallerDatagramKind aKind, const std::string& aText);
   void OnDatagram(Flow& aFlow, std::span<const std::uint8_t> aBytes);
--- a/standins/RequestCallers.cpp
+++ b/standins/RequestCallers.cpp
@@ -117,10 +117,10 @@
     result.mOutcome = FindHeader(headers, "dslip-outcome");
     reason = FindHeader(headers, "dslip-reason");
   } else {
-    // Unavailable: this attempt was not processed. The request was not run if the outcome of the
-    // previous attempt is not unknown either.
-    const bool notSent = aResult.error().mCode == ErrorCode::Unavailable && !aPending->mMayHaveRun;
-    result.mOutcome = notSent ? "not_run" : "unknown";
+    // Unavailable: the server did not process this attempt. The request has not run unless the
+    // previous attempt may have run it.
+    const bool notRun = aResult.error().mCode == ErrorCode::Unavailable && !aPending->mMayHaveRun;
+    result.mOutcome = notRun ? "not_run" : "unknown";
     reason = std::string("link_") + std::string(ToString(aResult.error().mCode));
   }
   if (result.mOutcome == "answered") {
--- a/standins/RequestCallers.h
+++ b/standins/RequestCallers.h
@@ -25,7 +25,7 @@
   std::uint64_t mSeed = 1;
 };
 
-/// Final outcome of a request as its caller was told.
+/// Final outcome of a request as reported to its caller.
 struct RequestResult
 {
   std::string mRequestId;
@@ -87,7 +87,8 @@
   std::vector<double> mLatencies;
   std::map<std::string, std::uint64_t> mReasons;
   std::size_t mInFlight = 0;
-  double mDueRequests = 0; ///< Requests that the rate allows to start; the fraction accumulates.
+  /// Requests due to be started. At most 1 is carried over to the next interval.
+  double mDueRequests = 0;
   bool mStopping = false;
   std::unique_ptr<RepeatingTimer> mTimer;
 };
--- a/standins/UpstreamModel.h
+++ b/standins/UpstreamModel.h
@@ -26,7 +26,7 @@
 struct Run
 {
   std::string mRequestId;
-  std::uint64_t mRun = 0; ///< Number of the run, counted by this upstream from 1.
+  std::uint64_t mNumber = 0; ///< Number of the run, counted by this upstream from 1.
   std::string mUpstream;
 };
 
@@ -34,7 +34,7 @@
 void DescribeFields(V& aVisitor, Run& aValue)
 {
   aVisitor.Field("request_id", aValue.mRequestId);
-  aVisitor.Field("run", aValue.mRun);
+  aVisitor.Field("run", aValue.mNumber);
   aVisitor.Field("upstream", aValue.mUpstream);
 }
 
@@ -74,11 +74,12 @@
   /// Resets to cold, as after an unannounced restart.
   void ResetToCold(TimePoint aNow);
 
-  /// Starts a run. Returns false if all slots are in use and the request is shed.
+  /// Starts a run and fills aRun. A load beyond the current capacity resets the upstream to cold.
+  /// Returns false if all slots are in use and the request is shed.
   bool StartRun(const std::string& aRequestId, TimePoint aNow, Run& aRun);
   void FinishRun() { --mStatistics.mInFlight; }
 
-  /// Duration of a run started now; longer when cold. An overload resets to cold.
+  /// Duration of a run started now; longer when cold.
   Milliseconds ServiceTime(TimePoint aNow) const;
 
   /// Sets the number of open sessions; an increase beyond the current capacity is an overload.
--- a/standins/upstream/main.cpp
+++ b/standins/upstream/main.cpp
@@ -38,7 +38,7 @@
 )";
 
 // A session without a datagram for this time is removed.
-constexpr std::chrono::seconds kSessionIdle{30};
+constexpr std::chrono::seconds kSessionIdleTimeout{30};
 
 struct Session
 {
@@ -75,7 +75,8 @@
     }
     mServer = std::move(server.value());
     constexpr Milliseconds kFeedResolution{5};
-    mTimer = std::make_unique<RepeatingTimer>(mLoop, kFeedResolution, [this] { SendFeeds(); });
+    mTimer = std::make_unique<RepeatingTimer>(mLoop, kFeedResolution,
+                                              [this] { RemoveIdleSessionsAndSendTicks(); });
     return Ok();
   }
 
@@ -124,12 +125,13 @@
           aFrom);
   }
 
-  void SendFeeds()
+  void RemoveIdleSessionsAndSendTicks()
   {
     const std::lock_guard lock(mMutex);
     const TimePoint now = RuntimeClock::now();
-    std::erase_if(mSessions,
-                  [&](const auto& aItem) { return now - aItem.second.mLastSeen > kSessionIdle; });
+    std::erase_if(mSessions, [&](const auto& aItem) {
+      return now - aItem.second.mLastSeen > kSessionIdleTimeout;
+    });
     mModel.SetSessions(mSessions.size(), now);
     for (auto& [peer, session] : mSessions) {
       if (session.mFeedInterval.count() > 0 && session.mNextTick <= now) {
@@ -183,10 +185,10 @@
       }
       HttpResponse response;
       const auto& body = aExchange->Request().mBody;
-      std::string text = "run " + std::to_string(run.mRun) + " " + run.mUpstream + " ";
+      std::string text = "run " + std::to_string(run.mNumber) + " " + run.mUpstream + " ";
       response.mBody.assign(text.begin(), text.end());
       response.mBody.insert(response.mBody.end(), body.begin(), body.end());
-      response.mHeaders.push_back({"dslip-run", run.mUpstream + "/" + std::to_string(run.mRun)});
+      response.mHeaders.push_back({"dslip-run", run.mUpstream + "/" + std::to_string(run.mNumber)});
       aExchange->Respond(std::move(response));
     });
   }
--- a/tools/dandelionslipctl/main.cpp
+++ b/tools/dandelionslipctl/main.cpp
@@ -58,7 +58,7 @@
 
 int ExitCodeOf(CommandOutcome aOutcome)
 {
-  // In the order of the enumerators.
+  // Indexed by CommandOutcome.
   static constexpr std::array<int, 6> kCodes{0, 3, 4, 5, 6, 7};
   return kCodes[static_cast<std::size_t>(aOutcome)];
 }
@@ -83,7 +83,7 @@
   return OperatorClient(SplitList(aArguments.at("--control").asString()));
 }
 
-int Fail(const Error& aError)
+int PrintError(const Error& aError)
 {
   std::cerr << aError.Message() << "\n";
   return aError.mCode == ErrorCode::InvalidInput ? ExitRefused : ExitFailed;
@@ -137,7 +137,7 @@
 {
   const auto files = LoadFiles(aArguments);
   if (!files) {
-    return Fail(files.error());
+    return PrintError(files.error());
   }
   for (const auto& file : files.value()) {
     std::cout << file.mPath << ": ok, service " << file.mSpec.mName << " version "
@@ -150,24 +150,24 @@
 {
   const auto identity = IdentityFrom(aArguments);
   if (!identity) {
-    return Fail(identity.error());
+    return PrintError(identity.error());
   }
   const auto command = BuildPublication(identity.value(), aFiles);
-  return command ? SendCommand(aArguments, command.value()) : Fail(command.error());
+  return command ? SendCommand(aArguments, command.value()) : PrintError(command.error());
 }
 
 int Publish(const Arguments& aArguments)
 {
   const auto files = LoadFiles(aArguments);
   if (!files) {
-    return Fail(files.error());
+    return PrintError(files.error());
   }
   if (const auto& expected = aArguments.at("--expected-version")) {
     for (const auto& file : files.value()) {
       if (file.mSpec.mVersion != static_cast<std::uint64_t>(expected.asLong()) + 1) {
-        return Fail({ErrorCode::InvalidInput, "publish", file.mPath,
-                     "version: found " + std::to_string(file.mSpec.mVersion) + ", expected " +
-                       std::to_string(expected.asLong() + 1)});
+        return PrintError({ErrorCode::InvalidInput, "publish", file.mPath,
+                           "version: found " + std::to_string(file.mSpec.mVersion) + ", expected " +
+                             std::to_string(expected.asLong() + 1)});
       }
     }
   }
@@ -178,11 +178,11 @@
 {
   const auto files = CollectServices(aArguments.at("FOLDER").asStringList());
   if (!files) {
-    return Fail(files.error());
+    return PrintError(files.error());
   }
   const auto current = ClientFor(aArguments).FetchConfiguration(TimeoutOf(aArguments));
   if (!current) {
-    return Fail(current.error());
+    return PrintError(current.error());
   }
   const auto changed = ChangedServices(files.value(), current.value());
   for (const auto& file : changed) {
@@ -203,10 +203,10 @@
       static_cast<std::uint64_t>(aArguments.at("VERSION").asLong())}}};
   const auto identity = IdentityFrom(aArguments);
   if (!identity) {
-    return Fail(identity.error());
+    return PrintError(identity.error());
   }
   const auto command = BuildPublication(identity.value(), {}, deletions);
-  return command ? SendCommand(aArguments, command.value()) : Fail(command.error());
+  return command ? SendCommand(aArguments, command.value()) : PrintError(command.error());
 }
 
 // Creates a command with a publication id, lets aSetChange complete it, and sends it.
@@ -215,7 +215,7 @@
 {
   const auto identity = IdentityFrom(aArguments);
   if (!identity) {
-    return Fail(identity.error());
+    return PrintError(identity.error());
   }
   Command command;
   command.mPublicationId = identity.value().mPublicationId;
--- a/unittests/Net/DatagramTest.cpp
+++ b/unittests/Net/DatagramTest.cpp
@@ -90,7 +90,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{42}, decoded.value().mSessionTag);
   }
 
-  // Guards against crashes on arbitrary bytes from callers.
+  // Guards against crashes on malformed caller datagrams, and against accepting a refusal of the
+  // wrong length. Small byte values make many datagrams pass the checks of kind and version.
   void RandomCallerDatagramsDoNotCrash()
   {
     Random random(2);
--- a/unittests/Net/Http1Test.cpp
+++ b/unittests/Net/Http1Test.cpp
@@ -101,7 +101,8 @@
                          SendAndReceive(socket, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", "never"));
   }
 
-  // Guards against calling the handler for a request that cannot be parsed.
+  // Guards against a response to a request that cannot be parsed, and against a connection that
+  // stays open after it.
   void MalformedRequestsEndTheConnection()
   {
     asio::io_context loop;
--- a/unittests/Net/Http2Test.cpp
+++ b/unittests/Net/Http2Test.cpp
@@ -45,7 +45,7 @@
     }
   }
 
-  static HttpRequest WithBody(Bytes aBody)
+  static HttpRequest RequestWithBody(Bytes aBody)
   {
     HttpRequest request;
     request.mBody = std::move(aBody);
@@ -60,7 +60,7 @@
     mLoop.poll();
   }
 
-  // Guards against truncated bodies that are larger than the flow-control window.
+  // Guards against truncation of bodies that are larger than the flow-control window.
   void LargeBodiesArriveComplete()
   {
     Serve([](auto aExchange) {
@@ -74,7 +74,7 @@
     }
     Http2Client client(mLoop, mEndpoint);
     std::optional<Result<HttpResponse>> result;
-    client.Send(WithBody(body), kTimeout,
+    client.Send(RequestWithBody(body), kTimeout,
                 [&](auto aResult) { result.emplace(std::move(aResult)); });
     RunUntil([&] { return result.has_value(); });
     CPPUNIT_ASSERT(result->has_value());
@@ -82,7 +82,7 @@
   }
 
   // Guards against a response that reaches the wrong request when responses are sent in another
-  // order.
+  // order than the requests.
   void ResponsesAreMatchedToTheirRequests()
   {
     Serve([this](auto aExchange) { mHeld.push_back(aExchange); });
@@ -91,7 +91,7 @@
     std::size_t matched = 0;
     std::size_t finished = 0;
     for (std::uint8_t i = 0; i < kRequests; ++i) {
-      client.Send(WithBody({i}), kTimeout, [&, i](auto aResult) {
+      client.Send(RequestWithBody({i}), kTimeout, [&, i](auto aResult) {
         matched += aResult && aResult.value().mBody == Bytes{i} ? 1 : 0;
         ++finished;
       });
