--- a/standins/caller/main.cpp
+++ b/standins/caller/main.cpp
@@ -28,10 +28,10 @@
                            goes to one of them at random.
   --prefix=TEXT            Prefix of the names of the service's upstreams.
   --out=FILE               Summary in JSON, rewritten every second.
-  --flows=N                Sessions kept open [default: 100].
-  --interval-ms=N          Time between two quote messages of a session [default: 200].
-  --feed-ms=N              Interval of the feed in each session, 0 for none [default: 0].
-  --open-over-ms=N         Time over which the sessions are opened [default: 1000].
+  --flows=N                Flows kept open [default: 100].
+  --interval-ms=N          Time between two quote messages of a flow [default: 200].
+  --feed-ms=N              Interval of the feed in each flow, 0 for none [default: 0].
+  --open-over-ms=N         Time over which the flows are opened [default: 1000].
   --requests-per-second=N  Requests started per second [default: 0].
   --seconds=N              Run time; a stop signal ends it earlier [default: 600].
   --local=ADDRESS          Local address [default: 127.0.0.1].
--- a/standins/upstream/main.cpp
+++ b/standins/upstream/main.cpp
@@ -28,7 +28,8 @@
 Options:
   --name=NAME            Name shown in answers.
   --udp=ENDPOINT         Numeric address:port for sessions.
-  --http=ENDPOINT        Numeric address:port for requests, statistics and faults.
+  --http=ENDPOINT        Numeric address:port for requests and for /stats, /history, /health and
+                         /cold.
   --slots=N              Requests served at once [default: 4].
   --connections=N        Sessions held at once [default: 2000].
   --cold-slots=N         Requests that it can serve at once when cold [default: 1].
--- a/tools/dandelionslip-control/main.cpp
+++ b/tools/dandelionslip-control/main.cpp
@@ -20,7 +20,7 @@
   --version       Show the version.
 
 Exit codes: 0 stopped as planned, 1 could not start, 2 wrong command line or settings, 3 stopped
-because of the disk or the identity of the replica.
+after a disk error or because the Raft group no longer accepts the identity of the replica.
 )";
 
 } // namespace
--- a/tools/dandelionslipctl/main.cpp
+++ b/tools/dandelionslipctl/main.cpp
@@ -31,6 +31,18 @@
   dandelionslipctl (-h | --help)
   dandelionslipctl --version
 
+Commands:
+  validate     Check service files without contacting control.
+  publish      Publish the given service files as one change.
+  collect      Publish those service files in the FOLDERs that differ from the current
+               configuration, as one change.
+  delete       Delete SERVICE, whose current version is VERSION.
+  data-centre  Take the data centre NAME out of service, or in again.
+  drain        Send no new work to UPSTREAM; undrain ends this.
+  replica      Add a control replica as a learner, make a learner a voter (promote), or remove a
+               replica.
+  status       Show the control replicas, and the configuration and view of the newest one.
+
 Options:
   --control=LIST        Control endpoints, separated by commas
                         [default: 127.0.0.1:7400,127.0.0.1:7401,127.0.0.1:7402].
@@ -352,7 +364,7 @@
   try {
     return RunCtl(std::get<ProgramArguments>(parsed));
   } catch (const std::exception& failure) {
-    // Thrown for an option whose value is not a number.
+    // Thrown for an option or argument whose value is not a number.
     std::cerr << failure.what() << "\n";
     return kUsageExit;
   }
