--- a/tools/dandelionslipctl/main.cpp
+++ b/tools/dandelionslipctl/main.cpp
@@ -31,6 +31,18 @@
   dandelionslipctl (-h | --help)
   dandelionslipctl --version
 
+Commands:
+  validate     Check service files without contacting control.
+  publish      Publish the given service files as one change.
+  collect      Publish those service files in the FOLDERs that differ from the current
+               configuration, as one change.
+  delete       Delete SERVICE, whose current version is VERSION.
+  data-centre  Take the data centre NAME out of service, or in again.
+  drain        Send no new work to UPSTREAM; undrain ends this.
+  replica      Add a control replica as a learner, make a learner a voter (promote), or remove a
+               replica.
+  status       Show the control replicas, and the configuration and view of the newest one.
+
 Options:
   --control=LIST        Control endpoints, separated by commas
                         [default: 127.0.0.1:7400,127.0.0.1:7401,127.0.0.1:7402].
@@ -58,7 +70,7 @@
 
 int ExitCodeOf(CommandOutcome aOutcome)
 {
-  // In the order of the enumerators.
+  // Indexed by CommandOutcome.
   static constexpr std::array<int, 6> kCodes{0, 3, 4, 5, 6, 7};
   return kCodes[static_cast<std::size_t>(aOutcome)];
 }
@@ -83,7 +95,7 @@
   return OperatorClient(SplitList(aArguments.at("--control").asString()));
 }
 
-int Fail(const Error& aError)
+int PrintError(const Error& aError)
 {
   std::cerr << aError.Message() << "\n";
   return aError.mCode == ErrorCode::InvalidInput ? ExitRefused : ExitFailed;
@@ -137,7 +149,7 @@
 {
   const auto files = LoadFiles(aArguments);
   if (!files) {
-    return Fail(files.error());
+    return PrintError(files.error());
   }
   for (const auto& file : files.value()) {
     std::cout << file.mPath << ": ok, service " << file.mSpec.mName << " version "
@@ -150,24 +162,24 @@
 {
   const auto identity = IdentityFrom(aArguments);
   if (!identity) {
-    return Fail(identity.error());
+    return PrintError(identity.error());
   }
   const auto command = BuildPublication(identity.value(), aFiles);
-  return command ? SendCommand(aArguments, command.value()) : Fail(command.error());
+  return command ? SendCommand(aArguments, command.value()) : PrintError(command.error());
 }
 
 int Publish(const Arguments& aArguments)
 {
   const auto files = LoadFiles(aArguments);
   if (!files) {
-    return Fail(files.error());
+    return PrintError(files.error());
   }
   if (const auto& expected = aArguments.at("--expected-version")) {
     for (const auto& file : files.value()) {
       if (file.mSpec.mVersion != static_cast<std::uint64_t>(expected.asLong()) + 1) {
-        return Fail({ErrorCode::InvalidInput, "publish", file.mPath,
-                     "version: found " + std::to_string(file.mSpec.mVersion) + ", expected " +
-                       std::to_string(expected.asLong() + 1)});
+        return PrintError({ErrorCode::InvalidInput, "publish", file.mPath,
+                           "version: found " + std::to_string(file.mSpec.mVersion) + ", expected " +
+                             std::to_string(expected.asLong() + 1)});
       }
     }
   }
@@ -178,11 +190,11 @@
 {
   const auto files = CollectServices(aArguments.at("FOLDER").asStringList());
   if (!files) {
-    return Fail(files.error());
+    return PrintError(files.error());
   }
   const auto current = ClientFor(aArguments).FetchConfiguration(TimeoutOf(aArguments));
   if (!current) {
-    return Fail(current.error());
+    return PrintError(current.error());
   }
   const auto changed = ChangedServices(files.value(), current.value());
   for (const auto& file : changed) {
@@ -203,10 +215,10 @@
       static_cast<std::uint64_t>(aArguments.at("VERSION").asLong())}}};
   const auto identity = IdentityFrom(aArguments);
   if (!identity) {
-    return Fail(identity.error());
+    return PrintError(identity.error());
   }
   const auto command = BuildPublication(identity.value(), {}, deletions);
-  return command ? SendCommand(aArguments, command.value()) : Fail(command.error());
+  return command ? SendCommand(aArguments, command.value()) : PrintError(command.error());
 }
 
 // Creates a command with a publication id, lets aSetChange complete it, and sends it.
@@ -215,7 +227,7 @@
 {
   const auto identity = IdentityFrom(aArguments);
   if (!identity) {
-    return Fail(identity.error());
+    return PrintError(identity.error());
   }
   Command command;
   command.mPublicationId = identity.value().mPublicationId;
@@ -352,7 +364,7 @@
   try {
     return RunCtl(std::get<ProgramArguments>(parsed));
   } catch (const std::exception& failure) {
-    // Thrown for an option whose value is not a number.
+    // Thrown for an option or argument whose value is not a number.
     std::cerr << failure.what() << "\n";
     return kUsageExit;
   }
