--- a/include/dandelionslip/Net/DatagramHeader.h
+++ b/include/dandelionslip/Net/DatagramHeader.h
@@ -33,7 +33,7 @@
   DatagramKind mKind = DatagramKind::Forward;
   bool mOpening = false;    ///< The caller's datagram opens a flow.
   bool mRedirected = false; ///< The owner chose the receiving agent as holder of the flow.
-  bool mLeaseValid = false; ///< Probe answer: the agent's lease is valid.
+  bool mLeaseValid = false; ///< StateProbeAnswer: the agent's lease is valid.
   std::uint8_t mHops = 0;   ///< Forwards between agents so far.
   ServiceId mServiceId = 0;
   std::uint64_t mViewRevision = 0;
