--- a/include/dandelionslip/Packet/LoadReport.h
+++ b/include/dandelionslip/Packet/LoadReport.h
@@ -16,18 +16,21 @@
   std::string mDataCentre;
   bool mAccepts = false; ///< Whether new flows may be sent.
   bool mCold = false;
-  bool mUpstreamExited = false; ///< The upstream has exited as planned, and so will this agent.
-  bool mStarting = false;       ///< The agent has just started and had no heartbeat yet.
-  std::uint32_t mFlows = 0;     ///< Open flows.
-  std::uint32_t mRequests = 0;  ///< Requests delivered and not yet answered.
-  std::uint32_t mSlots = 1;     ///< Requests that the upstream runs at once.
+  /// The upstream has exited and the agent stops, so that no flow is left.
+  bool mUpstreamExited = false;
+  bool mStarting = false;      ///< The agent has just started and has received no heartbeat yet.
+  std::uint32_t mFlows = 0;    ///< Open flows.
+  std::uint32_t mRequests = 0; ///< Requests delivered and not yet answered.
+  std::uint32_t mSlots = 1;    ///< Requests that the upstream runs at once.
   /// Requests per second that one busy slot completes, times 1,000; 0 if unknown.
   std::uint32_t mMilliRequestsPerSlotSecond = 0;
-  std::uint32_t mOpensAllowed = 0;   ///< If cold: new flows that it accepts at once.
-  std::uint32_t mOpensPerSecond = 0; ///< If cold: new flows that it accepts per second.
+  /// If cold: new flows that may be sent before the next report. A report that is sent to a
+  /// balancer contains that balancer's share.
+  std::uint32_t mOpensAllowed = 0;
+  std::uint32_t mOpensPerSecond = 0; ///< If cold: new flows per second from all balancers together.
   Milliseconds mColdLeft{0};         ///< How much longer the upstream stays cold.
-  /// DirectoryAgents::Digest() of the agents with which all flows of the upstream are registered; 0
-  /// while that is not confirmed.
+  /// DirectoryAgents::Digest() of the view for which the directory agents have confirmed all flows
+  /// of the upstream; 0 if some are not confirmed.
   std::uint64_t mRegisteredWithDigest = 0;
 
   bool operator==(const LoadReport&) const = default;
--- a/include/dandelionslip/Packet/NodeMessageHeader.h
+++ b/include/dandelionslip/Packet/NodeMessageHeader.h
@@ -1,4 +1,4 @@
-// Header of messages between packet balancers and packet agents.
+// Header of messages between packet balancers and packet agents, and between agents.
 #pragma once
 
 #include "dandelionslip/Support/Error.h"
@@ -24,8 +24,8 @@
   ProbeNeeded, ///< To a balancer: only the upstream knows; send a packet of the flow as a Probe.
   Register,    ///< To a directory agent: flows that the sender holds.
   RegisterAck, ///< To an agent: its flows are registered here.
-  /// To a balancer: like NotFound, from an agent that knows itself to be in the view, so that flows
-  /// are registered with it.
+  /// To a balancer: like NotFound, from an agent whose view contains its current incarnation. A
+  /// holder would have registered the flow with it.
   NotRegistered,
 };
 
@@ -46,7 +46,8 @@
 
 std::string_view ToString(ReturnReason aReason);
 
-/// Four bytes in front of every datagram between nodes.
+/// Four bytes in front of every datagram between packet balancers and packet agents, and between
+/// agents.
 struct NodeMessageHeader
 {
   NodeMessageType mKind = NodeMessageType::Deliver;
@@ -55,7 +56,7 @@
   static constexpr std::size_t kBytes = 4;
 
   std::array<std::uint8_t, kBytes> Encode() const;
-  /// Fails with InvalidInput if aBytes is too short or the magic number, version, kind or reason is
+  /// Fails with InvalidInput if aBytes is too short or the magic number, version, type or reason is
   /// not a valid one.
   static Result<NodeMessageHeader> Decode(std::span<const std::uint8_t> aBytes);
 };
--- a/include/dandelionslip/Packet/OpeningLimiter.h
+++ b/include/dandelionslip/Packet/OpeningLimiter.h
@@ -12,18 +12,19 @@
 class OpeningLimiter
 {
 public:
-  /// Counts one opening and returns true if it stays within aLimit openings per second.
+  /// Counts one opened flow and returns true if it stays within aLimit flows per second.
   bool TryOpen(std::size_t aLimit, TimePoint aNow);
 
-  /// Number of openings that would be allowed now.
+  /// Number of flows that may be opened now.
   std::size_t Remaining(std::size_t aLimit, TimePoint aNow) const;
 
-  /// Allows no opening until a window has passed, because openings before aNow are not known.
+  /// Allows no flow to be opened for one window from aNow on, because it is not known which were
+  /// opened before.
   void Block(TimePoint aNow) { mBlockedUntil = aNow + kWindow; }
 
 private:
-  /// The limit holds at the upstream for any second; another tenth allows for varying delays on the
-  /// way from agent to upstream.
+  /// The upstream must not see more than the limit in any second. The window is 100 ms longer
+  /// because delays from agent to upstream vary.
   static constexpr Milliseconds kWindow{1'100};
 
   std::deque<TimePoint> mOpenings;
--- a/include/dandelionslip/Packet/OpeningQueue.h
+++ b/include/dandelionslip/Packet/OpeningQueue.h
@@ -20,19 +20,18 @@
   std::vector<std::uint8_t> mPacket;
   std::uint32_t mPriority = 0; ///< Of its route; 0 is the highest.
   TimePoint mArrivedAt;
-  Milliseconds mMaxWait{0}; ///< The opening is reset after this time.
+  Milliseconds mMaxWait{0}; ///< TakeExpired() removes the packet after this time.
 };
 
-/// Queue of waiting openings: the routes with the highest priority leave first, and within a
-/// priority the newest openings.
+/// Queue of waiting opening packets. Those of the routes with the highest priority leave first, and
+/// within a priority the newest.
 ///
-/// Newest first serves the load when all callers open their flows again at the same moment. While
-/// more openings arrive than leave, the oldest has the least time left. In order of arrival, each
-/// would leave just before its caller's deadline, and the few flows that a cold upstream accepts
-/// would be spent on requests that nobody waits for any more.
+/// Newest first, because the queue grows when all callers open their flows again at once. In order
+/// of arrival, each opening packet would then leave just before its caller's deadline, and the few
+/// flows that a cold upstream accepts would go to callers that give up before the answer.
 ///
-/// The work of a balancer is bounded by the openings that leave, not by those that wait. Not
-/// thread-safe.
+/// Take() stops after aCount opening packets, so that its cost does not grow with the queue while
+/// the condition holds for most of them. TakeExpired() visits all. Not thread-safe.
 class OpeningQueue
 {
 public:
@@ -41,14 +40,14 @@
   bool Contains(const FlowKey& aFlow) const { return mFlows.contains(aFlow); }
   std::size_t Size() const { return mOpenings.size(); }
 
-  /// Adds the opening unless its flow is in the queue already. Returns whether it was added.
+  /// Adds the opening packet unless its flow is in the queue already. Returns whether it was added.
   bool Add(WaitingOpening aOpening);
 
-  /// Removes and returns the first aCount openings for which the condition holds, in the order
-  /// given above.
+  /// Removes and returns the first aCount opening packets for which the condition holds, in the
+  /// order given above.
   std::vector<WaitingOpening> Take(std::size_t aCount, const Condition& aCondition);
 
-  /// Removes and returns the openings that have waited for longer than mMaxWait.
+  /// Removes and returns the opening packets that have waited for longer than mMaxWait.
   std::vector<WaitingOpening> TakeExpired(TimePoint aNow);
 
 private:
--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -28,9 +28,10 @@
   std::string mDataCentre;
   Endpoint mEndpoint;             ///< Where other nodes reach this agent.
   Milliseconds mHeartbeat{1'000}; ///< Interval of the upstream's heartbeats.
+  /// No flow lasts longer. After this time the flow table of a restarted agent is complete.
   Milliseconds mMaxFlowAge{60'000};
-  /// A cold upstream is opened at most mColdExcessFactor * rate + mColdSlack flows a second, where
-  /// rate is mColdOpensPerSecond of the service.
+  /// At most mColdExcessFactor * rate + mColdSlack flows a second are opened at a cold upstream,
+  /// where rate is mColdOpensPerSecond of the service.
   double mColdExcessFactor = 1.0;
   std::uint32_t mColdSlack = 0;
   std::size_t mMaxFlows = 50'000;
@@ -44,7 +45,7 @@
   WrongService, ///< Names another service than the settings of this agent.
 };
 
-/// Delivers packets to its upstream and decides which new flows the upstream is sent.
+/// Delivers packets to its upstream and decides which new flows to accept for it.
 ///
 /// The upstream is the authority on which flows it holds. The agent's flow table is a cache,
 /// rebuilt from the traffic after the agent restarts. Until the table is complete, a packet of an
@@ -99,14 +100,15 @@
     /// a free slot.
     std::array<std::uint64_t, DirectoryAgents::kDirectoryAgentsPerFlow> mUnconfirmedAgents{};
     TimePoint mUnconfirmedSince; ///< When the oldest unconfirmed registration was sent.
-    bool mAccepted = false;      ///< The upstream has answered the opening packet.
-    bool mEstablished = false;   ///< The upstream has sent a packet after that answer.
+    bool mAccepted = false;      ///< The upstream has sent a packet of the flow.
+    /// The upstream has sent a packet other than its answer to the opening packet.
+    bool mEstablished = false;
     bool mCallerEnded = false;
     bool mUpstreamEnded = false;
     bool mClosed = false;         ///< Both sides have ended the flow; kept for late packets.
     bool mRequestPending = false; ///< A request was delivered and is not answered yet.
     TimePoint mRequestSince;
-    /// Sequence number after the last of the caller's data that was delivered.
+    /// Sequence number that follows the caller's last delivered byte.
     std::optional<std::uint32_t> mDeliveredEnd;
   };
 
@@ -128,10 +130,11 @@
   /// Registrations to send, batched by directory agent.
   using Registrations = std::map<Endpoint, FlowMessage>;
 
-  /// At 20,000 packets a second this many deliveries span two hundred times the 1 ms that a bounce
-  /// takes.
+  /// At 20,000 packets a second this covers 200 ms; a bounce takes 1 ms.
   static constexpr std::size_t kRememberedDeliveries = 4096;
 
+  /// Returns why the opening packet is refused; empty if it is admitted. Counts an admitted flow
+  /// against the limit of a cold upstream.
   std::optional<ReturnReason> ReasonToRefuse(const Segment& aSegment, TimePoint aNow);
   ReturnReason UpstreamCondition(TimePoint aNow) const;
   bool RouteTargetsService(const FlowKey& aFlow) const;
@@ -147,6 +150,7 @@
   void OnOpening(const Endpoint& aFrom, const Segment& aSegment, std::span<std::uint8_t> aPacket,
                  PacketOutput& aOutput, TimePoint aNow);
   void LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const;
+  /// Handles a packet that is not an opening packet.
   void OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
                  std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   void OnQuery(const Endpoint& aFrom, NodeMessageType aKind, std::span<const std::uint8_t> aBytes,
@@ -154,6 +158,7 @@
   void OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
                   PacketOutput& aOutput, TimePoint aNow);
   void OnRegisterAck(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes);
+  /// Adds the flow to the registrations for its directory agents and marks it as unconfirmed.
   void Register(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
                 PacketOutput& aOutput, TimePoint aNow);
   static void SendRegistrations(const Registrations& aRegistrations, PacketOutput& aOutput);
@@ -208,8 +213,8 @@
   Counter& mDelivered;
   Counter& mReplies;
   Counter& mBounced;
-  Counter& mResets;
-  Counter& mProbeResets;
+  Counter& mResets;      ///< Flows that were reset because the upstream no longer holds them.
+  Counter& mProbeResets; ///< Resets by the upstream that were dropped: reactions to flow probes.
   Counter& mMalformed;
   std::array<Counter*, kReturnReasons> mReturned{};
 };
--- a/include/dandelionslip/Packet/PacketBalancer.h
+++ b/include/dandelionslip/Packet/PacketBalancer.h
@@ -27,10 +27,12 @@
   Milliseconds mReportLifetime{1'000};
   /// How long the holder of an idle flow is remembered; longer than the idle timeout of flows.
   Milliseconds mFlowRetention{20'000};
-  Milliseconds mMaxFlowAge{60'000}; ///< Flows older than this may be reset.
+  /// No flow lasts longer. An agent that the view shows as lost is kept for this long, because its
+  /// upstream may hold flows.
+  Milliseconds mMaxFlowAge{60'000};
   std::size_t mMaxFlows = 500'000;
-  /// Longest time that an opening packet waits for an upstream to accept it. Callers give up 1.4 s
-  /// after their first packet.
+  /// Longest time that an opening packet waits for an upstream to accept it, or an early packet for
+  /// the balancer to be ready. Callers give up 1.4 s after their first packet.
   Milliseconds mMaxOpeningWait{1'300};
   /// After the first agents are known, others may be missing from the view for this long. Agents
   /// announce themselves every 100 ms after their start.
@@ -58,8 +60,8 @@
   /// Handles a message from an agent; aPacket is what follows the header.
   void OnNodePacket(const Endpoint& aFrom, const NodeMessageHeader& aHeader,
                     std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  /// Removes idle flows and unknown agents, and resets openings that waited too long. Must be
-  /// called every second.
+  /// Removes idle flows and agents that have left the view and no longer report, and resets
+  /// openings that waited too long. Must be called every second.
   void OnTick(PacketOutput& aOutput, TimePoint aNow);
 
   /// Whether the balancer knows routes and agents, which it needs to serve callers.
@@ -99,8 +101,9 @@
   {
     DirectoryAgents, ///< The agents with which the flow would be registered.
     Candidates,      ///< The agents that a balancer prefers when it places the flow.
-    AllAgents,       ///< The others; only those that the directory agents do not cover, if these
-                     ///< have ruled out the rest.
+    /// All other agents; if the directory agents show that no agent that they cover holds the flow,
+    /// only those that they do not cover.
+    AllAgents,
   };
 
   /// A search for the holder of a flow.
@@ -153,8 +156,12 @@
                                       const Flow& aFlow, TimePoint aNow);
   std::optional<Endpoint> ChooseAmong(std::span<const Endpoint> aAgents, const Flow& aFlow,
                                       TimePoint aNow);
+  /// Whether the agent is eligible and accepts a new flow now, as far as its last report or, before
+  /// the first one, the view shows.
   bool Accepts(const Endpoint& aEndpoint, const Agent& aAgent, const Flow& aFlow,
                TimePoint aNow) const;
+  /// Whether the agent's data centre is in service and the agent has returned no packet of the
+  /// flow.
   bool MayPlace(const Endpoint& aEndpoint, const Agent& aAgent, const Flow& aFlow) const;
   void SearchHolder(const Segment& aSegment, Flow& aFlow, std::span<const std::uint8_t> aPacket,
                     PacketOutput& aOutput, TimePoint aNow);
@@ -207,7 +214,8 @@
   /// the queue if it has to wait again.
   std::optional<TimePoint> mRetriedArrival;
   std::size_t mBalancers = 1; ///< In the view, including this one.
-  Summary& mWaitSeconds;      ///< Waiting time of openings that left the queue in time.
+  /// Waiting time of openings that were placed or refused before they expired.
+  Summary& mWaitSeconds;
   Counter& mForwarded;
   Counter& mSearched;
   Counter& mMalformed;
--- a/include/dandelionslip/Packet/Placement.h
+++ b/include/dandelionslip/Packet/Placement.h
@@ -14,14 +14,15 @@
 /// An upstream that may accept a new flow.
 struct PlacementCandidate
 {
-  std::size_t mAgent = 0; ///< Index in the balancer's list of agents; returned by ChoosePlacement.
+  std::size_t mAgent = 0; ///< Index in the list of agents to choose from.
   const LoadReport* mReport = nullptr;
   std::uint32_t mPlacedSinceReport = 0; ///< Flows that this balancer has placed since mReport.
 };
 
 /// Flows per unit of capacity if the candidate got one more flow; placement balances this value.
-/// Capacity is the number of slots times the speed of a slot, or times aMeanSpeed if that speed is
-/// not known yet. Lower is better.
+/// Requests that wait for a slot count as flows. Capacity is the number of slots times the speed of
+/// a slot, or times aMeanSpeed if that speed is not known yet; a cold upstream has half of it.
+/// Lower is better.
 double PlacementScore(const PlacementCandidate& aCandidate, double aMeanSpeed);
 
 /// Mean speed of a slot, in requests per second, over the candidates whose speed is known;
@@ -35,8 +36,8 @@
                                            Random& aRandom);
 
 /// Number of upstreams of a service that are preferred for a flow, chosen by the flow's hash. Few
-/// candidates balance the load nearly as well as all, and after a restart of all nodes the search
-/// for a flow can query these first.
+/// preferred agents balance the load nearly as well as all, and after a restart of all nodes the
+/// search for a flow can query these first.
 inline constexpr std::size_t kPlacementCandidates = 6;
 
 /// Scores up to this factor above the best count as equal, a difference of one flow in ten.
--- a/include/dandelionslip/Packet/SearchBudget.h
+++ b/include/dandelionslip/Packet/SearchBudget.h
@@ -16,8 +16,8 @@
 };
 
 /// Rate limit for the queries of searches that must query many agents, derived from the capacity of
-/// the balancer's VM. After a loss of power, callers send on flows that no upstream holds: without
-/// a limit, queries fill the link, answers are lost, and searches start over.
+/// the balancer's VM. After a loss of power, callers keep sending packets of flows that no upstream
+/// holds: without a limit, queries fill the link, answers are lost, and searches start over.
 class SearchBudget
 {
 public:
--- a/include/dandelionslip/Packet/Segment.h
+++ b/include/dandelionslip/Packet/Segment.h
@@ -24,7 +24,8 @@
   std::uint32_t mSequence = 0;
   std::uint32_t mAcknowledged = 0;
   std::uint16_t mDataBytes = 0;
-  /// Set by the agent that delivers the packet; a bounced packet still has it.
+  /// Number that the agent writes into each packet that it delivers. A bounced packet still has it,
+  /// so that the agent finds the delivery.
   std::uint32_t mTag = 0;
 };
 
--- a/lib/Packet/OpeningLimiter.cpp
+++ b/lib/Packet/OpeningLimiter.cpp
@@ -1,4 +1,4 @@
-// Sliding-window rate limiter for openings.
+// Sliding-window rate limiter for opened flows.
 #include "dandelionslip/Packet/OpeningLimiter.h"
 
 #include <algorithm>
--- a/lib/Packet/OpeningQueue.cpp
+++ b/lib/Packet/OpeningQueue.cpp
@@ -1,4 +1,4 @@
-// Waiting openings, ordered by priority and arrival.
+// Waiting opening packets, ordered by priority and arrival.
 #include "dandelionslip/Packet/OpeningQueue.h"
 
 #include <limits>
--- a/lib/Packet/OpeningShares.cpp
+++ b/lib/Packet/OpeningShares.cpp
@@ -1,4 +1,4 @@
-// Round-robin assignment of openings to balancers.
+// Round-robin assignment of permits to open flows to balancers.
 #include "dandelionslip/Packet/OpeningShares.h"
 
 namespace dandelionslip {
--- a/lib/Packet/PacketAgent.cpp
+++ b/lib/Packet/PacketAgent.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Heartbeat intervals without a heartbeat after which the upstream gets no new flows: one may be
+// The upstream gets no new flows after this many intervals without a heartbeat: a heartbeat may be
 // lost, and the interval varies.
 constexpr int kMaxMissedHeartbeats = 3;
 
@@ -25,7 +25,8 @@
 // deadline.
 constexpr Milliseconds kMaxRequestTime{8'000};
 
-// An upstream reacts to a flow probe within milliseconds, or when the flow's request is done.
+// A flow probe without a reaction for this long is forgotten. Upstreams react within milliseconds,
+// or when the flow's request is done.
 constexpr Milliseconds kProbeTimeout{3'000};
 
 // How long a closed flow is kept for late packets; retransmissions are up to 1.6 s apart.
@@ -59,8 +60,8 @@
     mReturned[i] = &aRegistry.CounterFor("dandelionslip_packets_returned_total",
                                          "reason=\"" + std::string(reason) + "\"");
   }
-  // Start at a different tag in each process, so that packets which an earlier process tagged and
-  // which are bounced late do not match deliveries of this one.
+  // Start at another tag in each process: a late bounce of a packet that an earlier process
+  // delivered must not match a delivery of this one.
   mNextTag = static_cast<std::uint32_t>(aNow.time_since_epoch().count()) | 1U;
 }
 
--- a/lib/Packet/PacketBalancer.cpp
+++ b/lib/Packet/PacketBalancer.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// An agent that is not in the view is kept until it has not reported for this long, because its
-// upstream may still hold flows.
+// An agent that is not in the view is removed when it has not reported for this long. Until then
+// its upstream may hold flows.
 constexpr Milliseconds kAgentRetention{10'000};
 
 // Limit of flow probes in searches among all agents. At 1,200 bytes each, they take a quarter of
@@ -27,8 +27,8 @@
 // they take 0.3 MB.
 constexpr std::size_t kMaxEarlyPackets = 256;
 
-// Interval between checks for openings that waited too long; a caller waits at most that much
-// longer.
+// Shortest interval between checks for openings that waited too long when load reports arrive. They
+// are also checked every second.
 constexpr Milliseconds kExpiryInterval{50};
 
 // An opening waits at most this part of its route's timeout: requests that start later rarely end
@@ -432,7 +432,7 @@
     return;
   }
   if (aReason == ReturnReason::Cold) {
-    // Other balancers have used up the upstream's openings; the next report allows new ones.
+    // The upstream has reached its limit of new flows; the next report allows more.
     mAgents[aFrom].mReport.mOpensAllowed = 0;
   } else {
     flow.mTried.push_back(aFrom);
--- a/lib/Packet/PacketBalancerSearch.cpp
+++ b/lib/Packet/PacketBalancerSearch.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A packet that comes this long after the last queries sends new ones. Slightly less than the first
-// retransmission interval of callers.
+// A packet of the flow that arrives more than this after the last queries triggers new ones.
+// Slightly less than the first retransmission interval of callers.
 constexpr Milliseconds kRetryInterval{180};
 
 // A search that has not ended in this time starts over with the directory agents, because the flow
@@ -51,9 +51,9 @@
          aAgent.mReport.mRegisteredWithDigest == mDirectoryAgents.Digest();
 }
 
-// Whether the directory agents show that no covered agent holds the flow: all of them have answered
-// NotRegistered, so that each is in its own view in its current incarnation, and each is itself
-// covered, so that it has applied the same agents as this balancer.
+// Whether the directory agents show that no covered agent holds the flow. Each of them must have
+// answered NotRegistered, which shows that its view contains its current incarnation. Each must
+// also be covered itself, which shows that it knows the same agents as this balancer.
 bool PacketBalancer::DirectoryRulesOut(const FlowKey& aKey, const Search& aSearch,
                                        TimePoint aNow) const
 {
@@ -97,9 +97,10 @@
   SendQueries(aKey, aSearch, NodeMessageType::QueryLocal, aOutput, aNow);
 }
 
-// Starts or continues the search for a flow's holder. The directory agents are queried first. The
-// search goes on to the next stage if they do not answer or have named an agent that does not hold
-// the flow.
+// Starts or continues the search for a flow's holder. The directory agents are queried first,
+// unless there are none or an agent has already returned a packet of the flow. The next stage
+// follows if they do not answer, do not know the holder, or name an agent that does not hold the
+// flow.
 void PacketBalancer::SearchHolder(const Segment& aSegment, Flow& aFlow,
                                   std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
                                   TimePoint aNow)
@@ -132,6 +133,7 @@
   Search& search = *aFlow.mSearch;
   const bool retry = aNow - search.mLastQueriedAt > kRetryInterval;
   if (retry) {
+    // The caller retransmits: the kept packets are out of date.
     search.mPackets.clear();
   }
   if (search.mPackets.size() < kMaxKeptPackets) {
@@ -234,7 +236,7 @@
 }
 
 // Resets the flow if all agents are ruled out, so that its caller does not wait until the deadline.
-// Before the view is settled, an unknown agent may still hold the flow.
+// Before the view may be complete, an agent that is not in it yet may hold the flow.
 void PacketBalancer::ResetIfNotFound(const FlowKey& aKey, const Search& aSearch,
                                      PacketOutput& aOutput, TimePoint aNow)
 {
--- a/unittests/Packet/PacketAgentTest.cpp
+++ b/unittests/Packet/PacketAgentTest.cpp
@@ -71,6 +71,7 @@
                                       mNow);
   }
 
+  // If aSequence is greater than 1, the agent has restarted while the upstream ran.
   void Prepare(std::uint64_t aSequence = 1, Milliseconds aCold = Milliseconds{0})
   {
     mAgent.OnConfiguration(TestRoutes(1, {"web"}));
@@ -136,6 +137,7 @@
     }
     mAgent.OnView(TestView(1, members), 1);
     mAgent.RegisterFlows(mOutput, mNow);
+    // Not registered, because the upstream has not answered.
     FromBalancer(CallerPacket(TestFlow(2), FlagSyn));
     mOutput.Clear();
     Open(1);
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -203,6 +203,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Sent(NodeMessageType::QueryLocal));
 
     // An agent that has restarted does not know its flows: it is the only one that is queried.
+    // Chooses an agent that is not a directory agent of the flow.
     unsigned restarted = 1;
     for (const auto directoryAgents = mDirectoryAgents.AgentsFor(TestFlow(2));
          std::find(directoryAgents.begin(), directoryAgents.end(), NodeEndpoint(restarted)) !=
@@ -304,6 +305,7 @@
       }
       mNow += Milliseconds{200};
     }
+    // The queries of the first two stages are not limited and are subtracted.
     constexpr std::size_t kFirstStages =
       DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates;
     const std::size_t allAgentQueries =
@@ -337,6 +339,7 @@
     mNow += kSettled;
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
+    // The second answer is a duplicate and changes nothing.
     Answer(1, NodeMessageType::NotFound, TestFlow(1));
     Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
@@ -350,6 +353,7 @@
     Report(1, Accepting());
     mBalancer.OnTick(mOutput, mNow);
     Send(packet);
+    // The second answer is a duplicate and changes nothing.
     Answer(1, NodeMessageType::NotFound, TestFlow(1));
     Answer(1, NodeMessageType::NotFound, TestFlow(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.Resets());
--- a/unittests/Platform/PlatformCodecTest.cpp
+++ b/unittests/Platform/PlatformCodecTest.cpp
@@ -135,7 +135,7 @@
     assertRejected(Replaced(kDocument, "\"host\":\"198.18.0.1\"", "\"host\":\"web.example\""));
   }
 
-  // Guards against upstream state that is read from a heartbeat which no upstream wrote.
+  // Guards against a malformed heartbeat that is taken as the upstream's state.
   void MalformedHeartbeatsAreRejected()
   {
     const auto good = DecodeHeartbeat("i-1", kHeartbeat);
@@ -175,7 +175,8 @@
     return file;
   }
 
-  // Guards against settings that fail the product's own checks.
+  // Guards against values that are lost between the file and the settings, and against control
+  // settings that fail CheckSettings.
   void NodeFilesBecomeSettings()
   {
     const auto control = ControlSettingsFrom(File());
