--- a/include/dandelionslip/Config/PacketSettings.h
+++ b/include/dandelionslip/Config/PacketSettings.h
@@ -36,7 +36,7 @@
   std::string mUpstreamHeartbeatEndpoint; ///< TCP "address:port" for the upstream's heartbeats.
   Milliseconds mHeartbeat{1'000};         ///< Interval of the upstream's heartbeats.
   Milliseconds mMaxFlowAge{60'000};       ///< Flows older than this need not be kept.
-  /// A cold upstream takes at most RoutedService::mColdOpensPerSecond * mColdExcessFactor +
+  /// A cold upstream takes at most RoutedService::mColdOpeningsPerSecond * mColdExcessFactor +
   /// mColdSlack new flows a second, rounded down but at least 1.
   double mColdExcessFactor = 1.0;
   std::uint32_t mColdSlack = 0;
--- a/include/dandelionslip/Daemon/PacketDaemons.h
+++ b/include/dandelionslip/Daemon/PacketDaemons.h
@@ -10,7 +10,7 @@
 template <typename Calls>
 struct PacketPlatform
 {
-  const SegmentCodec& mCodec;
+  const PacketCodec& mCodec;
   PacketAdapterFactory<Calls> mAdapter;
   /// Reads the control endpoints again after the settings may have changed; empty on an error.
   std::function<std::vector<std::string>()> mReadSeeds;
--- a/include/dandelionslip/Model/RouteTable.h
+++ b/include/dandelionslip/Model/RouteTable.h
@@ -58,7 +58,7 @@
   Milliseconds mWarmUp{0};     ///< How long an upstream is cold after its start.
   /// New flows a second that a cold upstream takes, before the cold excess factor and the cold
   /// slack of the agent's settings are applied.
-  double mColdOpensPerSecond = 0;
+  double mColdOpeningsPerSecond = 0;
 
   bool operator==(const RoutedService&) const = default;
 };
@@ -69,7 +69,7 @@
   aVisitor.Field("name", aValue.mName);
   aVisitor.Field("max_flows", aValue.mMaxFlows);
   aVisitor.Field("warm_up_ms", aValue.mWarmUp);
-  aVisitor.Field("cold_opens_per_second", aValue.mColdOpensPerSecond);
+  aVisitor.Field("cold_opens_per_second", aValue.mColdOpeningsPerSecond);
 }
 
 /// All routes. Version 0 means that no route table was published.
--- a/include/dandelionslip/Packet/FlowDirectory.h
+++ b/include/dandelionslip/Packet/FlowDirectory.h
@@ -17,7 +17,7 @@
 {
 public:
   /// Interval at which agents refresh the registrations of their open flows.
-  static constexpr Milliseconds kRefresh{20'000};
+  static constexpr Milliseconds kRefreshInterval{20'000};
   /// A registration survives the loss of two refreshes.
   static constexpr Milliseconds kLifetime{65'000};
   /// 200,000 entries take about 20 MB. A system of the target size needs 7,300 per directory agent.
--- a/include/dandelionslip/Packet/LoadReport.h
+++ b/include/dandelionslip/Packet/LoadReport.h
@@ -17,7 +17,7 @@
   bool mAccepts = false; ///< Whether new flows may be sent.
   bool mCold = false;
   /// The upstream has exited and the agent stops, so that no flow is left.
-  bool mUpstreamExited = false;
+  bool mFinished = false;
   bool mStarting = false;      ///< The agent has just started and has received no heartbeat yet.
   std::uint32_t mFlows = 0;    ///< Open flows.
   std::uint32_t mRequests = 0; ///< Requests delivered and not yet answered.
@@ -26,12 +26,13 @@
   std::uint32_t mMilliRequestsPerSlotSecond = 0;
   /// If cold: new flows that may be sent before the next report. A report that is sent to a
   /// balancer contains that balancer's share.
-  std::uint32_t mOpensAllowed = 0;
-  std::uint32_t mOpensPerSecond = 0; ///< If cold: new flows per second from all balancers together.
-  Milliseconds mColdLeft{0};         ///< How much longer the upstream stays cold.
+  std::uint32_t mOpeningsAllowed = 0;
+  /// If cold: new flows per second from all balancers together.
+  std::uint32_t mOpeningsPerSecond = 0;
+  Milliseconds mColdLeft{0}; ///< How much longer the upstream stays cold.
   /// DirectoryAgents::Digest() of the view for which the directory agents have confirmed all flows
   /// of the upstream; 0 if some are not confirmed.
-  std::uint64_t mRegisteredWithDigest = 0;
+  std::uint64_t mConfirmedAgentsDigest = 0;
 
   bool operator==(const LoadReport&) const = default;
 
--- a/include/dandelionslip/Packet/OpeningLimiter.h
+++ b/include/dandelionslip/Packet/OpeningLimiter.h
@@ -18,9 +18,9 @@
   /// Number of flows that may be opened now.
   std::size_t Remaining(std::size_t aLimit, TimePoint aNow) const;
 
-  /// Allows no flow to be opened for one window from aNow on, because it is not known which were
+  /// Allows no flow to be opened for one window from aSince on, because it is not known which were
   /// opened before.
-  void Block(TimePoint aNow) { mBlockedUntil = aNow + kWindow; }
+  void Block(TimePoint aSince) { mBlockedUntil = aSince + kWindow; }
 
 private:
   /// The upstream must not see more than the limit in any second. The window is 100 ms longer
--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -31,7 +31,7 @@
   /// No flow lasts longer. After this time the flow table of a restarted agent is complete.
   Milliseconds mMaxFlowAge{60'000};
   /// At most mColdExcessFactor * rate + mColdSlack flows a second are opened at a cold upstream,
-  /// where rate is mColdOpensPerSecond of the service.
+  /// where rate is mColdOpeningsPerSecond of the service.
   double mColdExcessFactor = 1.0;
   std::uint32_t mColdSlack = 0;
   std::size_t mMaxFlows = 50'000;
@@ -54,7 +54,7 @@
 class PacketAgent
 {
 public:
-  PacketAgent(const PacketAgentSettings& aSettings, const SegmentCodec& aCodec,
+  PacketAgent(const PacketAgentSettings& aSettings, const PacketCodec& aCodec,
               MetricsRegistry& aRegistry, TimePoint aNow);
 
   void OnConfiguration(const Configuration& aConfiguration);
@@ -117,7 +117,7 @@
   {
     std::uint32_t mTag = 0;
     Endpoint mBalancer;
-    NodeMessageType mKind = NodeMessageType::Deliver;
+    NodeMessageType mType = NodeMessageType::Deliver;
   };
 
   /// A flow probe that the upstream has not reacted to yet.
@@ -135,56 +135,56 @@
 
   /// Returns why the opening packet is refused; empty if it is admitted. Counts an admitted flow
   /// against the limit of a cold upstream.
-  std::optional<ReturnReason> ReasonToRefuse(const Segment& aSegment, TimePoint aNow);
-  ReturnReason UpstreamCondition(TimePoint aNow) const;
+  std::optional<ReturnReason> AdmitOpening(const PacketHeader& aPacketHeader, TimePoint aNow);
+  ReturnReason ReasonForNoNewFlows(TimePoint aNow) const;
   bool RouteTargetsService(const FlowKey& aFlow) const;
   bool IsCold(TimePoint aNow) const;
-  bool UpstreamExited() const;
+  bool IsFinished() const;
   std::size_t ColdLimit() const;
   bool TableIsComplete(TimePoint aNow) const;
   bool UpstreamIsAbsent(TimePoint aNow) const;
-  void Deliver(const Endpoint& aBalancer, NodeMessageType aKind, std::span<std::uint8_t> aPacket,
+  void Deliver(const Endpoint& aBalancer, NodeMessageType aType, std::span<std::uint8_t> aPacket,
                PacketOutput& aOutput);
   void Return(const Endpoint& aBalancer, ReturnReason aReason,
               std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
-  void OnOpening(const Endpoint& aFrom, const Segment& aSegment, std::span<std::uint8_t> aPacket,
-                 PacketOutput& aOutput, TimePoint aNow);
+  void OnOpening(const Endpoint& aFrom, const PacketHeader& aPacketHeader,
+                 std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   void LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const;
   /// Handles a packet that is not an opening packet.
-  void OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
-                 std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  void OnQuery(const Endpoint& aFrom, NodeMessageType aKind, std::span<const std::uint8_t> aBytes,
+  void OnFlowPacket(const Endpoint& aFrom, NodeMessageType aType, const PacketHeader& aPacketHeader,
+                    std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
+  void OnQuery(const Endpoint& aFrom, NodeMessageType aType, std::span<const std::uint8_t> aBytes,
                PacketOutput& aOutput, TimePoint aNow);
   void OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
                   PacketOutput& aOutput, TimePoint aNow);
   void OnRegisterAck(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes);
   /// Adds the flow to the registrations for its directory agents and marks it as unconfirmed.
-  void Register(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
-                PacketOutput& aOutput, TimePoint aNow);
+  void AddRegistrations(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
+                        PacketOutput& aOutput, TimePoint aNow);
   static void SendRegistrations(const Registrations& aRegistrations, PacketOutput& aOutput);
   static bool HasUnconfirmedAgents(const Flow& aFlow);
   NodeMessageType NegativeAnswer(NodeMessageType aQuery, TimePoint aNow) const;
-  void SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aKind, const FlowKey& aFlow,
+  void SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aType, const FlowKey& aFlow,
                       const Endpoint& aHolder, PacketOutput& aOutput);
-  void ReportNotHeld(const Delivery& aDelivery, const Segment& aSegment,
+  void ReportNotHeld(const Delivery& aDelivery, const PacketHeader& aPacketHeader,
                      std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
   void AnswerProbe(const FlowKey& aFlow, PacketOutput& aOutput);
   void OnBounced(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   Flow& FindOrAddFlow(const FlowKey& aFlow, TimePoint aNow);
-  void TrackRequest(Flow& aFlow, const Segment& aSegment, TimePoint aNow);
+  void TrackRequest(Flow& aFlow, const PacketHeader& aPacketHeader, TimePoint aNow);
   void SetRequestPending(Flow& aFlow, bool aPending, TimePoint aNow);
   void Close(Flow& aFlow, TimePoint aNow);
   void RemoveFlow(const FlowKey& aFlow, TimePoint aNow);
 
   PacketAgentSettings mSettings;
-  const SegmentCodec& mCodec;
+  const PacketCodec& mCodec;
   TimePoint mStartedAt;
   std::optional<Upstream> mUpstream;
   bool mUpstreamSentPackets = false; ///< Shows that the upstream runs, even without a heartbeat.
   /// Whether this process ran when the upstream started, and so opened all of its flows.
   bool mSawUpstreamStart = false;
   bool mStopping = false;
-  bool mDataCentreOut = false;
+  bool mDataCentreOutOfService = false;
   /// Set when the data centre returns to service, until the next heartbeat shows whether the
   /// upstream is cold.
   bool mColdUntilHeartbeat = false;
@@ -198,23 +198,24 @@
   /// Whether the view contains this process, which other agents need to register flows with it.
   bool mInView = false;
   /// DirectoryAgents::Digest() for which all flows are registered and confirmed; 0 if some are not.
-  std::uint64_t mRegisteredWithDigest = 0;
+  std::uint64_t mConfirmedAgentsDigest = 0;
   FlowDirectory mDirectory;
   std::array<Delivery, kRememberedDeliveries> mDeliveries{};
   std::uint32_t mNextTag = 1;
-  OpeningLimiter mColdOpens;
-  SpeedEstimator mSpeed;
+  OpeningLimiter mColdLimiter;
+  SpeedEstimator mSpeedEstimator;
   std::uint32_t mOpenFlows = 0; ///< Flows in mFlows that are not closed.
   std::uint32_t mPendingRequests = 0;
-  std::uint32_t mUnansweredOpens = 0; ///< Opening packets since the upstream last sent anything.
+  std::uint32_t mUnansweredOpenings = 0; ///< Opening packets since the upstream last sent anything.
   TimePoint mUnansweredSince;
   Summary& mRequestSeconds; ///< From a request's first packet to the upstream's first answer.
   Summary& mOpeningSeconds; ///< From an opening packet to the upstream's answer.
   Counter& mDelivered;
   Counter& mReplies;
   Counter& mBounced;
-  Counter& mResets;      ///< Flows that were reset because the upstream no longer holds them.
-  Counter& mProbeResets; ///< Resets by the upstream that were dropped: reactions to flow probes.
+  Counter& mFlowsLost; ///< Flows that were reset because the upstream no longer holds them.
+  /// Resets that the upstream sent in reaction to flow probes.
+  Counter& mProbeResetsDropped;
   Counter& mMalformed;
   std::array<Counter*, kReturnReasons> mReturned{};
 };
--- a/include/dandelionslip/Packet/PacketBalancer.h
+++ b/include/dandelionslip/Packet/PacketBalancer.h
@@ -33,10 +33,10 @@
   std::size_t mMaxFlows = 500'000;
   /// Longest time that an opening packet waits for an upstream to accept it, or an early packet for
   /// the balancer to be ready. Callers give up 1.4 s after their first packet.
-  Milliseconds mMaxOpeningWait{1'300};
+  Milliseconds mMaxPacketWait{1'300};
   /// After the first agents are known, others may be missing from the view for this long. Agents
   /// announce themselves every 100 ms after their start.
-  Milliseconds mSettleTime{1'000};
+  Milliseconds mViewCompletionTime{1'000};
   std::size_t mMaxWaiting = 10'000; ///< Opening packets queued at once; 32 bytes each.
   NodeCapacity mCapacity;           ///< Of the balancer's VM.
 };
@@ -49,7 +49,7 @@
 class PacketBalancer
 {
 public:
-  PacketBalancer(const PacketBalancerSettings& aSettings, const SegmentCodec& aCodec,
+  PacketBalancer(const PacketBalancerSettings& aSettings, const PacketCodec& aCodec,
                  MetricsRegistry& aRegistry, Random aRandom, TimePoint aNow = RuntimeClock::now());
 
   /// Applies a configuration and a view. Their revisions never decrease from call to call.
@@ -74,7 +74,8 @@
   {
     std::string mService;
     std::string mDataCentre;
-    std::uint64_t mEndpointHash = 0; ///< Combined with a flow's hash to choose candidates.
+    /// Combined with a flow's hash to choose its preferred agents.
+    std::uint64_t mEndpointHash = 0;
     bool mInView = false;
     bool mTakesNewWork = false; ///< According to the view; used until the first load report.
     /// When the view first showed it as lost; its upstream may still run and hold flows.
@@ -100,7 +101,7 @@
   enum class SearchStage
   {
     DirectoryAgents, ///< The agents with which the flow would be registered.
-    Candidates,      ///< The agents that a balancer prefers when it places the flow.
+    PreferredAgents, ///< The agents that a balancer prefers when it places the flow.
     /// All other agents; if the directory agents show that no agent that they cover holds the flow,
     /// only those that they do not cover.
     AllAgents,
@@ -115,7 +116,7 @@
     std::vector<Endpoint> mUnanswered; ///< Agents of the stage that have not answered yet.
     std::vector<Endpoint> mRuledOut;   ///< Agents that do not hold the flow.
     /// Directory agents that answered NotRegistered.
-    std::vector<Endpoint> mAgentsWithoutEntry;
+    std::vector<Endpoint> mDirectoryAgentsWithoutEntry;
     std::vector<std::vector<std::uint8_t>> mPackets; ///< Forwarded when the holder is found.
   };
 
@@ -130,7 +131,7 @@
   struct Flow
   {
     std::optional<Endpoint> mHolder;
-    std::vector<Endpoint> mTried; ///< Agents that returned a packet of the flow.
+    std::vector<Endpoint> mReturnedBy; ///< Agents that returned a packet of the flow.
     TimePoint mUsedAt;
     std::unique_ptr<Search> mSearch;
   };
@@ -140,35 +141,35 @@
   const RouteEntry* FindRoute(const FlowKey& aFlow) const;
   const std::string& ServiceFor(const RouteEntry& aRoute, const FlowKey& aFlow) const;
   Flow& FindOrAddFlow(const FlowKey& aFlow, TimePoint aNow);
-  void OnOpening(const Segment& aSegment, std::span<const std::uint8_t> aPacket,
+  void OnOpening(const PacketHeader& aPacketHeader, std::span<const std::uint8_t> aPacket,
                  PacketOutput& aOutput, TimePoint aNow);
-  void PlaceFlow(const Segment& aSegment, Flow& aFlow, const RouteEntry& aRoute,
+  void PlaceFlow(const PacketHeader& aPacketHeader, Flow& aFlow, const RouteEntry& aRoute,
                  std::span<const std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
-  void EnqueueOpening(const Segment& aSegment, std::uint32_t aPriority, Milliseconds aWait,
-                      std::span<const std::uint8_t> aPacket, TimePoint aNow);
+  void EnqueueOpening(const PacketHeader& aPacketHeader, std::uint32_t aPriority,
+                      Milliseconds aWait, std::span<const std::uint8_t> aPacket, TimePoint aNow);
   void PlaceWaitingOpenings(std::size_t aCount, const OpeningQueue::Condition& aCondition,
                             PacketOutput& aOutput, TimePoint aNow);
-  void PlaceWaitingAt(const Agent& aAgent, PacketOutput& aOutput, TimePoint aNow);
+  void PlaceWaitingForServiceOf(const Agent& aAgent, PacketOutput& aOutput, TimePoint aNow);
   void ResetExpiredOpenings(PacketOutput& aOutput, TimePoint aNow);
   bool MayAcceptSoon(const RouteEntry& aRoute, const Flow& aFlow, TimePoint aNow) const;
-  std::uint32_t ColdOpensLeft(const Agent& aAgent) const;
+  std::uint32_t ColdOpeningsLeft(const Agent& aAgent) const;
   std::optional<Endpoint> ChooseAgent(const std::string& aService, const FlowKey& aKey,
                                       const Flow& aFlow, TimePoint aNow);
   std::optional<Endpoint> ChooseAmong(std::span<const Endpoint> aAgents, const Flow& aFlow,
                                       TimePoint aNow);
   /// Whether the agent is eligible and accepts a new flow now, as far as its last report or, before
   /// the first one, the view shows.
-  bool Accepts(const Endpoint& aEndpoint, const Agent& aAgent, const Flow& aFlow,
-               TimePoint aNow) const;
+  bool AcceptsNow(const Endpoint& aEndpoint, const Agent& aAgent, const Flow& aFlow,
+                  TimePoint aNow) const;
   /// Whether the agent's data centre is in service and the agent has returned no packet of the
   /// flow.
-  bool MayPlace(const Endpoint& aEndpoint, const Agent& aAgent, const Flow& aFlow) const;
-  void SearchHolder(const Segment& aSegment, Flow& aFlow, std::span<const std::uint8_t> aPacket,
-                    PacketOutput& aOutput, TimePoint aNow);
-  void ContinueSearch(const Segment& aSegment, Flow& aFlow, std::span<const std::uint8_t> aPacket,
-                      PacketOutput& aOutput, TimePoint aNow);
+  bool IsEligible(const Endpoint& aEndpoint, const Agent& aAgent, const Flow& aFlow) const;
+  void SearchHolder(const PacketHeader& aPacketHeader, Flow& aFlow,
+                    std::span<const std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
+  void ContinueSearch(const PacketHeader& aPacketHeader, Flow& aFlow,
+                      std::span<const std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   void ForwardEarlyPackets(PacketOutput& aOutput, TimePoint aNow);
-  void SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aKind,
+  void SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aType,
                    PacketOutput& aOutput, TimePoint aNow);
   void QueryNextStage(const FlowKey& aKey, Search& aSearch, PacketOutput& aOutput, TimePoint aNow);
   void SendProbe(const Endpoint& aAgent, const Search& aSearch, PacketOutput& aOutput);
@@ -176,9 +177,9 @@
                        TimePoint aNow);
   bool IsCoveredByDirectory(const Agent& aAgent, TimePoint aNow) const;
   bool DirectoryRulesOut(const FlowKey& aKey, const Search& aSearch, TimePoint aNow) const;
-  std::vector<Endpoint> CandidatesFor(const std::string& aService, const FlowKey& aKey) const;
-  bool IsSettled(TimePoint aNow) const;
-  void OnFlowMessage(const Endpoint& aFrom, NodeMessageType aKind,
+  std::vector<Endpoint> PreferredAgentsFor(const std::string& aService, const FlowKey& aKey) const;
+  bool ViewMayBeComplete(TimePoint aNow) const;
+  void OnFlowMessage(const Endpoint& aFrom, NodeMessageType aType,
                      std::span<const std::uint8_t> aBytes, PacketOutput& aOutput, TimePoint aNow);
   void OnHolderFound(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
                      PacketOutput& aOutput, TimePoint aNow);
@@ -190,11 +191,11 @@
                     PacketOutput& aOutput, TimePoint aNow);
   void ApplyView(const View& aView, TimePoint aNow);
   void ApplyAgent(const Member& aMember, TimePoint aNow);
-  void LogPlacement(const Segment& aSegment, const Endpoint& aHolder, TimePoint aNow);
-  void RefuseFlow(const Segment& aSegment, PacketOutput& aOutput, Counter& aCounter);
+  void LogPlacement(const PacketHeader& aPacketHeader, const Endpoint& aHolder, TimePoint aNow);
+  void ResetFlow(const PacketHeader& aPacketHeader, PacketOutput& aOutput, Counter& aCounter);
 
   PacketBalancerSettings mSettings;
-  const SegmentCodec& mCodec;
+  const PacketCodec& mCodec;
   Random mRandom;
   std::uint64_t mRouteVersion = 0;
   std::unordered_map<std::uint64_t, RouteEntry> mRoutes; ///< By address and port.
--- a/include/dandelionslip/Packet/Segment.h
+++ b/include/dandelionslip/Packet/PacketCodec.h
@@ -11,12 +11,12 @@
 namespace dandelionslip {
 
 /// The decoded header of one packet.
-struct Segment
+struct PacketHeader
 {
   FlowKey mFlow;
-  bool mOpens = false;   ///< Opening packet, or a retransmission of it.
-  bool mAccepts = false; ///< The upstream's answer to the opening packet.
-  bool mEnds = false;    ///< The sender will send no further data.
+  bool mOpens = false;          ///< Opening packet, or a retransmission of it.
+  bool mAcceptsOpening = false; ///< The upstream's answer to the opening packet.
+  bool mEnds = false;           ///< The sender will send no further data.
   bool mResets = false;
   bool mBounced = false; ///< The upstream sent the packet back because it does not hold the flow.
   std::uint32_t mRetransmission =
@@ -30,15 +30,17 @@
 };
 
 /// Codec of the packet format that callers and upstreams use. Implementations hold no state.
-class SegmentCodec
+class PacketCodec
 {
 public:
-  virtual ~SegmentCodec() = default;
+  virtual ~PacketCodec() = default;
 
   /// Decodes a packet that a caller sent, bounced or not; empty if malformed.
-  virtual std::optional<Segment> DecodeFromCaller(std::span<const std::uint8_t> aBytes) const = 0;
+  virtual std::optional<PacketHeader> DecodeFromCaller(
+    std::span<const std::uint8_t> aBytes) const = 0;
   /// Decodes a packet that an upstream sent to a caller; empty if malformed.
-  virtual std::optional<Segment> DecodeFromUpstream(std::span<const std::uint8_t> aBytes) const = 0;
+  virtual std::optional<PacketHeader> DecodeFromUpstream(
+    std::span<const std::uint8_t> aBytes) const = 0;
   /// Whether the upstream bounced the packet.
   virtual bool IsBounced(std::span<const std::uint8_t> aBytes) const = 0;
   /// Sets the tag of a packet on its way to an upstream.
--- a/include/dandelionslip/Packet/PacketOutput.h
+++ b/include/dandelionslip/Packet/PacketOutput.h
@@ -3,7 +3,7 @@
 
 #include "dandelionslip/Model/Endpoint.h"
 #include "dandelionslip/Packet/NodeMessageHeader.h"
-#include "dandelionslip/Packet/Segment.h"
+#include "dandelionslip/Packet/PacketCodec.h"
 
 #include <cstdint>
 #include <span>
--- a/include/dandelionslip/Packet/Placement.h
+++ b/include/dandelionslip/Packet/Placement.h
@@ -14,7 +14,7 @@
 /// An upstream that may accept a new flow.
 struct PlacementCandidate
 {
-  std::size_t mAgent = 0; ///< Index in the list of agents to choose from.
+  std::size_t mIndex = 0; ///< Index in the list of agents to choose from.
   const LoadReport* mReport = nullptr;
   std::uint32_t mPlacedSinceReport = 0; ///< Flows that this balancer has placed since mReport.
 };
@@ -29,7 +29,7 @@
 /// kDefaultSlotSpeed if there are none.
 double MeanSlotSpeed(std::span<const PlacementCandidate> aCandidates);
 
-/// Returns mAgent of a random candidate whose score is within kPlacementTolerance of the lowest.
+/// Returns mIndex of a random candidate whose score is within kPlacementTolerance of the lowest.
 /// The choice is random so that balancers which have the same reports and open many long flows at
 /// the same moment do not all choose the same upstream. Empty without candidates.
 std::optional<std::size_t> ChoosePlacement(std::span<const PlacementCandidate> aCandidates,
@@ -38,7 +38,7 @@
 /// Number of upstreams of a service that are preferred for a flow, chosen by the flow's hash. Few
 /// preferred agents balance the load nearly as well as all, and after a restart of all nodes the
 /// search for a flow can query these first.
-inline constexpr std::size_t kPlacementCandidates = 6;
+inline constexpr std::size_t kPreferredAgents = 6;
 
 /// Scores up to this factor above the best count as equal, a difference of one flow in ten.
 inline constexpr double kPlacementTolerance = 1.1;
--- a/lib/Daemon/PacketAgentDaemon.cpp
+++ b/lib/Daemon/PacketAgentDaemon.cpp
@@ -162,7 +162,7 @@
     item->second = RuntimeClock::now();
     if (isNew) {
       LoadReport report = mCore.Report(RuntimeClock::now());
-      report.mOpensAllowed = mShares.ShareForNewBalancer();
+      report.mOpeningsAllowed = mShares.ShareForNewBalancer();
       SendLoadReport(aBalancer, report.Encode());
     }
   }
@@ -179,11 +179,11 @@
                   [&](const auto& aItem) { return now - aItem.second > kBalancerTimeout; });
     LoadReport report = mCore.Report(now);
     Bytes encoded = report.Encode();
-    const auto shares = mShares.Split(report.mOpensAllowed, mBalancers.size());
+    const auto shares = mShares.Split(report.mOpeningsAllowed, mBalancers.size());
     auto share = shares.begin();
     for (const auto& [balancer, heard] : mBalancers) {
-      if (*share != report.mOpensAllowed) {
-        report.mOpensAllowed = *share;
+      if (*share != report.mOpeningsAllowed) {
+        report.mOpeningsAllowed = *share;
         encoded = report.Encode();
       }
       SendLoadReport(balancer, encoded);
--- a/lib/Packet/DirectoryAgents.cpp
+++ b/lib/Packet/DirectoryAgents.cpp
@@ -34,9 +34,9 @@
   std::array<std::pair<std::uint64_t, const Agent*>, kDirectoryAgentsPerFlow> best{};
   for (const Agent& agent : mAgents) {
     std::pair<std::uint64_t, const Agent*> candidate{CombineHash(hash, agent.mNameHash), &agent};
-    for (auto& place : best) {
-      if (place.second == nullptr || candidate.first > place.first) {
-        std::swap(place, candidate);
+    for (auto& entry : best) {
+      if (entry.second == nullptr || candidate.first > entry.first) {
+        std::swap(entry, candidate);
       }
       if (candidate.second == nullptr) {
         break;
--- a/lib/Packet/LoadReport.cpp
+++ b/lib/Packet/LoadReport.cpp
@@ -10,15 +10,15 @@
 
 constexpr std::size_t kTexts = 2;
 
-constexpr std::array<bool LoadReport::*, 4> kFlags{
-  &LoadReport::mAccepts, &LoadReport::mCold, &LoadReport::mUpstreamExited, &LoadReport::mStarting};
+constexpr std::array<bool LoadReport::*, 4> kFlags{&LoadReport::mAccepts, &LoadReport::mCold,
+                                                   &LoadReport::mFinished, &LoadReport::mStarting};
 
 constexpr std::array<std::uint32_t LoadReport::*, 6> kNumbers{
-  &LoadReport::mFlows,        &LoadReport::mRequests,
-  &LoadReport::mSlots,        &LoadReport::mMilliRequestsPerSlotSecond,
-  &LoadReport::mOpensAllowed, &LoadReport::mOpensPerSecond};
+  &LoadReport::mFlows,           &LoadReport::mRequests,
+  &LoadReport::mSlots,           &LoadReport::mMilliRequestsPerSlotSecond,
+  &LoadReport::mOpeningsAllowed, &LoadReport::mOpeningsPerSecond};
 
-// The texts, one number with the flags as bits, kNumbers, mColdLeft, and mRegisteredWithDigest,
+// The texts, one number with the flags as bits, kNumbers, mColdLeft, and mConfirmedAgentsDigest,
 // which is the only 64-bit field.
 constexpr std::size_t kFields = kTexts + 1 + kNumbers.size() + 2;
 
@@ -40,7 +40,7 @@
     fields.push_back(this->*member);
   }
   fields.push_back(static_cast<std::uint32_t>(mColdLeft.count()));
-  fields.push_back(mRegisteredWithDigest);
+  fields.push_back(mConfirmedAgentsDigest);
   return EncodeCbor(fields);
 }
 
@@ -73,7 +73,7 @@
     report.*kNumbers[i] = json[kTexts + 1 + i].get<std::uint32_t>();
   }
   report.mColdLeft = Milliseconds(json[kFields - 2].get<std::uint32_t>());
-  report.mRegisteredWithDigest = json[kFields - 1].get<std::uint64_t>();
+  report.mConfirmedAgentsDigest = json[kFields - 1].get<std::uint64_t>();
   return report;
 }
 
--- a/lib/Packet/OpeningQueue.cpp
+++ b/lib/Packet/OpeningQueue.cpp
@@ -11,8 +11,8 @@
   if (!mFlows.insert(aOpening.mFlow).second) {
     return false;
   }
-  const SortKey place{aOpening.mPriority, -aOpening.mArrivedAt.time_since_epoch(), mNextNumber++};
-  mOpenings.emplace(place, std::move(aOpening));
+  const SortKey key{aOpening.mPriority, -aOpening.mArrivedAt.time_since_epoch(), mNextNumber++};
+  mOpenings.emplace(key, std::move(aOpening));
   return true;
 }
 
--- a/lib/Packet/PacketAgent.cpp
+++ b/lib/Packet/PacketAgent.cpp
@@ -18,7 +18,7 @@
 
 // The upstream counts as unresponsive after this many unanswered opening packets and this time
 // since the first of them. An opening packet is first retransmitted after 200 ms.
-constexpr std::uint32_t kMaxUnansweredOpens = 2;
+constexpr std::uint32_t kMaxUnansweredOpenings = 2;
 constexpr Milliseconds kOpenAnswerTimeout{250};
 
 // A request without an answer for this long no longer counts as pending; longer than any request's
@@ -40,7 +40,7 @@
 
 } // namespace
 
-PacketAgent::PacketAgent(const PacketAgentSettings& aSettings, const SegmentCodec& aCodec,
+PacketAgent::PacketAgent(const PacketAgentSettings& aSettings, const PacketCodec& aCodec,
                          MetricsRegistry& aRegistry, TimePoint aNow)
   : mSettings(aSettings)
   , mCodec(aCodec)
@@ -50,8 +50,9 @@
   , mDelivered(aRegistry.CounterFor("dandelionslip_packets_delivered_total"))
   , mReplies(aRegistry.CounterFor("dandelionslip_packets_replied_total"))
   , mBounced(aRegistry.CounterFor("dandelionslip_packets_bounced_total"))
-  , mResets(aRegistry.CounterFor("dandelionslip_flows_reset_total", "reason=\"upstream_lost_it\""))
-  , mProbeResets(
+  , mFlowsLost(
+      aRegistry.CounterFor("dandelionslip_flows_reset_total", "reason=\"upstream_lost_it\""))
+  , mProbeResetsDropped(
       aRegistry.CounterFor("dandelionslip_packets_dropped_total", "reason=\"probe_reset\""))
   , mMalformed(aRegistry.CounterFor("dandelionslip_packets_dropped_total", "reason=\"malformed\""))
 {
@@ -67,23 +68,23 @@
 
 void PacketAgent::OnConfiguration(const Configuration& aConfiguration)
 {
-  const bool out = aConfiguration.IsDataCentreOut(mSettings.mDataCentre);
-  if (mDataCentreOut && !out) {
+  const bool outOfService = aConfiguration.IsDataCentreOut(mSettings.mDataCentre);
+  if (mDataCentreOutOfService && !outOfService) {
     // The upstream may have turned cold in the meantime; its next heartbeat shows it.
     mColdUntilHeartbeat = true;
   }
-  mDataCentreOut = out;
+  mDataCentreOutOfService = outOfService;
   if (aConfiguration.mRoutes.mVersion <= mRoutes.mVersion) {
     return;
   }
   mRoutes = aConfiguration.mRoutes;
   mRouteTargetsService.clear();
   for (const Route& route : mRoutes.mRoutes) {
-    const bool leads =
+    const bool targetsService =
       std::any_of(route.mTargets.begin(), route.mTargets.end(), [&](const RouteTarget& aTarget) {
         return aTarget.mService == mSettings.mService && aTarget.mWeight > 0;
       });
-    mRouteTargetsService[RouteKeyOf(Endpoint::Parse(route.mAddress).value())] = leads;
+    mRouteTargetsService[RouteKeyOf(Endpoint::Parse(route.mAddress).value())] = targetsService;
   }
   LogEvent(LogLevel::Info, "routes_in_force")
     .With("version", mRoutes.mVersion)
@@ -124,12 +125,12 @@
     // opened flows, also in the limiter's current window.
     mSawUpstreamStart = aHeartbeat.mSequence <= 1;
     if (!mSawUpstreamStart) {
-      mColdOpens.Block(mStartedAt);
+      mColdLimiter.Block(mStartedAt);
     }
   }
   mUpstream = Upstream{aHeartbeat, aNow, aNow + aHeartbeat.mColdLeft, false};
   mColdUntilHeartbeat = false;
-  mUnansweredOpens = 0;
+  mUnansweredOpenings = 0;
   return HeartbeatOutcome::Accepted;
 }
 
@@ -149,22 +150,23 @@
 std::size_t PacketAgent::ColdLimit() const
 {
   const RoutedService* service = mRoutes.FindService(mSettings.mService);
-  const double rate = service == nullptr ? 0.0 : service->mColdOpensPerSecond;
+  const double rate = service == nullptr ? 0.0 : service->mColdOpeningsPerSecond;
   const double bound = std::floor(rate * mSettings.mColdExcessFactor + mSettings.mColdSlack);
   return bound < 1 ? 1 : static_cast<std::size_t>(bound);
 }
 
 // Why the upstream takes no new flows; ReturnReason::None if it takes them.
-ReturnReason PacketAgent::UpstreamCondition(TimePoint aNow) const
+ReturnReason PacketAgent::ReasonForNoNewFlows(TimePoint aNow) const
 {
   if (!mUpstream || mUpstream->mLeft ||
       aNow - mUpstream->mHeardAt > kMaxMissedHeartbeats * mSettings.mHeartbeat) {
     return ReturnReason::NoUpstream;
   }
-  if (mStopping || mDataCentreOut || mUpstream->mLastHeartbeat.mDraining) {
+  if (mStopping || mDataCentreOutOfService || mUpstream->mLastHeartbeat.mDraining) {
     return ReturnReason::Draining;
   }
-  if (mUnansweredOpens >= kMaxUnansweredOpens && aNow - mUnansweredSince > kOpenAnswerTimeout) {
+  if (mUnansweredOpenings >= kMaxUnansweredOpenings &&
+      aNow - mUnansweredSince > kOpenAnswerTimeout) {
     return ReturnReason::Unresponsive;
   }
   return ReturnReason::None;
@@ -176,18 +178,19 @@
   return found != mRouteTargetsService.end() && found->second;
 }
 
-std::optional<ReturnReason> PacketAgent::ReasonToRefuse(const Segment& aSegment, TimePoint aNow)
+std::optional<ReturnReason> PacketAgent::AdmitOpening(const PacketHeader& aPacketHeader,
+                                                      TimePoint aNow)
 {
-  if (const auto condition = UpstreamCondition(aNow); condition != ReturnReason::None) {
+  if (const auto condition = ReasonForNoNewFlows(aNow); condition != ReturnReason::None) {
     return condition;
   }
-  if (!RouteTargetsService(aSegment.mFlow)) {
+  if (!RouteTargetsService(aPacketHeader.mFlow)) {
     return ReturnReason::WrongService;
   }
   if (mFlows.size() >= mSettings.mMaxFlows) {
     return ReturnReason::Refused;
   }
-  if (IsCold(aNow) && !mColdOpens.TryOpen(ColdLimit(), aNow)) {
+  if (IsCold(aNow) && !mColdLimiter.TryOpen(ColdLimit(), aNow)) {
     return ReturnReason::Cold;
   }
   return std::nullopt;
@@ -211,29 +214,29 @@
   LoadReport report;
   report.mService = mSettings.mService;
   report.mDataCentre = mSettings.mDataCentre;
-  report.mAccepts = UpstreamCondition(aNow) == ReturnReason::None;
+  report.mAccepts = ReasonForNoNewFlows(aNow) == ReturnReason::None;
   report.mCold = IsCold(aNow);
   if (report.mCold) {
-    report.mOpensAllowed = static_cast<std::uint32_t>(mColdOpens.Remaining(ColdLimit(), aNow));
+    report.mOpeningsAllowed = static_cast<std::uint32_t>(mColdLimiter.Remaining(ColdLimit(), aNow));
     report.mColdLeft = mColdUntilHeartbeat
                          ? mSettings.mHeartbeat
                          : std::chrono::duration_cast<Milliseconds>(mUpstream->mColdUntil - aNow);
-    report.mOpensPerSecond = static_cast<std::uint32_t>(ColdLimit());
+    report.mOpeningsPerSecond = static_cast<std::uint32_t>(ColdLimit());
   }
-  report.mRegisteredWithDigest =
-    TableIsComplete(aNow) || UpstreamIsAbsent(aNow) ? mRegisteredWithDigest : 0;
-  report.mUpstreamExited = UpstreamExited();
+  report.mConfirmedAgentsDigest =
+    TableIsComplete(aNow) || UpstreamIsAbsent(aNow) ? mConfirmedAgentsDigest : 0;
+  report.mFinished = IsFinished();
   report.mStarting = !mUpstream && aNow - mStartedAt < kMaxMissedHeartbeats * mSettings.mHeartbeat;
   report.mFlows = mOpenFlows;
   report.mRequests = mPendingRequests;
   report.mSlots = mUpstream ? std::max<std::uint32_t>(mUpstream->mLastHeartbeat.mSlots, 1) : 1;
   report.mMilliRequestsPerSlotSecond =
-    static_cast<std::uint32_t>(std::lround(mSpeed.RequestsPerSlotSecond() * kMilli));
+    static_cast<std::uint32_t>(std::lround(mSpeedEstimator.RequestsPerSlotSecond() * kMilli));
   return report;
 }
 
 // Whether both the agent and its upstream stop as planned, so that no flow is left here.
-bool PacketAgent::UpstreamExited() const
+bool PacketAgent::IsFinished() const
 {
   return mStopping && mUpstream && mUpstream->mLeft;
 }
@@ -241,9 +244,9 @@
 MemberState PacketAgent::State(TimePoint aNow) const
 {
   if (mStopping) {
-    return UpstreamExited() ? MemberState::Left : MemberState::Draining;
+    return IsFinished() ? MemberState::Left : MemberState::Draining;
   }
-  if (UpstreamCondition(aNow) != ReturnReason::None) {
+  if (ReasonForNoNewFlows(aNow) != ReturnReason::None) {
     return mUpstream ? MemberState::Draining : MemberState::Cold;
   }
   return IsCold(aNow) ? MemberState::Cold : MemberState::Serving;
--- a/lib/Packet/PacketAgentDirectory.cpp
+++ b/lib/Packet/PacketAgentDirectory.cpp
@@ -17,7 +17,7 @@
 void PacketAgent::OnView(const View& aView, std::uint64_t aOwnIncarnation)
 {
   mDirectoryAgentsChanged = mDirectoryAgents.Update(aView) || mDirectoryAgentsChanged;
-  mRegisteredWithDigest = mDirectoryAgentsChanged ? 0 : mRegisteredWithDigest;
+  mConfirmedAgentsDigest = mDirectoryAgentsChanged ? 0 : mConfirmedAgentsDigest;
   const std::string own = mSettings.mEndpoint.ToString();
   mInView = std::any_of(aView.mMembers.begin(), aView.mMembers.end(), [&](const auto& aItem) {
     const Member& member = aItem.second;
@@ -26,12 +26,12 @@
   });
 }
 
-void PacketAgent::SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aKind,
+void PacketAgent::SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aType,
                                  const FlowKey& aFlow, const Endpoint& aHolder,
                                  PacketOutput& aOutput)
 {
   const FlowMessage message{aHolder, {aFlow}};
-  aOutput.SendToNode(aBalancer, {aKind, ReturnReason::None}, message.Encode());
+  aOutput.SendToNode(aBalancer, {aType, ReturnReason::None}, message.Encode());
 }
 
 // The upstream has sent a packet of the flow, so it holds the flow. Answers a pending flow probe.
@@ -44,7 +44,7 @@
   }
 }
 
-void PacketAgent::OnQuery(const Endpoint& aFrom, NodeMessageType aKind,
+void PacketAgent::OnQuery(const Endpoint& aFrom, NodeMessageType aType,
                           std::span<const std::uint8_t> aBytes, PacketOutput& aOutput,
                           TimePoint aNow)
 {
@@ -58,13 +58,13 @@
     SendFlowAnswer(aFrom, NodeMessageType::HolderFound, key, mSettings.mEndpoint, aOutput);
     return;
   }
-  if (aKind == NodeMessageType::Query) {
+  if (aType == NodeMessageType::Query) {
     if (const auto holder = mDirectory.Find(key)) {
       SendFlowAnswer(aFrom, NodeMessageType::HolderFound, key, *holder, aOutput);
       return;
     }
   }
-  SendFlowAnswer(aFrom, NegativeAnswer(aKind, aNow), key, {}, aOutput);
+  SendFlowAnswer(aFrom, NegativeAnswer(aType, aNow), key, {}, aOutput);
 }
 
 // The answer to a query for a flow that is neither in the table nor in the directory.
@@ -116,8 +116,8 @@
                      [](std::uint64_t aAgent) { return aAgent != 0; });
 }
 
-void PacketAgent::Register(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
-                           PacketOutput& aOutput, TimePoint aNow)
+void PacketAgent::AddRegistrations(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
+                                   PacketOutput& aOutput, TimePoint aNow)
 {
   if (!HasUnconfirmedAgents(aFlow)) {
     aFlow.mUnconfirmedSince = aNow;
@@ -152,8 +152,8 @@
 // directory agents have changed.
 void PacketAgent::RegisterFlows(PacketOutput& aOutput, TimePoint aNow)
 {
-  const bool all = std::exchange(mDirectoryAgentsChanged, false);
-  bool confirmed = true;
+  const bool registerAll = std::exchange(mDirectoryAgentsChanged, false);
+  bool noneOverdue = true;
   Registrations registrations;
   for (auto& [key, flow] : mFlows) {
     if (!flow.mAccepted || flow.mClosed) {
@@ -161,20 +161,20 @@
     }
     const bool overdue =
       HasUnconfirmedAgents(flow) && aNow - flow.mUnconfirmedSince > kConfirmTimeout;
-    confirmed = confirmed && !all && !overdue;
-    if (all || HasUnconfirmedAgents(flow) || !flow.mRegisteredAt ||
-        aNow - *flow.mRegisteredAt >= FlowDirectory::kRefresh) {
-      Register(key, flow, registrations, aOutput, aNow);
+    noneOverdue = noneOverdue && !registerAll && !overdue;
+    if (registerAll || HasUnconfirmedAgents(flow) || !flow.mRegisteredAt ||
+        aNow - *flow.mRegisteredAt >= FlowDirectory::kRefreshInterval) {
+      AddRegistrations(key, flow, registrations, aOutput, aNow);
     }
   }
   // Directory agents that have just changed may not know an unconfirmed flow at all, so all flows
   // must be confirmed first. Later, a new flow may be unconfirmed for kConfirmTimeout.
-  const bool knownBefore = mRegisteredWithDigest == mDirectoryAgents.Digest();
-  const bool open =
-    !knownBefore && std::any_of(mFlows.begin(), mFlows.end(), [](const auto& aItem) {
+  const bool wasConfirmed = mConfirmedAgentsDigest == mDirectoryAgents.Digest();
+  const bool anyUnconfirmed =
+    !wasConfirmed && std::any_of(mFlows.begin(), mFlows.end(), [](const auto& aItem) {
       return !aItem.second.mClosed && HasUnconfirmedAgents(aItem.second);
     });
-  mRegisteredWithDigest = confirmed && !open ? mDirectoryAgents.Digest() : 0;
+  mConfirmedAgentsDigest = noneOverdue && !anyUnconfirmed ? mDirectoryAgents.Digest() : 0;
   SendRegistrations(registrations, aOutput);
 }
 
--- a/lib/Packet/PacketAgentFlows.cpp
+++ b/lib/Packet/PacketAgentFlows.cpp
@@ -50,42 +50,42 @@
     OnRegisterAck(aFrom, aPacket);
     return;
   }
-  const auto segment = mCodec.DecodeFromCaller(aPacket);
-  const bool known =
+  const auto packetHeader = mCodec.DecodeFromCaller(aPacket);
+  const bool carriesPacket =
     aHeader.mKind == NodeMessageType::Deliver || aHeader.mKind == NodeMessageType::Probe;
-  if (!segment || !known || segment->mBounced) {
+  if (!packetHeader || !carriesPacket || packetHeader->mBounced) {
     mMalformed.Add();
     return;
   }
-  if (segment->mOpens) {
-    OnOpening(aFrom, *segment, aPacket, aOutput, aNow);
+  if (packetHeader->mOpens) {
+    OnOpening(aFrom, *packetHeader, aPacket, aOutput, aNow);
     return;
   }
-  OnMidFlow(aFrom, aHeader.mKind, *segment, aPacket, aOutput, aNow);
+  OnFlowPacket(aFrom, aHeader.mKind, *packetHeader, aPacket, aOutput, aNow);
 }
 
-void PacketAgent::OnOpening(const Endpoint& aFrom, const Segment& aSegment,
+void PacketAgent::OnOpening(const Endpoint& aFrom, const PacketHeader& aPacketHeader,
                             std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow)
 {
-  const auto found = mFlows.find(aSegment.mFlow);
-  if (found != mFlows.end() && aSegment.mRetransmission > 0 && !found->second.mAccepted) {
-    RemoveFlow(aSegment.mFlow, aNow);
+  const auto found = mFlows.find(aPacketHeader.mFlow);
+  if (found != mFlows.end() && aPacketHeader.mRetransmission > 0 && !found->second.mAccepted) {
+    RemoveFlow(aPacketHeader.mFlow, aNow);
     Return(aFrom, ReturnReason::Unresponsive, aPacket, aOutput);
     return;
   }
-  if (const auto reason = ReasonToRefuse(aSegment, aNow)) {
-    LogOpening(aSegment.mFlow, *reason, aNow);
+  if (const auto reason = AdmitOpening(aPacketHeader, aNow)) {
+    LogOpening(aPacketHeader.mFlow, *reason, aNow);
     Return(aFrom, *reason, aPacket, aOutput);
     return;
   }
-  if (aSegment.mRetransmission == 0) {
-    RemoveFlow(aSegment.mFlow, aNow);
+  if (aPacketHeader.mRetransmission == 0) {
+    RemoveFlow(aPacketHeader.mFlow, aNow);
   }
-  LogOpening(aSegment.mFlow, ReturnReason::None, aNow);
-  Flow& flow = FindOrAddFlow(aSegment.mFlow, aNow);
-  flow.mDeliveredEnd = aSegment.mSequence;
+  LogOpening(aPacketHeader.mFlow, ReturnReason::None, aNow);
+  Flow& flow = FindOrAddFlow(aPacketHeader.mFlow, aNow);
+  flow.mDeliveredEnd = aPacketHeader.mSequence;
   flow.mOpenedAt = flow.mOpenedAt.value_or(aNow);
-  if (mUnansweredOpens++ == 0) {
+  if (mUnansweredOpenings++ == 0) {
     mUnansweredSince = aNow;
   }
   Deliver(aFrom, NodeMessageType::Deliver, aPacket, aOutput);
@@ -107,39 +107,40 @@
     .With("routes", mRoutes.mVersion);
 }
 
-void PacketAgent::OnMidFlow(const Endpoint& aFrom, NodeMessageType aKind, const Segment& aSegment,
-                            std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow)
+void PacketAgent::OnFlowPacket(const Endpoint& aFrom, NodeMessageType aType,
+                               const PacketHeader& aPacketHeader, std::span<std::uint8_t> aPacket,
+                               PacketOutput& aOutput, TimePoint aNow)
 {
-  auto found = mFlows.find(aSegment.mFlow);
+  auto found = mFlows.find(aPacketHeader.mFlow);
   if (found != mFlows.end() && found->second.mDeliveredEnd &&
-      !IsNear(aSegment.mSequence, *found->second.mDeliveredEnd)) {
-    RemoveFlow(aSegment.mFlow, aNow);
+      !IsNear(aPacketHeader.mSequence, *found->second.mDeliveredEnd)) {
+    RemoveFlow(aPacketHeader.mFlow, aNow);
     found = mFlows.end();
   }
   if (found == mFlows.end()) {
     if (!TableIsComplete(aNow)) {
-      if (aKind == NodeMessageType::Probe && mProbes.size() < kMaxProbes) {
-        mProbes[aSegment.mFlow] = {aFrom, aNow};
+      if (aType == NodeMessageType::Probe && mProbes.size() < kMaxProbes) {
+        mProbes[aPacketHeader.mFlow] = {aFrom, aNow};
       }
-      Deliver(aFrom, aKind, aPacket, aOutput);
+      Deliver(aFrom, aType, aPacket, aOutput);
     } else {
-      ReportNotHeld({0, aFrom, aKind}, aSegment, aPacket, aOutput);
+      ReportNotHeld({0, aFrom, aType}, aPacketHeader, aPacket, aOutput);
     }
     return;
   }
   Flow& flow = found->second;
   flow.mUsedAt = aNow;
-  TrackRequest(flow, aSegment, aNow);
-  if (aKind == NodeMessageType::Probe) {
-    SendFlowAnswer(aFrom, NodeMessageType::HolderFound, aSegment.mFlow, mSettings.mEndpoint,
+  TrackRequest(flow, aPacketHeader, aNow);
+  if (aType == NodeMessageType::Probe) {
+    SendFlowAnswer(aFrom, NodeMessageType::HolderFound, aPacketHeader.mFlow, mSettings.mEndpoint,
                    aOutput);
   }
-  Deliver(aFrom, aKind, aPacket, aOutput);
-  if (aSegment.mResets) {
-    RemoveFlow(aSegment.mFlow, aNow);
+  Deliver(aFrom, aType, aPacket, aOutput);
+  if (aPacketHeader.mResets) {
+    RemoveFlow(aPacketHeader.mFlow, aNow);
     return;
   }
-  flow.mCallerEnded = flow.mCallerEnded || aSegment.mEnds;
+  flow.mCallerEnded = flow.mCallerEnded || aPacketHeader.mEnds;
   if (flow.mCallerEnded && flow.mUpstreamEnded) {
     Close(flow, aNow);
   }
@@ -148,46 +149,46 @@
 void PacketAgent::OnUpstreamPacket(std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                    TimePoint aNow)
 {
-  mUnansweredOpens = 0;
+  mUnansweredOpenings = 0;
   mUpstreamSentPackets = true;
   if (mCodec.IsBounced(aPacket)) {
     OnBounced(aPacket, aOutput, aNow);
     return;
   }
-  const auto segment = mCodec.DecodeFromUpstream(aPacket);
-  if (!segment) {
+  const auto packetHeader = mCodec.DecodeFromUpstream(aPacket);
+  if (!packetHeader) {
     mMalformed.Add();
     return;
   }
   // A reset of a flow that is not held here is a reaction to a flow probe. It must not reach the
   // caller, because the flow may be open at another upstream.
-  if (segment->mResets && !mFlows.contains(segment->mFlow)) {
-    mProbeResets.Add();
+  if (packetHeader->mResets && !mFlows.contains(packetHeader->mFlow)) {
+    mProbeResetsDropped.Add();
     return;
   }
   mReplies.Add();
-  aOutput.SendToCaller(segment->mFlow, aPacket);
-  if (segment->mResets) {
-    RemoveFlow(segment->mFlow, aNow);
+  aOutput.SendToCaller(packetHeader->mFlow, aPacket);
+  if (packetHeader->mResets) {
+    RemoveFlow(packetHeader->mFlow, aNow);
     return;
   }
-  Flow& flow = FindOrAddFlow(segment->mFlow, aNow);
-  AnswerProbe(segment->mFlow, aOutput);
+  Flow& flow = FindOrAddFlow(packetHeader->mFlow, aNow);
+  AnswerProbe(packetHeader->mFlow, aOutput);
   if (const auto opened = std::exchange(flow.mOpenedAt, std::nullopt)) {
     mOpeningSeconds.Observe(Seconds(aNow - *opened));
   }
   if (!std::exchange(flow.mAccepted, true)) {
     Registrations registrations;
-    Register(segment->mFlow, flow, registrations, aOutput, aNow);
+    AddRegistrations(packetHeader->mFlow, flow, registrations, aOutput, aNow);
     SendRegistrations(registrations, aOutput);
   }
-  flow.mEstablished = flow.mEstablished || !segment->mAccepts;
-  if (segment->mDataBytes > 0 && flow.mRequestPending) {
-    mSpeed.OnCompleted();
+  flow.mEstablished = flow.mEstablished || !packetHeader->mAcceptsOpening;
+  if (packetHeader->mDataBytes > 0 && flow.mRequestPending) {
+    mSpeedEstimator.OnCompleted();
     mRequestSeconds.Observe(Seconds(aNow - flow.mRequestSince));
     SetRequestPending(flow, false, aNow);
   }
-  flow.mUpstreamEnded = flow.mUpstreamEnded || segment->mEnds;
+  flow.mUpstreamEnded = flow.mUpstreamEnded || packetHeader->mEnds;
   if (flow.mCallerEnded && flow.mUpstreamEnded) {
     Close(flow, aNow);
   }
@@ -196,48 +197,48 @@
 void PacketAgent::OnBounced(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow)
 {
   mBounced.Add();
-  const auto segment = mCodec.DecodeFromCaller(aPacket);
-  if (!segment) {
+  const auto packetHeader = mCodec.DecodeFromCaller(aPacket);
+  if (!packetHeader) {
     mMalformed.Add();
     return;
   }
-  const Delivery delivery = mDeliveries[segment->mTag % kRememberedDeliveries];
-  if (delivery.mTag != segment->mTag) {
+  const Delivery delivery = mDeliveries[packetHeader->mTag % kRememberedDeliveries];
+  if (delivery.mTag != packetHeader->mTag) {
     return;
   }
   mCodec.ClearBounce(aPacket);
-  mProbes.erase(segment->mFlow);
-  if (segment->mOpens) {
-    RemoveFlow(segment->mFlow, aNow);
+  mProbes.erase(packetHeader->mFlow);
+  if (packetHeader->mOpens) {
+    RemoveFlow(packetHeader->mFlow, aNow);
     Return(delivery.mBalancer, ReturnReason::Refused, aPacket, aOutput);
     return;
   }
-  const auto found = mFlows.find(segment->mFlow);
+  const auto found = mFlows.find(packetHeader->mFlow);
   if (found != mFlows.end() && found->second.mEstablished && found->second.mDeliveredEnd) {
     // The flow was open at this upstream, which no longer holds it, so no upstream does.
     const bool ended = found->second.mUpstreamEnded || found->second.mClosed;
-    RemoveFlow(segment->mFlow, aNow);
+    RemoveFlow(packetHeader->mFlow, aNow);
     if (!ended) {
-      mResets.Add();
+      mFlowsLost.Add();
       LogEvent(LogLevel::Info, "flow_reset")
-        .With("flow", ToString(segment->mFlow))
+        .With("flow", ToString(packetHeader->mFlow))
         .With("reason", "upstream_lost_it")
         .With("upstream", mUpstream ? mUpstream->mLastHeartbeat.mId : "");
-      aOutput.SendToCaller(segment->mFlow,
-                           mCodec.EncodeReset(segment->mFlow, segment->mAcknowledged));
+      aOutput.SendToCaller(packetHeader->mFlow,
+                           mCodec.EncodeReset(packetHeader->mFlow, packetHeader->mAcknowledged));
     }
     return;
   }
-  RemoveFlow(segment->mFlow, aNow);
-  ReportNotHeld(delivery, *segment, aPacket, aOutput);
+  RemoveFlow(packetHeader->mFlow, aNow);
+  ReportNotHeld(delivery, *packetHeader, aPacket, aOutput);
 }
 
-void PacketAgent::Deliver(const Endpoint& aBalancer, NodeMessageType aKind,
+void PacketAgent::Deliver(const Endpoint& aBalancer, NodeMessageType aType,
                           std::span<std::uint8_t> aPacket, PacketOutput& aOutput)
 {
   mDelivered.Add();
   const std::uint32_t tag = mNextTag++;
-  mDeliveries[tag % kRememberedDeliveries] = {tag, aBalancer, aKind};
+  mDeliveries[tag % kRememberedDeliveries] = {tag, aBalancer, aType};
   mCodec.SetTag(aPacket, tag);
   aOutput.SendToUpstream(aPacket);
 }
@@ -249,11 +250,12 @@
   aOutput.SendToNode(aBalancer, {NodeMessageType::Returned, aReason}, aPacket);
 }
 
-void PacketAgent::ReportNotHeld(const Delivery& aDelivery, const Segment& aSegment,
+void PacketAgent::ReportNotHeld(const Delivery& aDelivery, const PacketHeader& aPacketHeader,
                                 std::span<const std::uint8_t> aPacket, PacketOutput& aOutput)
 {
-  if (aDelivery.mKind == NodeMessageType::Probe) {
-    SendFlowAnswer(aDelivery.mBalancer, NodeMessageType::NotFound, aSegment.mFlow, {}, aOutput);
+  if (aDelivery.mType == NodeMessageType::Probe) {
+    SendFlowAnswer(aDelivery.mBalancer, NodeMessageType::NotFound, aPacketHeader.mFlow, {},
+                   aOutput);
   } else {
     Return(aDelivery.mBalancer, ReturnReason::NotHeld, aPacket, aOutput);
   }
@@ -272,12 +274,12 @@
 
 // Marks a request as pending if the packet carries data that was not delivered before; a
 // retransmission starts no request.
-void PacketAgent::TrackRequest(Flow& aFlow, const Segment& aSegment, TimePoint aNow)
+void PacketAgent::TrackRequest(Flow& aFlow, const PacketHeader& aPacketHeader, TimePoint aNow)
 {
-  if (aSegment.mDataBytes == 0) {
+  if (aPacketHeader.mDataBytes == 0) {
     return;
   }
-  const std::uint32_t end = aSegment.mSequence + aSegment.mDataBytes;
+  const std::uint32_t end = aPacketHeader.mSequence + aPacketHeader.mDataBytes;
   if (aFlow.mDeliveredEnd && !IsLater(end, *aFlow.mDeliveredEnd)) {
     return;
   }
@@ -293,7 +295,8 @@
   aFlow.mRequestPending = aPending;
   aFlow.mRequestSince = aNow;
   mPendingRequests = aPending ? mPendingRequests + 1 : mPendingRequests - 1;
-  mSpeed.OnActiveChanged(mPendingRequests, mUpstream ? mUpstream->mLastHeartbeat.mSlots : 1, aNow);
+  mSpeedEstimator.OnActiveChanged(mPendingRequests,
+                                  mUpstream ? mUpstream->mLastHeartbeat.mSlots : 1, aNow);
 }
 
 void PacketAgent::Close(Flow& aFlow, TimePoint aNow)
--- a/lib/Packet/PacketBalancer.cpp
+++ b/lib/Packet/PacketBalancer.cpp
@@ -38,12 +38,12 @@
 Milliseconds MaxWait(Milliseconds aTimeout, const PacketBalancerSettings& aSettings)
 {
   const auto wait = std::chrono::duration_cast<Milliseconds>(aTimeout * kMaxWaitFraction);
-  return std::min(aSettings.mMaxOpeningWait, wait);
+  return std::min(aSettings.mMaxPacketWait, wait);
 }
 
 } // namespace
 
-PacketBalancer::PacketBalancer(const PacketBalancerSettings& aSettings, const SegmentCodec& aCodec,
+PacketBalancer::PacketBalancer(const PacketBalancerSettings& aSettings, const PacketCodec& aCodec,
                                MetricsRegistry& aRegistry, Random aRandom, TimePoint aNow)
   : mSettings(aSettings)
   , mCodec(aCodec)
@@ -183,17 +183,17 @@
 void PacketBalancer::OnCallerPacket(std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                     TimePoint aNow)
 {
-  const auto segment = mCodec.DecodeFromCaller(aPacket);
-  if (!segment || segment->mBounced) {
+  const auto packetHeader = mCodec.DecodeFromCaller(aPacket);
+  if (!packetHeader || packetHeader->mBounced) {
     mMalformed.Add();
     return;
   }
-  if (mFlows.size() >= mSettings.mMaxFlows && !mFlows.contains(segment->mFlow)) {
+  if (mFlows.size() >= mSettings.mMaxFlows && !mFlows.contains(packetHeader->mFlow)) {
     mFlowsFull.Add();
     return;
   }
-  if (segment->mOpens) {
-    OnOpening(*segment, aPacket, aOutput, aNow);
+  if (packetHeader->mOpens) {
+    OnOpening(*packetHeader, aPacket, aOutput, aNow);
     return;
   }
   if (!Ready()) {
@@ -202,13 +202,13 @@
     }
     return;
   }
-  if (FindRoute(segment->mFlow) == nullptr) {
+  if (FindRoute(packetHeader->mFlow) == nullptr) {
     mNoRoute.Add();
     return;
   }
-  Flow& flow = FindOrAddFlow(segment->mFlow, aNow);
+  Flow& flow = FindOrAddFlow(packetHeader->mFlow, aNow);
   if (!flow.mHolder) {
-    SearchHolder(*segment, flow, aPacket, aOutput, aNow);
+    SearchHolder(*packetHeader, flow, aPacket, aOutput, aNow);
     return;
   }
   mForwarded.Add();
@@ -220,76 +220,79 @@
 void PacketBalancer::ForwardEarlyPackets(PacketOutput& aOutput, TimePoint aNow)
 {
   for (EarlyPacket& early : std::exchange(mEarlyPackets, {})) {
-    if (aNow - early.mArrivedAt <= mSettings.mMaxOpeningWait) {
+    if (aNow - early.mArrivedAt <= mSettings.mMaxPacketWait) {
       OnCallerPacket(early.mPacket, aOutput, aNow);
     }
   }
 }
 
-void PacketBalancer::OnOpening(const Segment& aSegment, std::span<const std::uint8_t> aPacket,
-                               PacketOutput& aOutput, TimePoint aNow)
+void PacketBalancer::OnOpening(const PacketHeader& aPacketHeader,
+                               std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
+                               TimePoint aNow)
 {
   if (mRouteVersion == 0) {
-    EnqueueOpening(aSegment, 0, mSettings.mMaxOpeningWait, aPacket, aNow);
+    EnqueueOpening(aPacketHeader, 0, mSettings.mMaxPacketWait, aPacket, aNow);
     return;
   }
-  const RouteEntry* route = FindRoute(aSegment.mFlow);
+  const RouteEntry* route = FindRoute(aPacketHeader.mFlow);
   if (route == nullptr) {
-    RefuseFlow(aSegment, aOutput, mNoRoute);
+    ResetFlow(aPacketHeader, aOutput, mNoRoute);
     return;
   }
-  if (mWaiting.Contains(aSegment.mFlow)) {
+  if (mWaiting.Contains(aPacketHeader.mFlow)) {
     return;
   }
-  Flow& flow = FindOrAddFlow(aSegment.mFlow, aNow);
-  if (aSegment.mRetransmission > 0 && flow.mHolder) {
+  Flow& flow = FindOrAddFlow(aPacketHeader.mFlow, aNow);
+  if (aPacketHeader.mRetransmission > 0 && flow.mHolder) {
     mForwarded.Add();
     aOutput.SendToNode(*flow.mHolder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
     return;
   }
   flow = Flow{};
   flow.mUsedAt = aNow;
-  PlaceFlow(aSegment, flow, *route, aPacket, aOutput, aNow);
+  PlaceFlow(aPacketHeader, flow, *route, aPacket, aOutput, aNow);
 }
 
-void PacketBalancer::PlaceFlow(const Segment& aSegment, Flow& aFlow, const RouteEntry& aRoute,
-                               std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
-                               TimePoint aNow)
+void PacketBalancer::PlaceFlow(const PacketHeader& aPacketHeader, Flow& aFlow,
+                               const RouteEntry& aRoute, std::span<const std::uint8_t> aPacket,
+                               PacketOutput& aOutput, TimePoint aNow)
 {
-  auto holder = ChooseAgent(ServiceFor(aRoute, aSegment.mFlow), aSegment.mFlow, aFlow, aNow);
+  auto holder =
+    ChooseAgent(ServiceFor(aRoute, aPacketHeader.mFlow), aPacketHeader.mFlow, aFlow, aNow);
   // If the chosen service has no upstream for the flow, try the other targets of the route.
   for (auto target = aRoute.mTargets.begin(); !holder && target != aRoute.mTargets.end();
        ++target) {
     if (target->mWeight > 0) {
-      holder = ChooseAgent(target->mService, aSegment.mFlow, aFlow, aNow);
+      holder = ChooseAgent(target->mService, aPacketHeader.mFlow, aFlow, aNow);
     }
   }
   aFlow.mHolder = holder;
   if (!holder) {
     const bool waits = MayAcceptSoon(aRoute, aFlow, aNow);
-    mFlows.erase(aSegment.mFlow);
+    mFlows.erase(aPacketHeader.mFlow);
     if (waits) {
-      EnqueueOpening(aSegment, aRoute.mPriority, aRoute.mMaxWait, aPacket, aNow);
+      EnqueueOpening(aPacketHeader, aRoute.mPriority, aRoute.mMaxWait, aPacket, aNow);
     } else {
-      RefuseFlow(aSegment, aOutput, mNoUpstream);
+      ResetFlow(aPacketHeader, aOutput, mNoUpstream);
     }
     return;
   }
   mPlaced.Add();
-  LogPlacement(aSegment, *holder, aNow);
+  LogPlacement(aPacketHeader, *holder, aNow);
   ++mAgents[*holder].mPlacedSinceReport;
   aOutput.SendToNode(*holder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
 }
 
-void PacketBalancer::LogPlacement(const Segment& aSegment, const Endpoint& aHolder, TimePoint aNow)
+void PacketBalancer::LogPlacement(const PacketHeader& aPacketHeader, const Endpoint& aHolder,
+                                  TimePoint aNow)
 {
   const Agent& agent = mAgents[aHolder];
   const auto age = agent.mReportedAt
                      ? std::chrono::duration_cast<Milliseconds>(aNow - *agent.mReportedAt).count()
                      : -1;
   LogEvent(LogLevel::Info, "flow_placed")
-    .With("flow", ToString(aSegment.mFlow))
-    .With("copy", aSegment.mRetransmission)
+    .With("flow", ToString(aPacketHeader.mFlow))
+    .With("copy", aPacketHeader.mRetransmission)
     .With("service", agent.mService)
     .With("agent", aHolder.ToString())
     .With("report_age_ms", age)
@@ -307,32 +310,33 @@
   });
 }
 
-bool PacketBalancer::MayPlace(const Endpoint& aEndpoint, const Agent& aAgent,
-                              const Flow& aFlow) const
+bool PacketBalancer::IsEligible(const Endpoint& aEndpoint, const Agent& aAgent,
+                                const Flow& aFlow) const
 {
   const auto dataCentre = mDataCentres.find(aAgent.mDataCentre);
   if (dataCentre != mDataCentres.end() && dataCentre->second.mOutOfService) {
     return false;
   }
-  return std::find(aFlow.mTried.begin(), aFlow.mTried.end(), aEndpoint) == aFlow.mTried.end();
+  return std::find(aFlow.mReturnedBy.begin(), aFlow.mReturnedBy.end(), aEndpoint) ==
+         aFlow.mReturnedBy.end();
 }
 
-bool PacketBalancer::Accepts(const Endpoint& aEndpoint, const Agent& aAgent, const Flow& aFlow,
-                             TimePoint aNow) const
+bool PacketBalancer::AcceptsNow(const Endpoint& aEndpoint, const Agent& aAgent, const Flow& aFlow,
+                                TimePoint aNow) const
 {
-  if (!MayPlace(aEndpoint, aAgent, aFlow)) {
+  if (!IsEligible(aEndpoint, aAgent, aFlow)) {
     return false;
   }
   if (!aAgent.mReportedAt) {
     return aAgent.mTakesNewWork;
   }
   const bool fresh = aNow - *aAgent.mReportedAt <= mSettings.mReportLifetime;
-  const bool coldAndFull = aAgent.mReport.mCold && ColdOpensLeft(aAgent) == 0;
+  const bool coldAndFull = aAgent.mReport.mCold && ColdOpeningsLeft(aAgent) == 0;
   return fresh && aAgent.mReport.mAccepts && !coldAndFull;
 }
 
-std::vector<Endpoint> PacketBalancer::CandidatesFor(const std::string& aService,
-                                                    const FlowKey& aKey) const
+std::vector<Endpoint> PacketBalancer::PreferredAgentsFor(const std::string& aService,
+                                                         const FlowKey& aKey) const
 {
   const std::uint64_t hash = HashOf(aKey);
   std::vector<std::pair<std::uint64_t, Endpoint>> ranked;
@@ -341,14 +345,14 @@
       ranked.emplace_back(CombineHash(hash, agent.mEndpointHash), endpoint);
     }
   }
-  const std::size_t count = std::min(ranked.size(), kPlacementCandidates);
+  const std::size_t count = std::min(ranked.size(), kPreferredAgents);
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count),
                     ranked.end(), std::greater<>());
-  std::vector<Endpoint> candidates;
+  std::vector<Endpoint> preferred;
   for (std::size_t i = 0; i < count; ++i) {
-    candidates.push_back(ranked[i].second);
+    preferred.push_back(ranked[i].second);
   }
-  return candidates;
+  return preferred;
 }
 
 std::optional<Endpoint> PacketBalancer::ChooseAmong(std::span<const Endpoint> aAgents,
@@ -358,7 +362,7 @@
   std::vector<PlacementCandidate> candidates;
   for (std::size_t i = 0; i < aAgents.size(); ++i) {
     const Agent& agent = mAgents.at(aAgents[i]);
-    if (Accepts(aAgents[i], agent, aFlow, aNow)) {
+    if (AcceptsNow(aAgents[i], agent, aFlow, aNow)) {
       candidates.push_back(
         {i, agent.mReportedAt ? &agent.mReport : &kUnreported, agent.mPlacedSinceReport});
     }
@@ -371,7 +375,7 @@
                                                     const FlowKey& aKey, const Flow& aFlow,
                                                     TimePoint aNow)
 {
-  if (const auto chosen = ChooseAmong(CandidatesFor(aService, aKey), aFlow, aNow)) {
+  if (const auto chosen = ChooseAmong(PreferredAgentsFor(aService, aKey), aFlow, aNow)) {
     return chosen;
   }
   std::vector<Endpoint> all;
@@ -409,40 +413,40 @@
                                 std::span<std::uint8_t> aPacket, PacketOutput& aOutput,
                                 TimePoint aNow)
 {
-  const auto segment = mCodec.DecodeFromCaller(aPacket);
-  if (!segment) {
+  const auto packetHeader = mCodec.DecodeFromCaller(aPacket);
+  if (!packetHeader) {
     mMalformed.Add();
     return;
   }
   mReturned[static_cast<std::size_t>(aReason)]->Add();
   LogEvent(LogLevel::Info, "flow_returned")
-    .With("flow", ToString(segment->mFlow))
+    .With("flow", ToString(packetHeader->mFlow))
     .With("agent", aFrom.ToString())
     .With("reason", ToString(aReason));
-  Flow& flow = FindOrAddFlow(segment->mFlow, aNow);
+  Flow& flow = FindOrAddFlow(packetHeader->mFlow, aNow);
   if (flow.mHolder && *flow.mHolder != aFrom) {
     // The flow was found or placed at another agent in the meantime.
     aOutput.SendToNode(*flow.mHolder, {NodeMessageType::Deliver, ReturnReason::None}, aPacket);
     return;
   }
   flow.mHolder.reset();
-  if (!segment->mOpens) {
-    flow.mTried.push_back(aFrom);
-    SearchHolder(*segment, flow, aPacket, aOutput, aNow);
+  if (!packetHeader->mOpens) {
+    flow.mReturnedBy.push_back(aFrom);
+    SearchHolder(*packetHeader, flow, aPacket, aOutput, aNow);
     return;
   }
   if (aReason == ReturnReason::Cold) {
     // The upstream has reached its limit of new flows; the next report allows more.
-    mAgents[aFrom].mReport.mOpensAllowed = 0;
+    mAgents[aFrom].mReport.mOpeningsAllowed = 0;
   } else {
-    flow.mTried.push_back(aFrom);
+    flow.mReturnedBy.push_back(aFrom);
   }
-  const RouteEntry* route = FindRoute(segment->mFlow);
+  const RouteEntry* route = FindRoute(packetHeader->mFlow);
   if (route == nullptr) {
-    RefuseFlow(*segment, aOutput, mNoRoute);
+    ResetFlow(*packetHeader, aOutput, mNoRoute);
     return;
   }
-  PlaceFlow(*segment, flow, *route, aPacket, aOutput, aNow);
+  PlaceFlow(*packetHeader, flow, *route, aPacket, aOutput, aNow);
 }
 
 void PacketBalancer::OnLoadReport(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
@@ -453,7 +457,7 @@
     mMalformed.Add();
     return;
   }
-  if (report.value().mUpstreamExited) {
+  if (report.value().mFinished) {
     mAgents.erase(aFrom);
     return;
   }
@@ -464,18 +468,19 @@
   agent.mReport = std::move(report.value());
   agent.mReportedAt = aNow;
   agent.mPlacedSinceReport = 0;
-  PlaceWaitingAt(agent, aOutput, aNow);
+  PlaceWaitingForServiceOf(agent, aOutput, aNow);
   if (aNow - mExpiryCheckedAt >= kExpiryInterval) {
     ResetExpiredOpenings(aOutput, aNow);
   }
 }
 
-void PacketBalancer::RefuseFlow(const Segment& aSegment, PacketOutput& aOutput, Counter& aCounter)
+void PacketBalancer::ResetFlow(const PacketHeader& aPacketHeader, PacketOutput& aOutput,
+                               Counter& aCounter)
 {
   aCounter.Add();
   LogEvent(LogLevel::Info, "flow_refused")
-    .With("flow", ToString(aSegment.mFlow))
-    .With("copy", aSegment.mRetransmission)
+    .With("flow", ToString(aPacketHeader.mFlow))
+    .With("copy", aPacketHeader.mRetransmission)
     .With("reason", &aCounter == &mNoRoute       ? "no_route"
                     : &aCounter == &mNotFound    ? "not_found"
                     : &aCounter == &mWaitExpired ? "waited_too_long"
@@ -484,7 +489,8 @@
     .With("view", mViewRevision)
     .With("agents", mAgents.size())
     .With("waiting", mWaiting.Size());
-  aOutput.SendToCaller(aSegment.mFlow, mCodec.EncodeReset(aSegment.mFlow, aSegment.mAcknowledged));
+  aOutput.SendToCaller(aPacketHeader.mFlow,
+                       mCodec.EncodeReset(aPacketHeader.mFlow, aPacketHeader.mAcknowledged));
 }
 
 void PacketBalancer::OnTick(PacketOutput& aOutput, TimePoint aNow)
--- a/lib/Packet/PacketBalancerSearch.cpp
+++ b/lib/Packet/PacketBalancerSearch.cpp
@@ -30,7 +30,7 @@
 
 // Queries all agents that have not answered. In stage AllAgents, the search budget limits the
 // number of queries.
-void PacketBalancer::SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aKind,
+void PacketBalancer::SendQueries(const FlowKey& aKey, Search& aSearch, NodeMessageType aType,
                                  PacketOutput& aOutput, TimePoint aNow)
 {
   const bool limited = aSearch.mStage == SearchStage::AllAgents;
@@ -39,7 +39,7 @@
     if (limited && !mSearchBudget.TryTake(aNow)) {
       return;
     }
-    aOutput.SendToNode(agent, {aKind, ReturnReason::None}, message);
+    aOutput.SendToNode(agent, {aType, ReturnReason::None}, message);
   }
 }
 
@@ -48,7 +48,7 @@
 {
   return aAgent.mReportedAt && aNow - *aAgent.mReportedAt <= mSettings.mReportLifetime &&
          mDirectoryAgents.Digest() != 0 &&
-         aAgent.mReport.mRegisteredWithDigest == mDirectoryAgents.Digest();
+         aAgent.mReport.mConfirmedAgentsDigest == mDirectoryAgents.Digest();
 }
 
 // Whether the directory agents show that no covered agent holds the flow. Each of them must have
@@ -61,8 +61,8 @@
   return aSearch.mStage == SearchStage::DirectoryAgents && !directoryAgents.empty() &&
          std::all_of(directoryAgents.begin(), directoryAgents.end(), [&](const Endpoint& aAgent) {
            const auto agent = mAgents.find(aAgent);
-           return Contains(aSearch.mAgentsWithoutEntry, aAgent) && agent != mAgents.end() &&
-                  IsCoveredByDirectory(agent->second, aNow);
+           return Contains(aSearch.mDirectoryAgentsWithoutEntry, aAgent) &&
+                  agent != mAgents.end() && IsCoveredByDirectory(agent->second, aNow);
          });
 }
 
@@ -79,11 +79,11 @@
     }
   };
   if (aSearch.mStage == SearchStage::DirectoryAgents && !directoryRulesOut) {
-    aSearch.mStage = SearchStage::Candidates;
+    aSearch.mStage = SearchStage::PreferredAgents;
     const RouteEntry* route = FindRoute(aKey);
     for (std::size_t i = 0; route != nullptr && i < route->mTargets.size(); ++i) {
-      const auto candidates = CandidatesFor(route->mTargets[i].mService, aKey);
-      std::for_each(candidates.begin(), candidates.end(), add);
+      const auto agents = PreferredAgentsFor(route->mTargets[i].mService, aKey);
+      std::for_each(agents.begin(), agents.end(), add);
     }
   }
   if (aSearch.mUnanswered.empty()) {
@@ -101,32 +101,32 @@
 // unless there are none or an agent has already returned a packet of the flow. The next stage
 // follows if they do not answer, do not know the holder, or name an agent that does not hold the
 // flow.
-void PacketBalancer::SearchHolder(const Segment& aSegment, Flow& aFlow,
+void PacketBalancer::SearchHolder(const PacketHeader& aPacketHeader, Flow& aFlow,
                                   std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
                                   TimePoint aNow)
 {
   if (aFlow.mSearch && aNow - aFlow.mSearch->mStartedAt <= kSearchLifetime) {
-    ContinueSearch(aSegment, aFlow, aPacket, aOutput, aNow);
+    ContinueSearch(aPacketHeader, aFlow, aPacket, aOutput, aNow);
     return;
   }
   aFlow.mSearch = std::make_unique<Search>();
   Search& search = *aFlow.mSearch;
   search.mStartedAt = search.mLastQueriedAt = aNow;
-  search.mRuledOut = aFlow.mTried;
+  search.mRuledOut = aFlow.mReturnedBy;
   search.mPackets.emplace_back(aPacket.begin(), aPacket.end());
   mSearched.Add();
-  search.mUnanswered = mDirectoryAgents.AgentsFor(aSegment.mFlow);
-  if (search.mUnanswered.empty() || !aFlow.mTried.empty()) {
-    QueryNextStage(aSegment.mFlow, search, aOutput, aNow);
+  search.mUnanswered = mDirectoryAgents.AgentsFor(aPacketHeader.mFlow);
+  if (search.mUnanswered.empty() || !aFlow.mReturnedBy.empty()) {
+    QueryNextStage(aPacketHeader.mFlow, search, aOutput, aNow);
   } else {
-    SendQueries(aSegment.mFlow, search, NodeMessageType::Query, aOutput, aNow);
+    SendQueries(aPacketHeader.mFlow, search, NodeMessageType::Query, aOutput, aNow);
   }
-  ResetIfNotFound(aSegment.mFlow, search, aOutput, aNow);
+  ResetIfNotFound(aPacketHeader.mFlow, search, aOutput, aNow);
 }
 
 // Handles a further packet of a flow during a search: keeps it and, after kRetryInterval, sends new
 // queries. Agents that were ruled out are not queried again.
-void PacketBalancer::ContinueSearch(const Segment& aSegment, Flow& aFlow,
+void PacketBalancer::ContinueSearch(const PacketHeader& aPacketHeader, Flow& aFlow,
                                     std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
                                     TimePoint aNow)
 {
@@ -144,20 +144,20 @@
   }
   search.mLastQueriedAt = aNow;
   if (search.mStage == SearchStage::AllAgents) {
-    SendQueries(aSegment.mFlow, search, NodeMessageType::QueryLocal, aOutput, aNow);
+    SendQueries(aPacketHeader.mFlow, search, NodeMessageType::QueryLocal, aOutput, aNow);
   } else {
-    QueryNextStage(aSegment.mFlow, search, aOutput, aNow);
+    QueryNextStage(aPacketHeader.mFlow, search, aOutput, aNow);
   }
-  ResetIfNotFound(aSegment.mFlow, search, aOutput, aNow);
+  ResetIfNotFound(aPacketHeader.mFlow, search, aOutput, aNow);
 }
 
 // Whether the view has had time to become complete since the first agents were known.
-bool PacketBalancer::IsSettled(TimePoint aNow) const
+bool PacketBalancer::ViewMayBeComplete(TimePoint aNow) const
 {
-  return mFirstAgentAt && aNow - *mFirstAgentAt >= mSettings.mSettleTime;
+  return mFirstAgentAt && aNow - *mFirstAgentAt >= mSettings.mViewCompletionTime;
 }
 
-void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, NodeMessageType aKind,
+void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, NodeMessageType aType,
                                    std::span<const std::uint8_t> aBytes, PacketOutput& aOutput,
                                    TimePoint aNow)
 {
@@ -172,13 +172,13 @@
     return;
   }
   Flow& flow = found->second;
-  if (aKind == NodeMessageType::ProbeNeeded) {
+  if (aType == NodeMessageType::ProbeNeeded) {
     SendProbe(aFrom, *flow.mSearch, aOutput);
-  } else if (aKind == NodeMessageType::HolderFound) {
+  } else if (aType == NodeMessageType::HolderFound) {
     OnHolderFound(key, flow, message.value().mHolder, aOutput, aNow);
   } else {
-    if (aKind == NodeMessageType::NotRegistered) {
-      flow.mSearch->mAgentsWithoutEntry.push_back(aFrom);
+    if (aType == NodeMessageType::NotRegistered) {
+      flow.mSearch->mDirectoryAgentsWithoutEntry.push_back(aFrom);
     }
     OnNotFound(key, *flow.mSearch, aFrom, aOutput, aNow);
   }
@@ -199,20 +199,21 @@
 void PacketBalancer::OnHolderFound(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
                                    PacketOutput& aOutput, TimePoint aNow)
 {
-  if (Contains(aFlow.mTried, aHolder) && aFlow.mSearch->mStage == SearchStage::DirectoryAgents) {
+  if (Contains(aFlow.mReturnedBy, aHolder) &&
+      aFlow.mSearch->mStage == SearchStage::DirectoryAgents) {
     // The registration is out of date: this agent has returned a packet of the flow.
     QueryNextStage(aKey, *aFlow.mSearch, aOutput, aNow);
     return;
   }
   const auto search = std::move(aFlow.mSearch);
   aFlow.mHolder = aHolder;
-  aFlow.mTried.clear();
+  aFlow.mReturnedBy.clear();
   LogEvent(LogLevel::Info, "flow_found")
     .With("flow", ToString(aKey))
     .With("agent", aHolder.ToString())
-    .With("asked", search->mStage == SearchStage::DirectoryAgents ? "homes"
-                   : search->mStage == SearchStage::Candidates    ? "choices"
-                                                                  : "all")
+    .With("asked", search->mStage == SearchStage::DirectoryAgents   ? "homes"
+                   : search->mStage == SearchStage::PreferredAgents ? "choices"
+                                                                    : "all")
     .With("view", mViewRevision);
   for (const auto& packet : search->mPackets) {
     mForwarded.Add();
@@ -241,13 +242,13 @@
                                      PacketOutput& aOutput, TimePoint aNow)
 {
   if (aSearch.mStage != SearchStage::AllAgents || !aSearch.mUnanswered.empty() ||
-      !IsSettled(aNow)) {
+      !ViewMayBeComplete(aNow)) {
     return;
   }
-  const auto segment = mCodec.DecodeFromCaller(aSearch.mPackets.back());
+  const auto packetHeader = mCodec.DecodeFromCaller(aSearch.mPackets.back());
   mFlows.erase(aKey);
-  if (segment && !segment->mResets) {
-    RefuseFlow(*segment, aOutput, mNotFound);
+  if (packetHeader && !packetHeader->mResets) {
+    ResetFlow(*packetHeader, aOutput, mNotFound);
   }
 }
 
--- a/lib/Packet/PacketBalancerWaiting.cpp
+++ b/lib/Packet/PacketBalancerWaiting.cpp
@@ -8,7 +8,7 @@
 
 namespace dandelionslip {
 
-void PacketBalancer::EnqueueOpening(const Segment& aSegment, std::uint32_t aPriority,
+void PacketBalancer::EnqueueOpening(const PacketHeader& aPacketHeader, std::uint32_t aPriority,
                                     Milliseconds aWait, std::span<const std::uint8_t> aPacket,
                                     TimePoint aNow)
 {
@@ -16,7 +16,7 @@
     mFlowsFull.Add();
     return;
   }
-  const bool isNew = mWaiting.Add({aSegment.mFlow,
+  const bool isNew = mWaiting.Add({aPacketHeader.mFlow,
                                    {aPacket.begin(), aPacket.end()},
                                    aPriority,
                                    mRetriedArrival.value_or(aNow),
@@ -26,7 +26,7 @@
   }
   mWaited.Add();
   LogEvent(LogLevel::Info, "flow_waits")
-    .With("flow", ToString(aSegment.mFlow))
+    .With("flow", ToString(aPacketHeader.mFlow))
     .With("wait_ms", aWait.count())
     .With("waiting", mWaiting.Size())
     .With("routes", mRouteVersion)
@@ -40,9 +40,9 @@
                                           PacketOutput& aOutput, TimePoint aNow)
 {
   for (const WaitingOpening& opening : mWaiting.Take(aCount, aCondition)) {
-    if (const auto segment = mCodec.DecodeFromCaller(opening.mPacket)) {
+    if (const auto packetHeader = mCodec.DecodeFromCaller(opening.mPacket)) {
       mRetriedArrival = opening.mArrivedAt;
-      OnOpening(*segment, opening.mPacket, aOutput, aNow);
+      OnOpening(*packetHeader, opening.mPacket, aOutput, aNow);
       mRetriedArrival.reset();
       if (!mWaiting.Contains(opening.mFlow)) {
         mWaitSeconds.Observe(Seconds(aNow - opening.mArrivedAt));
@@ -53,10 +53,11 @@
 
 // Places the waiting openings of routes to the agent's service if the agent accepts flows: as many
 // as it allows while its upstream is cold, otherwise all.
-void PacketBalancer::PlaceWaitingAt(const Agent& aAgent, PacketOutput& aOutput, TimePoint aNow)
+void PacketBalancer::PlaceWaitingForServiceOf(const Agent& aAgent, PacketOutput& aOutput,
+                                              TimePoint aNow)
 {
   const std::size_t room = !aAgent.mReport.mAccepts ? 0
-                           : aAgent.mReport.mCold   ? ColdOpensLeft(aAgent)
+                           : aAgent.mReport.mCold   ? ColdOpeningsLeft(aAgent)
                                                     : mWaiting.Size();
   if (room == 0 || mRouteVersion == 0) {
     return;
@@ -77,18 +78,18 @@
 {
   mExpiryCheckedAt = aNow;
   for (const WaitingOpening& opening : mWaiting.TakeExpired(aNow)) {
-    if (const auto segment = mCodec.DecodeFromCaller(opening.mPacket)) {
-      RefuseFlow(*segment, aOutput, mWaitExpired);
+    if (const auto packetHeader = mCodec.DecodeFromCaller(opening.mPacket)) {
+      ResetFlow(*packetHeader, aOutput, mWaitExpired);
     }
   }
 }
 
-std::uint32_t PacketBalancer::ColdOpensLeft(const Agent& aAgent) const
+std::uint32_t PacketBalancer::ColdOpeningsLeft(const Agent& aAgent) const
 {
   const LoadReport& report = aAgent.mReport;
-  return aAgent.mPlacedSinceReport >= report.mOpensAllowed
+  return aAgent.mPlacedSinceReport >= report.mOpeningsAllowed
            ? 0
-           : report.mOpensAllowed - aAgent.mPlacedSinceReport;
+           : report.mOpeningsAllowed - aAgent.mPlacedSinceReport;
 }
 
 // Whether an upstream of the route may accept the flow before the opening's wait expires. This
@@ -98,13 +99,13 @@
 bool PacketBalancer::MayAcceptSoon(const RouteEntry& aRoute, const Flow& aFlow,
                                    TimePoint aNow) const
 {
-  double coldOpens = 0;
+  double coldOpenings = 0;
   for (const auto& [endpoint, agent] : mAgents) {
     if (!aRoute.HasTarget(agent.mService)) {
       continue;
     }
     const bool silent = !agent.mReportedAt || aNow - *agent.mReportedAt > mSettings.mReportLifetime;
-    if ((silent && agent.mInView && MayPlace(endpoint, agent, aFlow)) ||
+    if ((silent && agent.mInView && IsEligible(endpoint, agent, aFlow)) ||
         (!silent && agent.mReport.mStarting)) {
       return true;
     }
@@ -112,12 +113,12 @@
       if (agent.mReport.mColdLeft < aRoute.mMaxWait) {
         return true;
       }
-      coldOpens += agent.mReport.mOpensPerSecond;
+      coldOpenings += agent.mReport.mOpeningsPerSecond;
     }
   }
-  const double share = coldOpens / static_cast<double>(std::max<std::size_t>(mBalancers, 1));
+  const double share = coldOpenings / static_cast<double>(std::max<std::size_t>(mBalancers, 1));
   const double seconds = std::chrono::duration<double>(aRoute.mMaxWait).count();
-  return !IsSettled(aNow) || static_cast<double>(mWaiting.Size()) < share * seconds;
+  return !ViewMayBeComplete(aNow) || static_cast<double>(mWaiting.Size()) < share * seconds;
 }
 
 } // namespace dandelionslip
--- a/lib/Packet/Placement.cpp
+++ b/lib/Packet/Placement.cpp
@@ -62,7 +62,7 @@
   std::vector<std::size_t> best;
   for (std::size_t i = 0; i < scores.size(); ++i) {
     if (scores[i] <= limit) {
-      best.push_back(aCandidates[i].mAgent);
+      best.push_back(aCandidates[i].mIndex);
     }
   }
   return best[aRandom.Below(best.size())];
--- a/unittests/Packet/PacketAgentTest.cpp
+++ b/unittests/Packet/PacketAgentTest.cpp
@@ -24,7 +24,7 @@
   CPPUNIT_TEST_SUITE(PacketAgentTest);
   CPPUNIT_TEST(OpeningsNeedAnUpstreamAndARoute);
   CPPUNIT_TEST(DrainingUpstreamsKeepFlowsAndRefuseOpenings);
-  CPPUNIT_TEST(DataCentreOutRefusesOpenings);
+  CPPUNIT_TEST(DataCentreOutOfServiceRefusesOpenings);
   CPPUNIT_TEST(ColdUpstreamsStayWithinTheirOpeningLimit);
   CPPUNIT_TEST(ReturnedDataCentreIsColdUntilTheNextHeartbeat);
   CPPUNIT_TEST(RestartedAgentRefusesColdOpeningsForOneWindow);
@@ -47,7 +47,7 @@
   CPPUNIT_TEST(DirectoryAgentsAnswerNotRegisteredOnlyWhenInTheView);
   CPPUNIT_TEST_SUITE_END();
 
-  platform::PacketCodec mCodec;
+  platform::PlatformPacketCodec mCodec;
   MetricsRegistry mRegistry;
   RecordingOutput mOutput;
   TimePoint mNow = kStart;
@@ -72,15 +72,15 @@
   }
 
   // If aSequence is greater than 1, the agent has restarted while the upstream ran.
-  void Prepare(std::uint64_t aSequence = 1, Milliseconds aCold = Milliseconds{0})
+  void ApplyRoutesAndHeartbeat(std::uint64_t aSequence = 1, Milliseconds aCold = Milliseconds{0})
   {
-    mAgent.OnConfiguration(TestRoutes(1, {"web"}));
+    mAgent.OnConfiguration(TestConfiguration(1, {"web"}));
     Heartbeat(aSequence, false, aCold);
   }
 
-  void FromBalancer(PacketBytes aPacket, NodeMessageType aKind = NodeMessageType::Deliver)
+  void FromBalancer(PacketBytes aPacket, NodeMessageType aType = NodeMessageType::Deliver)
   {
-    mAgent.OnNodePacket(NodeEndpoint(9), {aKind, ReturnReason::None}, aPacket, mOutput, mNow);
+    mAgent.OnNodePacket(NodeEndpoint(9), {aType, ReturnReason::None}, aPacket, mOutput, mNow);
   }
 
   void FromUpstream(PacketBytes aPacket) { mAgent.OnUpstreamPacket(aPacket, mOutput, mNow); }
@@ -130,10 +130,10 @@
   // answer queries for it.
   void FlowsAreRegisteredWithTheirDirectoryAgents()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     std::vector<Member> members;
     for (unsigned node = 20; node < 26; ++node) {
-      members.push_back(TestAgent(node, "web"));
+      members.push_back(TestAgentMember(node, "web"));
     }
     mAgent.OnView(TestView(1, members), 1);
     mAgent.RegisterFlows(mOutput, mNow);
@@ -184,38 +184,38 @@
   // balancers would reset these flows.
   void RegistrationsAreConfirmed()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     std::vector<Member> members;
     for (unsigned node = 20; node < 26; ++node) {
-      members.push_back(TestAgent(node, "web"));
+      members.push_back(TestAgentMember(node, "web"));
     }
     DirectoryAgents directoryAgents;
     directoryAgents.Update(TestView(1, members));
     mAgent.OnView(TestView(1, members), 1);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mConfirmedAgentsDigest);
     Open(1);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mConfirmedAgentsDigest);
     mNow += Milliseconds{500};
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mConfirmedAgentsDigest);
     ConfirmRegistrations();
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mConfirmedAgentsDigest);
     // The directory agents restart: they must confirm the flow again.
     for (Member& member : members) {
       member.mIncarnation = 2;
     }
     directoryAgents.Update(TestView(2, members));
     mAgent.OnView(TestView(2, members), 1);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mConfirmedAgentsDigest);
     mAgent.RegisterFlows(mOutput, mNow);
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, mAgent.Report(mNow).mConfirmedAgentsDigest);
     ConfirmRegistrations();
     mAgent.RegisterFlows(mOutput, mNow);
-    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(directoryAgents.Digest(), mAgent.Report(mNow).mConfirmedAgentsDigest);
   }
 
   // Guards against a restarted directory agent that answers NotRegistered for flows which were
@@ -223,8 +223,8 @@
   // although it does not know all of them.
   void DirectoryAgentsAnswerNotRegisteredOnlyWhenInTheView()
   {
-    Prepare();
-    const std::vector<Member> members{TestAgent(kSelf, "web"), TestAgent(20, "web")};
+    ApplyRoutesAndHeartbeat();
+    const std::vector<Member> members{TestAgentMember(kSelf, "web"), TestAgentMember(20, "web")};
     mAgent.OnView(TestView(1, members), 2);
     AssertAnswer(NodeMessageType::NotFound, NodeMessageType::Query, TestFlow(1));
     mAgent.OnView(TestView(2, members), 1);
@@ -234,21 +234,21 @@
     restarted.OnView(TestView(1, members), 1);
     restarted.RegisterFlows(mOutput, mNow);
     restarted.OnUpstreamHeartbeat({"i-1", "web", false, {}, 4, 1'000, 7}, mNow);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, restarted.Report(mNow).mRegisteredWithDigest);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, restarted.Report(mNow).mConfirmedAgentsDigest);
   }
 
   // Guards against flows of another service after an address was reused, and against flows for an
   // upstream that has never sent a heartbeat.
   void OpeningsNeedAnUpstreamAndARoute()
   {
-    mAgent.OnConfiguration(TestRoutes(1, {"other"}));
+    mAgent.OnConfiguration(TestConfiguration(1, {"other"}));
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
     AssertReturned(ReturnReason::NoUpstream);
     Heartbeat(1);
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
     AssertReturned(ReturnReason::WrongService);
     CPPUNIT_ASSERT(mOutput.mToUpstream.empty());
-    mAgent.OnConfiguration(TestRoutes(2, {"web"}));
+    mAgent.OnConfiguration(TestConfiguration(2, {"web"}));
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToUpstream.size());
   }
@@ -256,7 +256,7 @@
   // Guards against new flows for a draining upstream and against the loss of its open flows.
   void DrainingUpstreamsKeepFlowsAndRefuseOpenings()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     Establish(1);
     Heartbeat(2, true);
     FromBalancer(CallerPacket(TestFlow(2), FlagSyn));
@@ -269,10 +269,10 @@
 
   // Guards against new flows in a data centre that is out of service, from balancers that do not
   // know that yet.
-  void DataCentreOutRefusesOpenings()
+  void DataCentreOutOfServiceRefusesOpenings()
   {
-    Prepare();
-    Configuration configuration = TestRoutes(2, {"web"});
+    ApplyRoutesAndHeartbeat();
+    Configuration configuration = TestConfiguration(2, {"web"});
     configuration.mDataCentres["north"].mOutOfService = true;
     mAgent.OnConfiguration(configuration);
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
@@ -282,7 +282,7 @@
   // Guards against more flows in any second than the limit of a cold upstream.
   void ColdUpstreamsStayWithinTheirOpeningLimit()
   {
-    Prepare(1, Milliseconds{5'000});
+    ApplyRoutesAndHeartbeat(1, Milliseconds{5'000});
     std::vector<TimePoint> delivered;
     for (std::uint16_t i = 0; i < 400; ++i) {
       mOutput.Clear();
@@ -309,8 +309,8 @@
   // service.
   void ReturnedDataCentreIsColdUntilTheNextHeartbeat()
   {
-    Prepare();
-    Configuration configuration = TestRoutes(2, {"web"});
+    ApplyRoutesAndHeartbeat();
+    Configuration configuration = TestConfiguration(2, {"web"});
     configuration.mDataCentres["north"].mOutOfService = true;
     mAgent.OnConfiguration(configuration);
     configuration.mRevision = 3;
@@ -324,7 +324,7 @@
   // Guards against twice the cold limit in one second when the agent is killed and restarted.
   void RestartedAgentRefusesColdOpeningsForOneWindow()
   {
-    Prepare(7, Milliseconds{5'000});
+    ApplyRoutesAndHeartbeat(7, Milliseconds{5'000});
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
     AssertReturned(ReturnReason::Cold);
     mNow += Milliseconds{1'200};
@@ -335,7 +335,7 @@
   // Guards against retransmissions of an opening packet that all go to a dead upstream.
   void RetransmittedUnansweredOpeningsAreReturned()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
     mNow += Milliseconds{200};
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn, 1, 1));
@@ -346,7 +346,7 @@
   // Guards against broken flows when the agent restarts and its upstream does not.
   void RestartedAgentDeliversFlowsItDoesNotKnow()
   {
-    Prepare(7);
+    ApplyRoutesAndHeartbeat(7);
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5, 10));
     FromBalancer(CallerPacket(TestFlow(2), FlagAck, 5, 5, 10), NodeMessageType::Probe);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, mOutput.mToUpstream.size());
@@ -363,7 +363,7 @@
   // Guards against searches that never end because no agent answers NotFound.
   void UnknownFlowsAreNotFoundWhenTheTableIsComplete()
   {
-    Prepare(1);
+    ApplyRoutesAndHeartbeat(1);
     AssertAnswer(NodeMessageType::NotFound, NodeMessageType::QueryLocal, TestFlow(1));
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5));
     AssertReturned(ReturnReason::NotHeld);
@@ -374,7 +374,7 @@
   // marks that the next upstream would see.
   void BouncedOpeningsAreReturned()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagSyn);
     FromBalancer(packet);
     Bounce();
@@ -386,7 +386,7 @@
   // Guards against callers that wait for an answer on a flow which its upstream lost in a restart.
   void FlowsThatTheUpstreamLostAreReset()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     Establish(1);
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 102, 202, 100));
     Bounce();
@@ -397,7 +397,7 @@
   // of an earlier flow, and a balancer that remembers that flow sends the packets here.
   void ReusedPortsAreNotTakenForTheOldFlow()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     Establish(1);
     constexpr std::uint32_t kOtherSequence = 0x40000000;
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, kOtherSequence, 7, 100));
@@ -432,7 +432,7 @@
   // Guards against the reset of a flow by an upstream that only received a flow probe.
   void ResetsOfUnknownFlowsAreDropped()
   {
-    Prepare(7);
+    ApplyRoutesAndHeartbeat(7);
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), NodeMessageType::Probe);
     FromUpstream(UpstreamPacket(TestFlow(1), FlagRst));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
@@ -444,7 +444,7 @@
   // Guards against a flow that counts as held because a restarted agent has delivered its packet.
   void BouncedProbesAreAnsweredNotFound()
   {
-    Prepare(7);
+    ApplyRoutesAndHeartbeat(7);
     AssertAnswer(NodeMessageType::ProbeNeeded, NodeMessageType::Query, TestFlow(1));
     FromBalancer(CallerPacket(TestFlow(1), FlagAck, 5, 5), NodeMessageType::Probe);
     Bounce();
@@ -455,7 +455,7 @@
   // Guards against heartbeats that arrive late, also from before a restart of the upstream.
   void StaleHeartbeatsAreIgnored()
   {
-    Prepare(5);
+    ApplyRoutesAndHeartbeat(5);
     CPPUNIT_ASSERT(Heartbeat(4, true) == HeartbeatOutcome::Stale);
     CPPUNIT_ASSERT(Heartbeat(9, true, Milliseconds{0}, 500) == HeartbeatOutcome::Stale);
     CPPUNIT_ASSERT(mAgent.Report(mNow).mAccepts);
@@ -468,7 +468,7 @@
   // Guards against load reports that count closed flows or answered requests.
   void ReportsCountOpenFlowsAndRequests()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     Establish(1);
     Open(2);
     FromBalancer(CallerPacket(TestFlow(2), FlagAck, 2, 2, 100));
@@ -490,7 +490,7 @@
   // Guards against metrics that do not show a slow upstream.
   void LatenciesAreMeasured()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     FromBalancer(CallerPacket(TestFlow(1), FlagSyn));
     mNow += Milliseconds{20};
     FromUpstream(UpstreamPacket(TestFlow(1), FlagSyn | FlagAck));
@@ -509,7 +509,7 @@
   // Guards against new flows for an upstream that has crashed and sends no heartbeats.
   void UpstreamsWithoutHeartbeatsTakeNoFlows()
   {
-    Prepare();
+    ApplyRoutesAndHeartbeat();
     CPPUNIT_ASSERT(mAgent.Report(mNow).mAccepts);
     mNow += std::chrono::seconds(4);
     CPPUNIT_ASSERT(!mAgent.Report(mNow).mAccepts);
--- a/unittests/Packet/PacketBalancerTest.cpp
+++ b/unittests/Packet/PacketBalancerTest.cpp
@@ -36,11 +36,11 @@
   CPPUNIT_TEST(OpeningsWaitForColdUpstreams);
   CPPUNIT_TEST(OpeningsThatCannotBeServedInTimeAreReset);
   CPPUNIT_TEST(HighPriorityRoutesLeaveTheQueueFirst);
-  CPPUNIT_TEST(DataCentresThatAreOutGetNoOpenings);
+  CPPUNIT_TEST(DataCentresOutOfServiceGetNoOpenings);
   CPPUNIT_TEST(FlowsFollowTheSpeedOfUpstreams);
   CPPUNIT_TEST_SUITE_END();
 
-  platform::PacketCodec mCodec;
+  platform::PlatformPacketCodec mCodec;
   MetricsRegistry mRegistry;
   RecordingOutput mOutput;
   TimePoint mNow = kStart;
@@ -72,8 +72,8 @@
   {
     LoadReport report = Accepting();
     report.mCold = true;
-    report.mOpensAllowed = aAllowed;
-    report.mOpensPerSecond = 5;
+    report.mOpeningsAllowed = aAllowed;
+    report.mOpeningsPerSecond = 5;
     report.mColdLeft = aLeft;
     return report;
   }
@@ -85,25 +85,26 @@
   }
 
   // An agent's answer to a query for a flow.
-  void Answer(unsigned aNode, NodeMessageType aKind, const FlowKey& aFlow,
+  void Answer(unsigned aNode, NodeMessageType aType, const FlowKey& aFlow,
               const Endpoint& aHolder = {})
   {
     auto bytes = FlowMessage{aHolder, {aFlow}}.Encode();
-    mBalancer.OnNodePacket(NodeEndpoint(aNode), {aKind, ReturnReason::None}, bytes, mOutput, mNow);
+    mBalancer.OnNodePacket(NodeEndpoint(aNode), {aType, ReturnReason::None}, bytes, mOutput, mNow);
   }
 
-  std::size_t Sent(NodeMessageType aKind) const
+  std::size_t Sent(NodeMessageType aType) const
   {
     return static_cast<std::size_t>(
       std::count_if(mOutput.mToNodes.begin(), mOutput.mToNodes.end(),
-                    [&](const auto& aSent) { return aSent.mHeader.mKind == aKind; }));
+                    [&](const auto& aSent) { return aSent.mHeader.mKind == aType; }));
   }
 
   // Two agents of "web", nodes 1 and 2, that accept flows, after the settle time.
   void Settle()
   {
-    mBalancer.OnState(TestRoutes(1, {"web"}),
-                      TestView(1, {TestAgent(1, "web"), TestAgent(2, "web")}), mOutput, mNow);
+    mBalancer.OnState(TestConfiguration(1, {"web"}),
+                      TestView(1, {TestAgentMember(1, "web"), TestAgentMember(2, "web")}), mOutput,
+                      mNow);
     mNow += kSettled;
     Report(1, Accepting());
     Report(2, Accepting());
@@ -165,11 +166,11 @@
   {
     std::vector<Member> members;
     for (unsigned node = 1; node <= aAgents; ++node) {
-      members.push_back(TestAgent(node, "web"));
+      members.push_back(TestAgentMember(node, "web"));
     }
     const View view = TestView(1, members);
     mDirectoryAgents.Update(view);
-    mBalancer.OnState(TestRoutes(1, {"web"}), view, mOutput, mNow);
+    mBalancer.OnState(TestConfiguration(1, {"web"}), view, mOutput, mNow);
     mNow += kSettled;
     ReportRegistered(aAgents, mDirectoryAgents.Digest());
     mOutput.Clear();
@@ -179,16 +180,16 @@
   {
     for (unsigned node = 1; node <= aAgents; ++node) {
       LoadReport report = Accepting();
-      report.mRegisteredWithDigest = aDigest;
+      report.mConfirmedAgentsDigest = aDigest;
       Report(node, report);
     }
   }
 
-  void DirectoryAgentsAnswer(NodeMessageType aKind, const FlowKey& aFlow)
+  void DirectoryAgentsAnswer(NodeMessageType aType, const FlowKey& aFlow)
   {
     for (const Endpoint& agent : mDirectoryAgents.AgentsFor(aFlow)) {
       auto bytes = FlowMessage{{}, {aFlow}}.Encode();
-      mBalancer.OnNodePacket(agent, {aKind, ReturnReason::None}, bytes, mOutput, mNow);
+      mBalancer.OnNodePacket(agent, {aType, ReturnReason::None}, bytes, mOutput, mNow);
     }
   }
 
@@ -247,8 +248,9 @@
   // and only that one is queried again.
   void OnlyAgentsThatDidNotAnswerAreQueriedAgain()
   {
-    mBalancer.OnState(TestRoutes(1, {"web"}),
-                      TestView(1, {TestAgent(1, "web"), TestAgent(2, "web"), TestAgent(3, "web")}),
+    mBalancer.OnState(TestConfiguration(1, {"web"}),
+                      TestView(1, {TestAgentMember(1, "web"), TestAgentMember(2, "web"),
+                                   TestAgentMember(3, "web")}),
                       mOutput, mNow);
     mNow += kSettled;
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
@@ -277,7 +279,8 @@
     Send(CallerPacket(TestFlow(2), FlagAck, 7, 9, 50));
     CPPUNIT_ASSERT(mOutput.mToNodes.empty());
     mNow += Milliseconds{300};
-    mBalancer.OnState(TestRoutes(1, {"web"}), TestView(1, {TestAgent(1, "web")}), mOutput, mNow);
+    mBalancer.OnState(TestConfiguration(1, {"web"}), TestView(1, {TestAgentMember(1, "web")}),
+                      mOutput, mNow);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Sent(NodeMessageType::Query));
     const auto asked = FlowMessage::Decode(mOutput.mToNodes.at(0).mPacket);
     CPPUNIT_ASSERT(asked && asked.value().mFlows.front() == TestFlow(2));
@@ -291,10 +294,10 @@
     settings.mCapacity = {0.09, 2.5};
     std::vector<Member> members;
     for (unsigned node = 1; node <= 60; ++node) {
-      members.push_back(TestAgent(node, "web"));
+      members.push_back(TestAgentMember(node, "web"));
     }
     PacketBalancer balancer(settings, mCodec, mRegistry, Random(1), mNow);
-    balancer.OnState(TestRoutes(1, {"web"}), TestView(1, members), mOutput, mNow);
+    balancer.OnState(TestConfiguration(1, {"web"}), TestView(1, members), mOutput, mNow);
     mNow += kSettled;
     mOutput.Clear();
     constexpr int kSeconds = 3;
@@ -307,7 +310,7 @@
     }
     // The queries of the first two stages are not limited and are subtracted.
     constexpr std::size_t kFirstStages =
-      DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates;
+      DirectoryAgents::kDirectoryAgentsPerFlow + kPreferredAgents;
     const std::size_t allAgentQueries =
       Sent(NodeMessageType::QueryLocal) -
       std::min(Sent(NodeMessageType::QueryLocal), 200 * kFirstStages);
@@ -332,10 +335,11 @@
   // upstream still run.
   void LostAgentsPreventAReset()
   {
-    mBalancer.OnState(TestRoutes(1, {"web"}),
-                      TestView(1, {TestAgent(1, "web"), TestAgent(2, "web", MemberState::Lost),
-                                   TestAgent(3, "web", MemberState::Left)}),
-                      mOutput, mNow);
+    mBalancer.OnState(
+      TestConfiguration(1, {"web"}),
+      TestView(1, {TestAgentMember(1, "web"), TestAgentMember(2, "web", MemberState::Lost),
+                   TestAgentMember(3, "web", MemberState::Left)}),
+      mOutput, mNow);
     mNow += kSettled;
     const PacketBytes packet = CallerPacket(TestFlow(1), FlagAck, 7, 9, 50);
     Send(packet);
@@ -391,9 +395,9 @@
   {
     std::vector<Member> members;
     for (unsigned node = 1; node <= 60; ++node) {
-      members.push_back(TestAgent(node, "web"));
+      members.push_back(TestAgentMember(node, "web"));
     }
-    mBalancer.OnState(TestRoutes(1, {"web"}), TestView(1, members), mOutput, mNow);
+    mBalancer.OnState(TestConfiguration(1, {"web"}), TestView(1, members), mOutput, mNow);
     mNow += kSettled;
     mBalancer.OnTick(mOutput, mNow);
     constexpr std::uint16_t kFlows = 200;
@@ -404,7 +408,7 @@
       Send(CallerPacket(TestFlow(i), FlagSyn));
       const Endpoint holder = mOutput.mToNodes.at(0).mNode;
       PacketBalancer restarted({}, mCodec, mRegistry, Random(2));
-      restarted.OnState(TestRoutes(1, {"web"}), TestView(1, members), mOutput, mNow);
+      restarted.OnState(TestConfiguration(1, {"web"}), TestView(1, members), mOutput, mNow);
       mOutput.Clear();
       PacketBytes packet = CallerPacket(TestFlow(i), FlagAck, 7, 9, 1'000);
       restarted.OnCallerPacket(packet, mOutput, mNow);
@@ -422,7 +426,7 @@
         }
       }
       CPPUNIT_ASSERT(Sent(NodeMessageType::Probe) <=
-                     DirectoryAgents::kDirectoryAgentsPerFlow + kPlacementCandidates);
+                     DirectoryAgents::kDirectoryAgentsPerFlow + kPreferredAgents);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{kFlows}, foundAmongCandidates);
   }
@@ -465,8 +469,8 @@
     PacketBalancer balancer({}, mCodec, mRegistry, Random(1));
     PacketBytes packet = CallerPacket(TestFlow(2), FlagSyn);
     balancer.OnCallerPacket(packet, mOutput, mNow);
-    balancer.OnState(TestRoutes(1, {"web"}), TestView(1, {TestAgent(1, "web")}), mOutput,
-                     mNow + Milliseconds{400});
+    balancer.OnState(TestConfiguration(1, {"web"}), TestView(1, {TestAgentMember(1, "web")}),
+                     mOutput, mNow + Milliseconds{400});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, mOutput.mToNodes.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, mOutput.Resets());
   }
@@ -506,11 +510,11 @@
   // Guards against flows of low priority that take the openings of flows of high priority.
   void HighPriorityRoutesLeaveTheQueueFirst()
   {
-    Configuration configuration = TestRoutes(1, {"web"});
+    Configuration configuration = TestConfiguration(1, {"web"});
     configuration.mRoutes.mRoutes[0].mPriority = 3;
     configuration.mRoutes.mRoutes.push_back(
       {"urgent", "198.18.0.1:444", {{"web", 1}}, Milliseconds{1'000}, 0});
-    mBalancer.OnState(configuration, TestView(1, {TestAgent(1, "web")}), mOutput, mNow);
+    mBalancer.OnState(configuration, TestView(1, {TestAgentMember(1, "web")}), mOutput, mNow);
     mNow += kSettled;
     Report(1, Cold(0, Milliseconds{500}));
     Send(CallerPacket(TestFlow(1), FlagSyn));
@@ -523,10 +527,10 @@
   }
 
   // Guards against new flows in a data centre that operators have taken out of service.
-  void DataCentresThatAreOutGetNoOpenings()
+  void DataCentresOutOfServiceGetNoOpenings()
   {
     Settle();
-    Configuration configuration = TestRoutes(2, {"web"});
+    Configuration configuration = TestConfiguration(2, {"web"});
     configuration.mDataCentres["north"].mOutOfService = true;
     mBalancer.OnState(configuration, View{}, mOutput, mNow);
     Send(CallerPacket(TestFlow(1), FlagSyn));
@@ -541,9 +545,9 @@
     const std::array<std::uint32_t, 3> speeds{30'000, 50'000, 80'000};
     std::vector<Member> members;
     for (unsigned node = 1; node <= speeds.size(); ++node) {
-      members.push_back(TestAgent(node, "web"));
+      members.push_back(TestAgentMember(node, "web"));
     }
-    mBalancer.OnState(TestRoutes(1, {"web"}), TestView(1, members), mOutput, mNow);
+    mBalancer.OnState(TestConfiguration(1, {"web"}), TestView(1, members), mOutput, mNow);
     mNow += kSettled;
     std::array<std::uint32_t, 3> flows{};
     constexpr std::uint16_t kFlows = 640;
--- a/unittests/Packet/PacketCodecsTest.cpp
+++ b/unittests/Packet/PacketCodecsTest.cpp
@@ -29,7 +29,7 @@
   {
     LoadReport report{"huvo11a", "fukuoka", true, false, false, true, 120, 7, 4, 66'000, 3, 5};
     report.mColdLeft = Milliseconds{1'500};
-    report.mRegisteredWithDigest = 0xfedcba9876543210;
+    report.mConfirmedAgentsDigest = 0xfedcba9876543210;
     return report;
   }
 
@@ -96,12 +96,12 @@
   {
     std::vector<Member> members;
     for (unsigned node = 1; node <= 20; ++node) {
-      members.push_back(TestAgent(node, "web"));
+      members.push_back(TestAgentMember(node, "web"));
     }
     DirectoryAgents before;
     CPPUNIT_ASSERT(before.Update(TestView(1, members)));
     CPPUNIT_ASSERT(!before.Update(TestView(2, members)));
-    members.push_back(TestAgent(21, "web"));
+    members.push_back(TestAgentMember(21, "web"));
     DirectoryAgents after;
     after.Update(TestView(3, members));
     std::size_t lostBoth = 0;
--- a/unittests/Packet/PacketFixtures.cpp
+++ b/unittests/Packet/PacketFixtures.cpp
@@ -60,7 +60,7 @@
   return Endpoint::Parse("10.0.0." + std::to_string(aNode) + ":7720").value();
 }
 
-Configuration TestRoutes(std::uint64_t aVersion, const std::vector<std::string>& aServices)
+Configuration TestConfiguration(std::uint64_t aVersion, const std::vector<std::string>& aServices)
 {
   Configuration configuration;
   configuration.mRevision = aVersion;
@@ -74,7 +74,7 @@
   return configuration;
 }
 
-Member TestAgent(unsigned aNode, const std::string& aService, MemberState aState)
+Member TestAgentMember(unsigned aNode, const std::string& aService, MemberState aState)
 {
   Member member;
   member.mName = "agent-" + std::to_string(aNode);
--- a/unittests/Packet/PacketFixtures.h
+++ b/unittests/Packet/PacketFixtures.h
@@ -1,7 +1,7 @@
 // Packets, configurations and a recording output for tests of PacketAgent and PacketBalancer.
 #pragma once
 
-#include "PacketCodec.h"
+#include "PlatformPacketCodec.h"
 
 #include "dandelionslip/Model/Configuration.h"
 #include "dandelionslip/Model/View.h"
@@ -32,18 +32,18 @@
 PacketBytes UpstreamPacket(const FlowKey& aFlow, std::uint8_t aFlags, std::uint32_t aSequence = 1,
                            std::uint16_t aDataBytes = 0);
 
-/// The flow of caller number aCaller to the address of TestRoutes.
+/// The flow of caller number aCaller to the address of TestConfiguration.
 FlowKey TestFlow(std::uint16_t aCaller);
 
 /// Endpoint of node number aNode.
 Endpoint NodeEndpoint(unsigned aNode);
 
 /// One route, 198.18.0.1:443, to the given services with equal weights.
-Configuration TestRoutes(std::uint64_t aVersion, const std::vector<std::string>& aServices);
+Configuration TestConfiguration(std::uint64_t aVersion, const std::vector<std::string>& aServices);
 
 /// An agent of a service at NodeEndpoint(aNode).
-Member TestAgent(unsigned aNode, const std::string& aService,
-                 MemberState aState = MemberState::Serving);
+Member TestAgentMember(unsigned aNode, const std::string& aService,
+                       MemberState aState = MemberState::Serving);
 
 /// A view with these members.
 View TestView(std::uint64_t aRevision, const std::vector<Member>& aMembers);
--- a/unittests/Platform/PlatformCodecTest.cpp
+++ b/unittests/Platform/PlatformCodecTest.cpp
@@ -1,7 +1,7 @@
 // Tests of the platform's packet, configuration, heartbeat and settings formats.
 #include "NodeApi.h"
 #include "NodeFile.h"
-#include "PacketCodec.h"
+#include "PlatformPacketCodec.h"
 #include "RouteDocument.h"
 
 #include "dandelionslip/Config/LoadSettings.h"
@@ -54,9 +54,9 @@
     const std::vector<std::uint8_t> reset{
       0,    0,    0, 0,    0,    0,    0, 0,    0x10, 0, 0, 0, 0x01, 0xbb, 0x9c, 0x41,
       0xc6, 0x12, 0, 0x01, 0x64, 0x40, 0, 0x07, 0,    0, 0, 0, 0,    0,    0,    0};
-    const PacketCodec codec;
+    const PlatformPacketCodec codec;
     const auto segment = codec.DecodeFromCaller(syn);
-    CPPUNIT_ASSERT(segment && segment->mOpens && !segment->mAccepts && !segment->mBounced);
+    CPPUNIT_ASSERT(segment && segment->mOpens && !segment->mAcceptsOpening && !segment->mBounced);
     CPPUNIT_ASSERT_EQUAL(std::string("100.64.0.7:40001>198.18.0.1:443"), ToString(segment->mFlow));
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0x11223344}, segment->mSequence);
     CPPUNIT_ASSERT(codec.EncodeReset(segment->mFlow, 0) == reset);
@@ -68,7 +68,7 @@
   // match the packet.
   void DamagedPacketsAreRejected()
   {
-    const PacketCodec codec;
+    const PlatformPacketCodec codec;
     const std::vector<std::uint8_t> whole = codec.EncodeReset({1, 2, 3, 4}, 5);
     for (std::size_t size = 0; size < whole.size(); ++size) {
       CPPUNIT_ASSERT(!codec.DecodeFromCaller(std::span(whole).first(size)));
@@ -84,7 +84,7 @@
   // not cover.
   void TagsAndBounceMarksChangeNothingElse()
   {
-    const PacketCodec codec;
+    const PlatformPacketCodec codec;
     const auto original = codec.EncodeReset({1, 2, 3, 4}, 5);
     auto packet = original;
     codec.SetTag(packet, 0xdeadbeef);
@@ -107,7 +107,8 @@
     CPPUNIT_ASSERT_EQUAL(9 * first.mTargets.at(1).mWeight, first.mTargets.at(0).mWeight);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.value().mRoutes.at(1).mTargets.size());
     const RoutedService* service = table.value().FindService("x");
-    CPPUNIT_ASSERT(service->mWarmUp == Milliseconds{2'500} && service->mColdOpensPerSecond == 1.5);
+    CPPUNIT_ASSERT(service->mWarmUp == Milliseconds{2'500} &&
+                   service->mColdOpeningsPerSecond == 1.5);
     CPPUNIT_ASSERT(table.value().mFlowIdleTimeout == Milliseconds{15'000});
   }
 
