--- a/lib/Packet/NodeMessageHeader.cpp
+++ b/lib/Packet/NodeMessageHeader.cpp
@@ -28,13 +28,13 @@
 Result<NodeMessageHeader> NodeMessageHeader::Decode(std::span<const std::uint8_t> aBytes)
 {
   const auto invalid = [](std::string aDetail) {
-    return Fail(ErrorCode::InvalidInput, "hop.decode", "", std::move(aDetail));
+    return Fail(ErrorCode::InvalidInput, "node_message_header.decode", "", std::move(aDetail));
   };
   if (aBytes.size() < kBytes) {
     return invalid("found " + std::to_string(aBytes.size()) + " bytes, expected at least 4");
   }
   if (aBytes[0] != kMagic || aBytes[1] != kVersion) {
-    return invalid("found an unknown magic number or version");
+    return invalid("found an unknown magic number or version, expected 213 and 1");
   }
   constexpr auto first = static_cast<std::uint8_t>(NodeMessageType::Deliver);
   constexpr auto last = static_cast<std::uint8_t>(NodeMessageType::NotRegistered);
