--- a/include/dandelionslip/Packet/PacketAgent.h
+++ b/include/dandelionslip/Packet/PacketAgent.h
@@ -28,9 +28,10 @@
   std::string mDataCentre;
   Endpoint mEndpoint;             ///< Where other nodes reach this agent.
   Milliseconds mHeartbeat{1'000}; ///< Interval of the upstream's heartbeats.
+  /// No flow lasts longer. After this time the flow table of a restarted agent is complete.
   Milliseconds mMaxFlowAge{60'000};
-  /// A cold upstream is opened at most mColdExcessFactor * rate + mColdSlack flows a second, where
-  /// rate is mColdOpensPerSecond of the service.
+  /// At most mColdExcessFactor * rate + mColdSlack flows a second are opened at a cold upstream,
+  /// where rate is mColdOpeningsPerSecond of the service.
   double mColdExcessFactor = 1.0;
   std::uint32_t mColdSlack = 0;
   std::size_t mMaxFlows = 50'000;
@@ -44,7 +45,7 @@
   WrongService, ///< Names another service than the settings of this agent.
 };
 
-/// Delivers packets to its upstream and decides which new flows the upstream is sent.
+/// Delivers packets to its upstream and decides which new flows to accept for it.
 ///
 /// The upstream is the authority on which flows it holds. The agent's flow table is a cache,
 /// rebuilt from the traffic after the agent restarts. Until the table is complete, a packet of an
@@ -53,7 +54,7 @@
 class PacketAgent
 {
 public:
-  PacketAgent(const PacketAgentSettings& aSettings, const SegmentCodec& aCodec,
+  PacketAgent(const PacketAgentSettings& aSettings, const PacketCodec& aCodec,
               MetricsRegistry& aRegistry, TimePoint aNow);
 
   void OnConfiguration(const Configuration& aConfiguration);
@@ -99,14 +100,15 @@
     /// a free slot.
     std::array<std::uint64_t, DirectoryAgents::kDirectoryAgentsPerFlow> mUnconfirmedAgents{};
     TimePoint mUnconfirmedSince; ///< When the oldest unconfirmed registration was sent.
-    bool mAccepted = false;      ///< The upstream has answered the opening packet.
-    bool mEstablished = false;   ///< The upstream has sent a packet after that answer.
+    bool mAccepted = false;      ///< The upstream has sent a packet of the flow.
+    /// The upstream has sent a packet other than its answer to the opening packet.
+    bool mEstablished = false;
     bool mCallerEnded = false;
     bool mUpstreamEnded = false;
     bool mClosed = false;         ///< Both sides have ended the flow; kept for late packets.
     bool mRequestPending = false; ///< A request was delivered and is not answered yet.
     TimePoint mRequestSince;
-    /// Sequence number after the last of the caller's data that was delivered.
+    /// Sequence number that follows the caller's last delivered byte.
     std::optional<std::uint32_t> mDeliveredEnd;
   };
 
@@ -115,7 +117,7 @@
   {
     std::uint32_t mTag = 0;
     Endpoint mBalancer;
-    NodeMessageType mKind = NodeMessageType::Deliver;
+    NodeMessageType mType = NodeMessageType::Deliver;
   };
 
   /// A flow probe that the upstream has not reacted to yet.
@@ -128,15 +130,16 @@
   /// Registrations to send, batched by directory agent.
   using Registrations = std::map<Endpoint, FlowMessage>;
 
-  /// At 20,000 packets a second this many deliveries span two hundred times the 1 ms that a bounce
-  /// takes.
+  /// At 20,000 packets a second this covers 200 ms; a bounce takes 1 ms.
   static constexpr std::size_t kRememberedDeliveries = 4096;
 
-  std::optional<ReturnReason> ReasonToRefuse(const Segment& aSegment, TimePoint aNow);
-  ReturnReason UpstreamCondition(TimePoint aNow) const;
+  /// Returns why the opening packet is refused; empty if it is admitted. Counts an admitted flow
+  /// against the limit of a cold upstream.
+  std::optional<ReturnReason> AdmitOpening(const PacketHeader& aPacketHeader, TimePoint aNow);
+  ReturnReason ReasonForNoNewFlows(TimePoint aNow) const;
   bool RouteTargetsService(const FlowKey& aFlow) const;
   bool IsCold(TimePoint aNow) const;
-  bool UpstreamExited() const;
+  bool IsFinished() const;
   std::size_t ColdLimit() const;
   bool TableIsComplete(TimePoint aNow) const;
   bool UpstreamIsAbsent(TimePoint aNow) const;
@@ -144,42 +147,44 @@
                PacketOutput& aOutput);
   void Return(const Endpoint& aBalancer, ReturnReason aReason,
               std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
-  void OnOpening(const Endpoint& aFrom, const Segment& aSegment, std::span<std::uint8_t> aPacket,
-                 PacketOutput& aOutput, TimePoint aNow);
-  void LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const;
-  void OnMidFlow(const Endpoint& aFrom, NodeMessageType aType, const Segment& aSegment,
+  void OnOpening(const Endpoint& aFrom, const PacketHeader& aPacketHeader,
                  std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
+  void LogOpening(const FlowKey& aFlow, ReturnReason aReason, TimePoint aNow) const;
+  /// Handles a packet that is not an opening packet.
+  void OnFlowPacket(const Endpoint& aFrom, NodeMessageType aType, const PacketHeader& aPacketHeader,
+                    std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   void OnQuery(const Endpoint& aFrom, NodeMessageType aType, std::span<const std::uint8_t> aBytes,
                PacketOutput& aOutput, TimePoint aNow);
   void OnRegister(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes,
                   PacketOutput& aOutput, TimePoint aNow);
   void OnRegisterAck(const Endpoint& aFrom, std::span<const std::uint8_t> aBytes);
-  void Register(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
-                PacketOutput& aOutput, TimePoint aNow);
+  /// Adds the flow to the registrations for its directory agents and marks it as unconfirmed.
+  void AddRegistrations(const FlowKey& aKey, Flow& aFlow, Registrations& aRegistrations,
+                        PacketOutput& aOutput, TimePoint aNow);
   static void SendRegistrations(const Registrations& aRegistrations, PacketOutput& aOutput);
   static bool HasUnconfirmedAgents(const Flow& aFlow);
   NodeMessageType NegativeAnswer(NodeMessageType aQuery, TimePoint aNow) const;
   void SendFlowAnswer(const Endpoint& aBalancer, NodeMessageType aType, const FlowKey& aFlow,
                       const Endpoint& aHolder, PacketOutput& aOutput);
-  void ReportNotHeld(const Delivery& aDelivery, const Segment& aSegment,
+  void ReportNotHeld(const Delivery& aDelivery, const PacketHeader& aPacketHeader,
                      std::span<const std::uint8_t> aPacket, PacketOutput& aOutput);
   void AnswerProbe(const FlowKey& aFlow, PacketOutput& aOutput);
   void OnBounced(std::span<std::uint8_t> aPacket, PacketOutput& aOutput, TimePoint aNow);
   Flow& FindOrAddFlow(const FlowKey& aFlow, TimePoint aNow);
-  void TrackRequest(Flow& aFlow, const Segment& aSegment, TimePoint aNow);
+  void TrackRequest(Flow& aFlow, const PacketHeader& aPacketHeader, TimePoint aNow);
   void SetRequestPending(Flow& aFlow, bool aPending, TimePoint aNow);
   void Close(Flow& aFlow, TimePoint aNow);
   void RemoveFlow(const FlowKey& aFlow, TimePoint aNow);
 
   PacketAgentSettings mSettings;
-  const SegmentCodec& mCodec;
+  const PacketCodec& mCodec;
   TimePoint mStartedAt;
   std::optional<Upstream> mUpstream;
   bool mUpstreamSentPackets = false; ///< Shows that the upstream runs, even without a heartbeat.
   /// Whether this process ran when the upstream started, and so opened all of its flows.
   bool mSawUpstreamStart = false;
   bool mStopping = false;
-  bool mDataCentreOut = false;
+  bool mDataCentreOutOfService = false;
   /// Set when the data centre returns to service, until the next heartbeat shows whether the
   /// upstream is cold.
   bool mColdUntilHeartbeat = false;
@@ -193,23 +198,24 @@
   /// Whether the view contains this process, which other agents need to register flows with it.
   bool mInView = false;
   /// DirectoryAgents::Digest() for which all flows are registered and confirmed; 0 if some are not.
-  std::uint64_t mRegisteredWithDigest = 0;
+  std::uint64_t mConfirmedAgentsDigest = 0;
   FlowDirectory mDirectory;
   std::array<Delivery, kRememberedDeliveries> mDeliveries{};
   std::uint32_t mNextTag = 1;
-  OpeningLimiter mColdOpens;
-  SpeedEstimator mSpeed;
+  OpeningLimiter mColdLimiter;
+  SpeedEstimator mSpeedEstimator;
   std::uint32_t mOpenFlows = 0; ///< Flows in mFlows that are not closed.
   std::uint32_t mPendingRequests = 0;
-  std::uint32_t mUnansweredOpens = 0; ///< Opening packets since the upstream last sent anything.
+  std::uint32_t mUnansweredOpenings = 0; ///< Opening packets since the upstream last sent anything.
   TimePoint mUnansweredSince;
   Summary& mRequestSeconds; ///< From a request's first packet to the upstream's first answer.
   Summary& mOpeningSeconds; ///< From an opening packet to the upstream's answer.
   Counter& mDelivered;
   Counter& mReplies;
   Counter& mBounced;
-  Counter& mResets;
-  Counter& mProbeResets;
+  Counter& mFlowsLost; ///< Flows that were reset because the upstream no longer holds them.
+  /// Resets that the upstream sent in reaction to flow probes.
+  Counter& mProbeResetsDropped;
   Counter& mMalformed;
   std::array<Counter*, kReturnReasons> mReturned{};
 };
--- a/lib/Packet/PacketBalancerSearch.cpp
+++ b/lib/Packet/PacketBalancerSearch.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A packet that comes this long after the last queries sends new ones. Slightly less than the first
-// retransmission interval of callers.
+// A packet of the flow that arrives more than this after the last queries triggers new ones.
+// Slightly less than the first retransmission interval of callers.
 constexpr Milliseconds kRetryInterval{180};
 
 // A search that has not ended in this time starts over with the directory agents, because the flow
@@ -48,12 +48,12 @@
 {
   return aAgent.mReportedAt && aNow - *aAgent.mReportedAt <= mSettings.mReportLifetime &&
          mDirectoryAgents.Digest() != 0 &&
-         aAgent.mReport.mRegisteredWithDigest == mDirectoryAgents.Digest();
+         aAgent.mReport.mConfirmedAgentsDigest == mDirectoryAgents.Digest();
 }
 
-// Whether the directory agents show that no covered agent holds the flow: all of them have answered
-// NotRegistered, so that each is in its own view in its current incarnation, and each is itself
-// covered, so that it has applied the same agents as this balancer.
+// Whether the directory agents show that no covered agent holds the flow. Each of them must have
+// answered NotRegistered, which shows that its view contains its current incarnation. Each must
+// also be covered itself, which shows that it knows the same agents as this balancer.
 bool PacketBalancer::DirectoryRulesOut(const FlowKey& aKey, const Search& aSearch,
                                        TimePoint aNow) const
 {
@@ -61,8 +61,8 @@
   return aSearch.mStage == SearchStage::DirectoryAgents && !directoryAgents.empty() &&
          std::all_of(directoryAgents.begin(), directoryAgents.end(), [&](const Endpoint& aAgent) {
            const auto agent = mAgents.find(aAgent);
-           return Contains(aSearch.mAgentsWithoutEntry, aAgent) && agent != mAgents.end() &&
-                  IsCoveredByDirectory(agent->second, aNow);
+           return Contains(aSearch.mDirectoryAgentsWithoutEntry, aAgent) &&
+                  agent != mAgents.end() && IsCoveredByDirectory(agent->second, aNow);
          });
 }
 
@@ -79,11 +79,11 @@
     }
   };
   if (aSearch.mStage == SearchStage::DirectoryAgents && !directoryRulesOut) {
-    aSearch.mStage = SearchStage::Candidates;
+    aSearch.mStage = SearchStage::PreferredAgents;
     const RouteEntry* route = FindRoute(aKey);
     for (std::size_t i = 0; route != nullptr && i < route->mTargets.size(); ++i) {
-      const auto candidates = CandidatesFor(route->mTargets[i].mService, aKey);
-      std::for_each(candidates.begin(), candidates.end(), add);
+      const auto agents = PreferredAgentsFor(route->mTargets[i].mService, aKey);
+      std::for_each(agents.begin(), agents.end(), add);
     }
   }
   if (aSearch.mUnanswered.empty()) {
@@ -97,41 +97,43 @@
   SendQueries(aKey, aSearch, NodeMessageType::QueryLocal, aOutput, aNow);
 }
 
-// Starts or continues the search for a flow's holder. The directory agents are queried first. The
-// search goes on to the next stage if they do not answer or have named an agent that does not hold
-// the flow.
-void PacketBalancer::SearchHolder(const Segment& aSegment, Flow& aFlow,
+// Starts or continues the search for a flow's holder. The directory agents are queried first,
+// unless there are none or an agent has already returned a packet of the flow. The next stage
+// follows if they do not answer, do not know the holder, or name an agent that does not hold the
+// flow.
+void PacketBalancer::SearchHolder(const PacketHeader& aPacketHeader, Flow& aFlow,
                                   std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
                                   TimePoint aNow)
 {
   if (aFlow.mSearch && aNow - aFlow.mSearch->mStartedAt <= kSearchLifetime) {
-    ContinueSearch(aSegment, aFlow, aPacket, aOutput, aNow);
+    ContinueSearch(aPacketHeader, aFlow, aPacket, aOutput, aNow);
     return;
   }
   aFlow.mSearch = std::make_unique<Search>();
   Search& search = *aFlow.mSearch;
   search.mStartedAt = search.mLastQueriedAt = aNow;
-  search.mRuledOut = aFlow.mTried;
+  search.mRuledOut = aFlow.mReturnedBy;
   search.mPackets.emplace_back(aPacket.begin(), aPacket.end());
   mSearched.Add();
-  search.mUnanswered = mDirectoryAgents.AgentsFor(aSegment.mFlow);
-  if (search.mUnanswered.empty() || !aFlow.mTried.empty()) {
-    QueryNextStage(aSegment.mFlow, search, aOutput, aNow);
+  search.mUnanswered = mDirectoryAgents.AgentsFor(aPacketHeader.mFlow);
+  if (search.mUnanswered.empty() || !aFlow.mReturnedBy.empty()) {
+    QueryNextStage(aPacketHeader.mFlow, search, aOutput, aNow);
   } else {
-    SendQueries(aSegment.mFlow, search, NodeMessageType::Query, aOutput, aNow);
+    SendQueries(aPacketHeader.mFlow, search, NodeMessageType::Query, aOutput, aNow);
   }
-  ResetIfNotFound(aSegment.mFlow, search, aOutput, aNow);
+  ResetIfNotFound(aPacketHeader.mFlow, search, aOutput, aNow);
 }
 
 // Handles a further packet of a flow during a search: keeps it and, after kRetryInterval, sends new
 // queries. Agents that were ruled out are not queried again.
-void PacketBalancer::ContinueSearch(const Segment& aSegment, Flow& aFlow,
+void PacketBalancer::ContinueSearch(const PacketHeader& aPacketHeader, Flow& aFlow,
                                     std::span<const std::uint8_t> aPacket, PacketOutput& aOutput,
                                     TimePoint aNow)
 {
   Search& search = *aFlow.mSearch;
   const bool retry = aNow - search.mLastQueriedAt > kRetryInterval;
   if (retry) {
+    // The caller retransmits: the kept packets are out of date.
     search.mPackets.clear();
   }
   if (search.mPackets.size() < kMaxKeptPackets) {
@@ -142,17 +144,17 @@
   }
   search.mLastQueriedAt = aNow;
   if (search.mStage == SearchStage::AllAgents) {
-    SendQueries(aSegment.mFlow, search, NodeMessageType::QueryLocal, aOutput, aNow);
+    SendQueries(aPacketHeader.mFlow, search, NodeMessageType::QueryLocal, aOutput, aNow);
   } else {
-    QueryNextStage(aSegment.mFlow, search, aOutput, aNow);
+    QueryNextStage(aPacketHeader.mFlow, search, aOutput, aNow);
   }
-  ResetIfNotFound(aSegment.mFlow, search, aOutput, aNow);
+  ResetIfNotFound(aPacketHeader.mFlow, search, aOutput, aNow);
 }
 
 // Whether the view has had time to become complete since the first agents were known.
-bool PacketBalancer::IsSettled(TimePoint aNow) const
+bool PacketBalancer::ViewMayBeComplete(TimePoint aNow) const
 {
-  return mFirstAgentAt && aNow - *mFirstAgentAt >= mSettings.mSettleTime;
+  return mFirstAgentAt && aNow - *mFirstAgentAt >= mSettings.mViewCompletionTime;
 }
 
 void PacketBalancer::OnFlowMessage(const Endpoint& aFrom, NodeMessageType aType,
@@ -176,7 +178,7 @@
     OnHolderFound(key, flow, message.value().mHolder, aOutput, aNow);
   } else {
     if (aType == NodeMessageType::NotRegistered) {
-      flow.mSearch->mAgentsWithoutEntry.push_back(aFrom);
+      flow.mSearch->mDirectoryAgentsWithoutEntry.push_back(aFrom);
     }
     OnNotFound(key, *flow.mSearch, aFrom, aOutput, aNow);
   }
@@ -197,20 +199,21 @@
 void PacketBalancer::OnHolderFound(const FlowKey& aKey, Flow& aFlow, const Endpoint& aHolder,
                                    PacketOutput& aOutput, TimePoint aNow)
 {
-  if (Contains(aFlow.mTried, aHolder) && aFlow.mSearch->mStage == SearchStage::DirectoryAgents) {
+  if (Contains(aFlow.mReturnedBy, aHolder) &&
+      aFlow.mSearch->mStage == SearchStage::DirectoryAgents) {
     // The registration is out of date: this agent has returned a packet of the flow.
     QueryNextStage(aKey, *aFlow.mSearch, aOutput, aNow);
     return;
   }
   const auto search = std::move(aFlow.mSearch);
   aFlow.mHolder = aHolder;
-  aFlow.mTried.clear();
+  aFlow.mReturnedBy.clear();
   LogEvent(LogLevel::Info, "flow_found")
     .With("flow", ToString(aKey))
     .With("agent", aHolder.ToString())
-    .With("asked", search->mStage == SearchStage::DirectoryAgents ? "homes"
-                   : search->mStage == SearchStage::Candidates    ? "choices"
-                                                                  : "all")
+    .With("asked", search->mStage == SearchStage::DirectoryAgents   ? "homes"
+                   : search->mStage == SearchStage::PreferredAgents ? "choices"
+                                                                    : "all")
     .With("view", mViewRevision);
   for (const auto& packet : search->mPackets) {
     mForwarded.Add();
@@ -234,18 +237,18 @@
 }
 
 // Resets the flow if all agents are ruled out, so that its caller does not wait until the deadline.
-// Before the view is settled, an unknown agent may still hold the flow.
+// Before the view may be complete, an agent that is not in it yet may hold the flow.
 void PacketBalancer::ResetIfNotFound(const FlowKey& aKey, const Search& aSearch,
                                      PacketOutput& aOutput, TimePoint aNow)
 {
   if (aSearch.mStage != SearchStage::AllAgents || !aSearch.mUnanswered.empty() ||
-      !IsSettled(aNow)) {
+      !ViewMayBeComplete(aNow)) {
     return;
   }
-  const auto segment = mCodec.DecodeFromCaller(aSearch.mPackets.back());
+  const auto packetHeader = mCodec.DecodeFromCaller(aSearch.mPackets.back());
   mFlows.erase(aKey);
-  if (segment && !segment->mResets) {
-    RefuseFlow(*segment, aOutput, mNotFound);
+  if (packetHeader && !packetHeader->mResets) {
+    ResetFlow(*packetHeader, aOutput, mNotFound);
   }
 }
 
