--- a/include/dandelionslip/Agent/AdmissionSnapshot.h
+++ b/include/dandelionslip/Agent/AdmissionSnapshot.h
@@ -16,7 +16,8 @@
   std::int64_t mRequestBaselineNs = 0; ///< 0 when unknown.
   std::int64_t mFlowBaselineNs = 0;    ///< 0 when unknown.
   std::uint32_t mWeight = 0;
-  double mCompletionRate = 0; ///< Completions a second of one busy slot; 0 when unknown.
+  /// Successful completions a second of one busy slot; 0 when unknown.
+  double mCompletionRate = 0;
 
   bool operator==(const AdmissionSnapshot&) const = default;
 };
--- a/include/dandelionslip/Agent/BackupRole.h
+++ b/include/dandelionslip/Agent/BackupRole.h
@@ -15,11 +15,13 @@
 /// State kept for one restarting agent.
 struct KeptState
 {
+  /// As received. Its directory and records are replaced by the current ones when the state is
+  /// returned.
   StateHandover mState;
   BucketDirectory mDirectory;
   std::set<FlowId> mFlows; ///< Flows that the restarting agent holds.
-  /// The earlier backup that passed the state on because it restarts itself; empty when the state
-  /// came from its own agent.
+  /// The earlier backup that passed the state on because it restarts too; then equal to mSender.
+  /// Empty when the state came from its own agent.
   std::string mForwardedBy;
   std::string mSender; ///< The agent that sent the state.
   /// Incarnation of the process that fetched the state; 0 while it has not been fetched.
@@ -54,7 +56,7 @@
   /// Flows of these buckets that the restarting agents hold.
   std::vector<DirectoryEntry> HeldFlows(std::span<const std::uint32_t> aBuckets) const;
 
-  /// All states not returned yet, to be passed on when this agent stops itself.
+  /// The states that were not returned yet, to be passed on to aBackup when this agent stops too.
   std::vector<StateHandover> Export(const std::string& aBackup) const;
 
   /// Removes expired states.
--- a/include/dandelionslip/Agent/BucketDirectory.h
+++ b/include/dandelionslip/Agent/BucketDirectory.h
@@ -16,36 +16,37 @@
 /// State of a bucket's directory at an agent.
 enum class BucketState
 {
-  NotOwned,    ///< The agent has never owned the bucket.
+  NotOwned,    ///< Not owned since the agent started or the directory was reset.
   Complete,    ///< All flows of the bucket are known.
   Pending,     ///< The directory has been requested from a previous owner.
   Rebuilding,  ///< The previous owner is lost; all members are asked which flows they hold.
   Transferred, ///< Transferred to a new owner; the agent forwards packets to it.
 };
 
-/// Where a flow is held.
+/// The holder of a flow, as recorded in a directory.
 struct FlowHolder
 {
   std::string mName;
   TimePoint mRecordedAt;  ///< When the holder was recorded.
-  TimePoint mRefreshedAt; ///< When the holder last confirmed it.
+  TimePoint mRefreshedAt; ///< When the holder last confirmed that it holds the flow.
 };
 
 /// A message that a flow ended is ignored for this long after the flow's holder was recorded,
-/// because it may have been sent before the flow was opened again. The holder sends it again when
-/// it receives a packet of a flow that it does not hold.
+/// because it may have been sent before the flow was opened again. If the message was right, the
+/// recorded agent sends it again when a packet of the flow is redirected to it.
 inline constexpr Milliseconds kHolderGracePeriod{2'000};
 
-/// An agent whose view is behind a holder's receives that holder's report before it owns the
-/// bucket. When it becomes the owner, it keeps such entries up to this age; older ones may be
-/// outdated.
+/// A holder with a newer view may report its flows to an agent that does not know yet that it owns
+/// the bucket. When that agent becomes the owner, it keeps reports up to this age and removes older
+/// ones, which may be outdated.
 inline constexpr Milliseconds kMaxEarlyReportAge{5'000};
 
 /// State of one bucket.
 struct Bucket
 {
   BucketState mState = BucketState::NotOwned;
-  std::string mPeer; ///< Pending: the member that the request goes to. Transferred: the new owner.
+  /// Pending: the previous owner that the directory is requested from. Transferred: the new owner.
+  std::string mPeer;
   /// Pending: members that the directory was requested from; a second request to one would be a
   /// cycle.
   std::set<std::string> mRequestedFrom;
@@ -70,8 +71,8 @@
   std::unordered_map<FlowId, FlowHolder> mFormerHolders;
 };
 
-/// The directory of one owner. Its memory is bounded by the number of flows that the members admit.
-/// Not thread-safe.
+/// The directories of all buckets of a service, as far as one agent knows them. Their memory is
+/// bounded by the number of flows that the members admit. Not thread-safe.
 class BucketDirectory
 {
 public:
@@ -97,8 +98,8 @@
   /// The holder's name when the bucket was transferred away, or null.
   const std::string* FormerHolder(FlowId aFlow) const;
 
-  /// Prepares a bucket that the agent comes to own: removes the former holders, and the holders not
-  /// confirmed within kMaxEarlyReportAge.
+  /// Prepares a bucket of which the agent has become the owner: removes the holders recorded at an
+  /// earlier transfer, and the holders not confirmed within kMaxEarlyReportAge.
   void DropOutdated(std::uint32_t aBucket, TimePoint aNow);
 
   /// Removes the flow's entry.
--- a/include/dandelionslip/Agent/BucketRecords.h
+++ b/include/dandelionslip/Agent/BucketRecords.h
@@ -17,13 +17,13 @@
 public:
   virtual ~BucketRecords() = default;
 
-  /// Returns the records of the buckets for their new owner; from then on this agent accepts no new
-  /// request in them. When an answer was lost, the same buckets may be exported again to the same
-  /// owner and give the same records.
+  /// Returns the records of the buckets for the agent that handles them next; from then on this
+  /// agent accepts no new request in them. When an answer was lost, the same buckets may be
+  /// exported again to the same agent and give the same records.
   virtual Json Export(std::span<const std::uint32_t> aBuckets, const std::string& aNewOwner) = 0;
 
-  /// This agent now owns the buckets, with the records that the previous owner exported. Buckets
-  /// whose records are missing start without records.
+  /// From now on this agent handles the requests of the buckets, as owner or as backup, with the
+  /// records that another agent exported. Buckets whose records are missing start without records.
   virtual void Import(std::span<const std::uint32_t> aBuckets, const Json& aRecords) = 0;
 
   /// This agent is the first owner that the buckets have ever had.
--- a/include/dandelionslip/Agent/BucketTransferManager.h
+++ b/include/dandelionslip/Agent/BucketTransferManager.h
@@ -51,10 +51,14 @@
   const BucketDirectory& Directory() const { return mDirectory; }
 
 private:
+  /// The owner of each bucket in aOld or, when aOld is of another service or has another number of
+  /// buckets, in the generation before the newest. Empty names where there is none.
   std::vector<std::string> PreviousOwners(const ServiceTable& aOld) const;
   void UpdateOwned(std::uint32_t aBucket, const std::string& aPrevious, bool aSameBuckets,
                    bool aOwnershipUncertain, TimePoint aNow);
   void StartTransfer(std::uint32_t aBucket, const std::string& aPrevious, TimePoint aNow);
+  /// aNewBucket: the bucket never had an owner. The members are still asked for flows, but no
+  /// request records are lost.
   void StartRebuild(std::uint32_t aBucket, TimePoint aNow, bool aNewBucket = false);
   void UpdateRebuild(Bucket& aBucket, TimePoint aNow);
   void FinishRebuildIfAnswered(Bucket& aBucket);
@@ -71,8 +75,11 @@
   BackupRole& mBackupRole;
   BucketRecords* mRecords;
   BucketDirectory mDirectory;
-  std::vector<std::uint32_t> mRebuiltBuckets; ///< Their request records are lost.
-  std::vector<std::uint32_t> mNewBuckets;     ///< Buckets that never had an owner before.
+  /// Buckets whose rebuild has started and whose request records are lost, for
+  /// StartWithoutRecords.
+  std::vector<std::uint32_t> mRebuiltBuckets;
+  /// Buckets that never had an owner before, for StartAsFirstOwner.
+  std::vector<std::uint32_t> mNewBuckets;
   bool mResumed = false;
 };
 
--- a/include/dandelionslip/Agent/ColdStartRamp.h
+++ b/include/dandelionslip/Agent/ColdStartRamp.h
@@ -19,7 +19,7 @@
 enum class ColdReason
 {
   Started,     ///< The agent started.
-  LatencyStep, ///< kStepCompletions completions at kStepFactor times the baseline.
+  LatencyStep, ///< See LatencyBaseline::IsStepped.
   Shed,        ///< The upstream shed load.
   Failures,    ///< kStepCompletions failures in a row.
   Restarted,   ///< The upstream was seen to restart.
@@ -41,7 +41,7 @@
   std::optional<ColdReason> OnCompletion(TimePoint aNow, Duration aLatency,
                                          CompletionResult aResult, WorkKind aKind);
 
-  /// Sets the cold limit at once.
+  /// Lowers the limit to the cold limit at once.
   void ResetToCold(TimePoint aNow, ColdReason aReason);
 
   /// Applies changed limits; this never raises the current limit.
@@ -67,6 +67,8 @@
   void CountSuccess(TimePoint aNow, Duration aLatency, const LatencyBaseline& aBaseline);
   void StepUp(TimePoint aNow);
   std::uint32_t Window() const;
+  /// The connection limit that lies as far between cold and full limit as aSlots does. Connections
+  /// do not grow beyond it, so that they are not ahead of the slots.
   std::uint32_t MatchingConnections(std::uint32_t aSlots) const;
   LatencyBaseline& BaselineOf(WorkKind aKind);
 
--- a/include/dandelionslip/Agent/EndpointReports.h
+++ b/include/dandelionslip/Agent/EndpointReports.h
@@ -6,8 +6,8 @@
 
 namespace dandelionslip {
 
-/// Keeps the latest reports and lowers a load limit by them. Reports may be late, stuck or wrong,
-/// so they never raise the limit. Not thread-safe.
+/// Keeps the latest reports and lowers a load limit according to them. Reports may be late, stuck
+/// or wrong, so they never raise the limit. Not thread-safe.
 class EndpointReports
 {
 public:
@@ -27,8 +27,8 @@
 
   bool mHealthy = true;
   TimePoint mHealthAt{};
-  double mFactor = 1.0;
-  double mTarget = 1.0;
+  double mFactor = 1.0; ///< Load factor when the last load report arrived.
+  double mTarget = 1.0; ///< Load factor that the last load report asks for.
   TimePoint mLoadAt{};
 };
 
--- a/include/dandelionslip/Agent/FlowActions.h
+++ b/include/dandelionslip/Agent/FlowActions.h
@@ -51,7 +51,7 @@
 struct FetchView
 {};
 
-/// The backup has acknowledged the state; announce the backup and exit.
+/// The handover has ended; announce the backup, if there is one, and exit.
 struct HandoverDone
 {
   std::string mBackup; ///< Empty when no other agent could take the state.
--- a/include/dandelionslip/Agent/FlowCore.h
+++ b/include/dandelionslip/Agent/FlowCore.h
@@ -29,11 +29,12 @@
                FlowActions& aOut);
 
   /// The agent's lease has expired. Other members may own its buckets from now on, so the buckets
-  /// are rebuilt when the next state arrives.
+  /// are rebuilt when the next view or configuration arrives.
   void OnLeaseExpired() { mOwnershipUncertain = true; }
 
-  /// The lease is valid again, and every state up to then has been applied. If none of them was
-  /// newer, no other member has owned the buckets.
+  /// The lease is valid again, and the newest view and configuration were applied before this call.
+  /// If they were newer, the buckets are being rebuilt already; if not, no other member has owned
+  /// them.
   void OnLeaseRenewed() { mOwnershipUncertain = false; }
 
   /// A datagram of kind Forward from a balancer or another agent.
@@ -102,7 +103,7 @@
     std::string mBackup;
     std::set<std::string> mUnacknowledged; ///< Members whose state the backup has not acknowledged.
     TimePoint mNextSend;
-    std::uint32_t mAttempts = 0; ///< Times sent to the backup since its last acknowledgement.
+    std::uint32_t mAttempts = 0; ///< Resends since the backup was chosen or last acknowledged.
     /// Agents that did not acknowledge; they may be stopping too.
     std::set<std::string> mUnresponsive;
   };
--- a/include/dandelionslip/Agent/FlowMessages.h
+++ b/include/dandelionslip/Agent/FlowMessages.h
@@ -33,7 +33,7 @@
   aVisitor.Field("configuration_revision", aValue.mConfigurationRevision);
 }
 
-/// Where one flow is held.
+/// A flow and its holder, as sent between agents.
 struct DirectoryEntry
 {
   FlowId mFlow = 0;
@@ -55,7 +55,8 @@
   Partial,  ///< The entries are what the member knows; the others come from mNext.
   Unknown,  ///< The member never owned the bucket or is rebuilding it; the entries are the flows
             ///< that it knows.
-  Stale,    ///< The member owns the bucket in a newer table; the requester must update.
+  Stale,    ///< The member, or the one that it is backup for, still owns the bucket in a table at
+            ///< least as new as the requester's; the requester fetches the view.
 };
 
 std::span<const EnumName<TransferStatus>> EnumNames(TransferStatus);
@@ -65,7 +66,7 @@
 {
   std::uint32_t mBucket = 0;
   TransferStatus mStatus = TransferStatus::Complete;
-  std::string mNext; ///< Status Partial: the member to ask next.
+  std::string mNext; ///< Status Partial, or Unknown in a StateHandover: the member to ask next.
   std::vector<DirectoryEntry> mFlows;
 
   bool operator==(const BucketTransfer&) const = default;
@@ -230,8 +231,9 @@
   /// Distinguishes a second handover of the same state from a repeated message.
   std::uint64_t mSenderIncarnation = 0;
   std::vector<FlowState> mFlows;
-  /// Status Complete: complete buckets. Partial: buckets transferred to mNext. Unknown: buckets
-  /// still to come from mNext, or from all members when mNext is empty.
+  /// Status Complete: the bucket's directory is complete. Partial: the bucket was transferred to
+  /// mNext. Unknown: the directory is incomplete; it is requested from mNext, or rebuilt by asking
+  /// all members when mNext is empty.
   std::vector<BucketTransfer> mDirectory;
   Json mRecords;   ///< Request records of the complete buckets, opaque here.
   Json mAdmission; ///< As passed to FlowCore::BeginHandover, opaque here.
@@ -252,7 +254,8 @@
   aVisitor.Optional("admission", aValue.mAdmission);
 }
 
-/// The backup has the state; the sender of the handover may exit.
+/// The backup has the state of mMember. The sender of the handover may exit when every state that
+/// it sent is acknowledged.
 struct StateHandoverAck
 {
   std::string mBackup;
--- a/include/dandelionslip/Agent/FlowTable.h
+++ b/include/dandelionslip/Agent/FlowTable.h
@@ -22,7 +22,9 @@
   Endpoint mBalancer;              ///< The balancer that last carried a packet of the flow.
   std::uint16_t mUpstreamPort = 0; ///< Local port towards the upstream; 0 until it is open.
   bool mEstablished = false;       ///< The upstream has answered at least once.
-  std::uint64_t mSessionTag = 0;   ///< Of the last opening datagram.
+  /// Identifies the session, that is one use of the flow from an opening to a close datagram. Taken
+  /// from the last opening datagram.
+  std::uint64_t mSessionTag = 0;
   TimePoint mLastActive;
 };
 
@@ -30,7 +32,7 @@
 class FlowTable
 {
 public:
-  /// Reserves nothing until flows arrive; never holds more than aCapacity flows.
+  /// Allocates no memory until the first insertion; never holds more than aCapacity flows.
   explicit FlowTable(std::size_t aCapacity);
 
   /// The flow, or null. Valid until the next insertion or erasure.
--- a/include/dandelionslip/Agent/LatencyBaseline.h
+++ b/include/dandelionslip/Agent/LatencyBaseline.h
@@ -9,8 +9,9 @@
 
 namespace dandelionslip {
 
-/// Number of latest completions among which a latency step is detected, and number of successes
-/// after which the baseline is known.
+/// Number of latest completions among which a latency step is detected. Also the number of
+/// successes after which the baseline is known, of failures in a row that reset the ramp to cold,
+/// and the smallest number of successes for a ramp step.
 inline constexpr std::size_t kStepCompletions = 8;
 
 /// A latency this many times the baseline is a step.
--- a/include/dandelionslip/Agent/LoadLimit.h
+++ b/include/dandelionslip/Agent/LoadLimit.h
@@ -11,7 +11,7 @@
 struct LoadLimit
 {
   std::uint32_t mSlots = 0;       ///< Requests running.
-  std::uint32_t mConnections = 0; ///< Flows open.
+  std::uint32_t mConnections = 0; ///< Open flows; services and metrics call them connections.
 
   bool operator==(const LoadLimit&) const = default;
 };
--- a/include/dandelionslip/Agent/RetrySchedule.h
+++ b/include/dandelionslip/Agent/RetrySchedule.h
@@ -6,7 +6,7 @@
 namespace dandelionslip {
 
 /// Gives each refused caller a later retry time than the one before. Retry times are spaced by the
-/// expected interval of admissions, so that callers refused together do not retry together. Not
+/// expected time between admissions, so that callers refused together do not retry together. Not
 /// thread-safe.
 class RetrySchedule
 {
--- a/include/dandelionslip/Agent/TokenBucket.h
+++ b/include/dandelionslip/Agent/TokenBucket.h
@@ -10,7 +10,7 @@
 class TokenBucket
 {
 public:
-  /// A full bucket permits the events of this time at once.
+  /// A full bucket permits at once as many events as the rate allows in this time.
   static constexpr Milliseconds kBurst{100};
 
   /// aPerSecond must be positive.
--- a/include/dandelionslip/Agent/UpstreamAdmission.h
+++ b/include/dandelionslip/Agent/UpstreamAdmission.h
@@ -84,6 +84,7 @@
 
 private:
   bool TakesNewWork() const;
+  /// Cold while the ramp, not the full limit, is the bound; else aReason.
   RefusalReason FullReason(std::uint32_t aInUse, std::uint32_t aFull, RefusalReason aReason) const;
   void ResetToCold(TimePoint aNow, ColdReason aReason);
   void ApplyRamp(TimePoint aNow);
--- a/include/dandelionslip/Agent/WeightEstimator.h
+++ b/include/dandelionslip/Agent/WeightEstimator.h
@@ -15,8 +15,11 @@
 class WeightEstimator
 {
 public:
+  /// Time constant of the smoothed completion rate.
   static constexpr Milliseconds kTimeConstant{10'000};
+  /// Shortest time between two changes of the weight, and between two samples of the rate.
   static constexpr Milliseconds kStepInterval{1'000};
+  /// Largest factor by which one change raises or lowers the weight, or one sample the rate.
   static constexpr double kStepFactor = 1.25;
 
   explicit WeightEstimator(TimePoint aNow);
@@ -52,7 +55,7 @@
   void StepTowards(TimePoint aNow, std::uint32_t aTarget);
 
   std::uint32_t mSlotsInUse = 0;
-  TimePoint mOccupiedAt;
+  TimePoint mOccupiedAt; ///< Up to here busy time is in mBusySeconds.
   double mBusySeconds = 0;
   std::uint32_t mSuccesses = 0;
   std::uint32_t mCompletions = 0;
@@ -61,6 +64,7 @@
   double mServiceMean = 0;
   TimePoint mSteppedAt;
   std::uint32_t mWeight = 0;
+  /// The weight has reached its target; changes within the dead band are then ignored.
   bool mSettled = false;
 };
 
--- a/lib/Agent/BucketExport.cpp
+++ b/lib/Agent/BucketExport.cpp
@@ -1,11 +1,11 @@
-// Converts buckets and directories to their transferred form and back.
+// Transfer of single buckets, and export and import of directories.
 #include "BucketExport.h"
 
 namespace dandelionslip {
 
 namespace {
 
-// Sets status and next member of the answer that transfers a bucket in its present state.
+// Stores in the bucket the status and next member for the first answer to a transfer request.
 void SetTransferStatus(Bucket& aBucket)
 {
   switch (aBucket.mState) {
--- a/lib/Agent/BucketExport.h
+++ b/lib/Agent/BucketExport.h
@@ -1,4 +1,4 @@
-// Conversion between buckets and their transferred form.
+// Transfer of single buckets, and export and import of directories.
 #pragma once
 
 #include "dandelionslip/Agent/BucketDirectory.h"
--- a/lib/Agent/BucketTransferManager.cpp
+++ b/lib/Agent/BucketTransferManager.cpp
@@ -13,8 +13,8 @@
 // Buckets examined for expired entries in each tick.
 constexpr std::uint32_t kExpiryBuckets = 64;
 
-// Whether aOld is of the same service and has as many buckets, so that it names the previous
-// owners.
+// Whether both tables are of the same service with the same number of buckets. The owners in aOld
+// are then the previous owners.
 bool HasSameBuckets(const ServiceTable& aOld, const ServiceTable& aNew)
 {
   return aOld.Id() == aNew.Id() && aOld.Generation() > 0 && aOld.Buckets() == aNew.Buckets();
@@ -57,6 +57,7 @@
 {
   const ServiceTable& table = mContext.mTable;
   if (!HasSameBuckets(aOld, table)) {
+    // mGenerations is ordered from newest to oldest.
     const ServiceView* service =
       FindServiceView(mContext.mView, mContext.mConfiguration, mContext.mSettings.mService);
     return service == nullptr || service->mGenerations.size() < 2
@@ -103,7 +104,8 @@
       if (aOwnershipUncertain) {
         StartRebuild(aBucket, aNow);
       } else if (aSameBuckets && !mContext.IsSelf(aPrevious)) {
-        // The owner in between never requested the directory, but it may have admitted flows.
+        // Another agent has owned the bucket since. It never requested the directory, but it may
+        // have admitted flows.
         bucket.mHasCompleteCopy = true;
         StartTransfer(aBucket, aPrevious, aNow);
       }
@@ -390,6 +392,7 @@
     }
     // From here on the requester owns the bucket, even if this agent's older table says otherwise.
     if (mDirectory.At(bucket).mState != BucketState::NotOwned || mContext.Owns(bucket)) {
+      // With incarnation 0, a later TransferRequest of the requester does not count as repeated.
       TransferBucketTo(mDirectory, bucket, {aQuery.mRequester, 0}, {});
     }
     answer.mBuckets.push_back(bucket);
@@ -464,7 +467,8 @@
   SendRequests(aNow, aOut);
   if (const ServiceEntry* entry =
         mContext.mConfiguration.FindService(mContext.mSettings.mService)) {
-    // Holders confirm their flows four times within the idle timeout.
+    // Holders confirm their flows four times within the idle timeout, so an entry that was not
+    // confirmed for the whole timeout is outdated.
     mDirectory.Expire(aNow, entry->mSpec.mFlowIdleTimeout, kExpiryBuckets);
   }
 }
--- a/lib/Agent/EndpointReports.cpp
+++ b/lib/Agent/EndpointReports.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// When a report expires, the limit rises by a factor of at most 1.25, the largest step of the ramp.
+// When a load report expires, the limit rises by a factor of at most 1.25, the largest step of the
+// ramp.
 constexpr double kSmallestFactor = 0.8;
 
 // Time constant with which the limit follows reports: late reports must not make it oscillate.
--- a/lib/Agent/FlowCore.cpp
+++ b/lib/Agent/FlowCore.cpp
@@ -1,4 +1,4 @@
-// State changes, upstream datagrams and flow lifetime of the flow core.
+// Changes of view and configuration, upstream datagrams and flow lifetime of the flow core.
 #include "dandelionslip/Agent/FlowCore.h"
 
 #include "dandelionslip/Net/CallerDatagram.h"
@@ -65,7 +65,8 @@
 
 // Members acknowledge each generation before the next one is issued. Only an agent that was
 // regarded as lost can miss one, and its buckets had other owners meanwhile. Generation numbers are
-// not consecutive, so the view's history tells which generation came before.
+// not consecutive, so the view's history, ordered from newest to oldest, tells which generation
+// came before.
 bool FlowCore::MissedGeneration(const ServiceTable& aOld) const
 {
   if (aOld.Generation() == 0 || aOld.Id() != mContext.mTable.Id() ||
@@ -283,6 +284,7 @@
     return;
   }
   mNextRefresh = aNow + entry->mSpec.mFlowIdleTimeout / kRefreshesPerTimeout;
+  // Compared with an empty table, every acting member is new, so all flows are reported.
   ReportHeldFlows(ServiceTable(), aOut);
 }
 
--- a/lib/Agent/FlowCorePackets.cpp
+++ b/lib/Agent/FlowCorePackets.cpp
@@ -98,7 +98,8 @@
 
 void FlowCore::Deliver(FlowEntry& aEntry, const Packet& aPacket)
 {
-  // Two flows with the same hash: the first one keeps the entry.
+  // Another flow with the same hash has the entry. Packets of the second flow are dropped and
+  // counted as malformed.
   if (aEntry.mCaller != aPacket.mHeader.mCaller || aEntry.mService != aPacket.mHeader.mService) {
     Drop(RefusalReason::Malformed);
     return;
@@ -196,7 +197,8 @@
 }
 
 // Forwards to the recorded holder. Returns false when there is none, or when it is gone and the
-// packet is to be handled like one of an unknown flow.
+// packet is to be handled like one of an unknown flow. An entry that names aOwner or this agent is
+// outdated, because their own flows were looked up before.
 bool FlowCore::SendToHolder(const Packet& aPacket, const std::string& aOwner,
                             BucketDirectory& aDirectory)
 {
@@ -280,7 +282,8 @@
   NotifyOwner(aPacket.mHeader.mFlowHash, false, aPacket.mActions);
 }
 
-// Forwards to the holder that this agent recorded while it owned the bucket.
+// Forwards to the holder that this agent knows, from an earlier ownership of the bucket or from
+// reports that reached it early.
 bool FlowCore::SendToFormerHolder(const Packet& aPacket)
 {
   const FlowId flow = aPacket.mHeader.mFlowHash;
--- a/lib/Agent/FlowCoreRestart.cpp
+++ b/lib/Agent/FlowCoreRestart.cpp
@@ -20,8 +20,8 @@
 template <typename... Handlers>
 Overloaded(Handlers...) -> Overloaded<Handlers...>;
 
-// Unacknowledged sends to a backup, one every mRetryInterval, before another one is chosen. If 10%
-// of the exchanges are lost, a live backup is abandoned once in 100,000 times.
+// Unacknowledged resends to a backup, one every mRetryInterval, before another backup is chosen. If
+// 10% of the exchanges are lost, a live backup is abandoned at most once in 100,000 times.
 constexpr std::uint32_t kMaxHandoverAttempts = 5;
 
 Endpoint ParseOrEmpty(const std::string& aText)
@@ -83,8 +83,8 @@
   UpdateAcknowledgement();
 }
 
-// A live agent of the service that has not failed to acknowledge. Agents that take new work come
-// first, then agents in the same data centre; rendezvous hashing chooses among equals.
+// A live agent of the service that is not in mUnresponsive, or empty. Agents that take new work
+// come first, then agents in the same data centre; rendezvous hashing chooses among equals.
 std::string FlowCore::ChooseBackup() const
 {
   const TableMember* self = mContext.Find(mContext.mSettings.mName);
@@ -212,6 +212,8 @@
     return;
   }
   for (const StateHandover& state : aAnswer.mKeptStates) {
+    // Kept as if each agent had sent its state itself. Nobody waits for the acknowledgements, so
+    // they are discarded.
     FlowActions acknowledgements;
     mBackupRole.OnHandover(state.mMember, state, aNow, acknowledgements);
   }
--- a/lib/Agent/RetrySchedule.cpp
+++ b/lib/Agent/RetrySchedule.cpp
@@ -9,8 +9,8 @@
 {
   mLastRetryTime = std::max(mLastRetryTime, aNow) + aInterval;
   if (mLastRetryTime > aNow + kLongest) {
-    // Callers beyond kLongest are spread over the second half of it; with the same time for all of
-    // them they would retry together.
+    // Callers whose delay would exceed kLongest get delays from kLongest / 2 on. If all of them got
+    // kLongest, they would retry together.
     mLastRetryTime = aNow + kLongest / 2;
   }
   const auto delay = std::chrono::ceil<Milliseconds>(mLastRetryTime - aNow);
--- a/lib/Agent/UpstreamAdmission.cpp
+++ b/lib/Agent/UpstreamAdmission.cpp
@@ -11,9 +11,11 @@
 // Time constant over which the rate of closed flows is averaged.
 constexpr double kCloseRateSeconds = 10;
 
-// Admissions a second that retry times assume when nothing is known about how soon room becomes
-// free.
+// For retry times: lower bound of the expected admissions of flows a second.
 constexpr double kAssumedFlowRate = 1;
+
+// For retry times: admissions of requests a second that are assumed while the completion rate is
+// not known.
 constexpr double kAssumedSlotRate = 10;
 
 RuntimeClock::duration IntervalOf(double aPerSecond)
--- a/unittests/Agent/ColdStartRampTest.cpp
+++ b/unittests/Agent/ColdStartRampTest.cpp
@@ -156,6 +156,7 @@
       CPPUNIT_ASSERT(!driver.Complete(Milliseconds(20), Result::Failed));
       CPPUNIT_ASSERT(!driver.Complete(Milliseconds(900), Result::Cancelled));
     }
+    // The completions of 900 ms above have raised the baseline, so that 100 ms is not a step.
     for (int percent = 100; percent < 1000; ++percent) {
       CPPUNIT_ASSERT(!driver.Run(4, Milliseconds(percent)));
     }
--- a/unittests/Agent/FlowHistory.h
+++ b/unittests/Agent/FlowHistory.h
@@ -18,7 +18,8 @@
   Ended,         ///< The caller closed the session.
   DataCentreOut, ///< Operators took mDataCentre out of service.
   DataCentreIn,  ///< Operators put mDataCentre back into service.
-  Applied,       ///< Balancer mNode applied: mDataCentre is out of service if mPort is 1, in if 0.
+  Applied,       ///< Balancer mNode applied a configuration. mPort is 1 if mDataCentre is out of
+                 ///< service in it, else 0.
   Forwarded,     ///< Balancer mNode forwarded a packet to mDataCentre.
 };
 
@@ -28,7 +29,8 @@
   FlowEventKind mKind = FlowEventKind::Delivered;
   std::uint64_t mSession = 0;
   std::string mNode;
-  std::string mDataCentre; ///< Of the upstream, for Delivered and Established.
+  /// Of the upstream for Delivered and Established; for the others see FlowEventKind.
+  std::string mDataCentre;
   std::string mService;
   std::uint16_t mPort = 0;
   RefusalReason mReason = RefusalReason::UnknownFlow;
--- a/unittests/Agent/FlowPropertyTest.cpp
+++ b/unittests/Agent/FlowPropertyTest.cpp
@@ -86,7 +86,7 @@
       redirects += system->RedirectedFlows();
       resumptions += system->Resumptions();
     }
-    // Otherwise the changes would not have been exercised.
+    // Checks that the runs exercised transfers, redirects and resumptions.
     CPPUNIT_ASSERT(transfers > SeedCount());
     CPPUNIT_ASSERT(redirects > SeedCount());
     CPPUNIT_ASSERT(resumptions > SeedCount());
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSystem.h
@@ -20,7 +20,8 @@
   double mPeerLoss = 0.05;
   Milliseconds mPeerDelay{50};
   // With these two faults flows break, which shows that the checker can fail.
-  bool mTransferDisabled = false;   ///< Transferred directories arrive empty.
+  /// Transferred directories arrive empty, and directory updates are lost.
+  bool mTransferDisabled = false;
   bool mResumptionDisabled = false; ///< Resumed agents get no flows back.
 };
 
@@ -78,8 +79,8 @@
 
   void Run(Milliseconds aTime);
 
-  /// Waits until planned changes have finished, then records established sessions that get no
-  /// reply.
+  /// Runs for 10 s, in which planned changes should finish, then for 3 s more, and records the
+  /// established sessions that got no reply in these 3 s.
   void Settle();
 
   bool AllAcknowledged() const;
--- a/unittests/Agent/UpstreamAdmissionTest.cpp
+++ b/unittests/Agent/UpstreamAdmissionTest.cpp
@@ -35,8 +35,8 @@
   return std::min(aLimit, aFull);
 }
 
-// Applies random events to an admission. Counts independently the work that the upstream has, and
-// bounds it by the time since the last reset to cold.
+// Applies random events to an admission. Counts the admitted work itself and asserts that it stays
+// within the limit that the time since the last reset to cold permits.
 class RandomInterleaving
 {
 public:
@@ -127,7 +127,7 @@
       peakSlots = std::max(peakSlots, run.mPeakSlots);
       peakFlows = std::max(peakFlows, run.mPeakFlows);
     }
-    // Otherwise the runs would not come near the bound.
+    // Checks that the runs came near the bound.
     CPPUNIT_ASSERT(peakSlots > 4);
     CPPUNIT_ASSERT(peakFlows > 20);
   }
@@ -282,7 +282,8 @@
     CPPUNIT_ASSERT(!admission.TryStartRequest(now));
   }
 
-  // Guards against refusals that name the wrong limit.
+  // Guards against refusals that name the wrong limit, and against refused callers that retry at
+  // the same time.
   void RefusalsNameTheBound()
   {
     TimePoint now = kStart;
--- a/unittests/Agent/WeightSimulation.h
+++ b/unittests/Agent/WeightSimulation.h
@@ -37,7 +37,8 @@
     UpstreamAdmission mAdmission;
     double mLatencySeconds; ///< When idle; 1.5 times this when full.
     std::size_t mLagTicks;
-    std::vector<std::uint32_t> mWeights{1}; ///< One for each tick, like the others.
+    // The vectors have one entry for each tick.
+    std::vector<std::uint32_t> mWeights{1};
     std::vector<double> mRates{0};
     std::vector<double> mLoads{0};
     std::vector<double> mBusySeconds{0}; ///< Total up to each tick.
@@ -115,7 +116,8 @@
   }
 
   // The load endpoint reports the work of up to 10 s ago and counts one request too many, so that
-  // it at times reports overload. Every fifth one always reports an idle upstream.
+  // it at times reports overload. Endpoints whose lag is a multiple of five ticks always report an
+  // idle upstream.
   void ReportLoad(Upstream& aUpstream)
   {
     UpstreamAdmission& admission = aUpstream.mAdmission;
