--- a/include/dandelionslip/Agent/BackupRole.h
+++ b/include/dandelionslip/Agent/BackupRole.h
@@ -17,12 +17,12 @@
 {
   /// As received. Its directory and records are replaced by the current ones when the state is
   /// returned.
-  StateHandover mState;
+  StateHandover mHandover;
   BucketDirectory mDirectory;
   std::set<FlowId> mFlows; ///< Flows that the restarting agent holds.
   /// The earlier backup that passed the state on because it restarts too; then equal to mSender.
   /// Empty when the state came from its own agent.
-  std::string mForwardedBy;
+  std::string mPreviousBackup;
   std::string mSender; ///< The agent that sent the state.
   /// Incarnation of the process that fetched the state; 0 while it has not been fetched.
   std::uint64_t mFetchedBy = 0;
@@ -51,7 +51,7 @@
   bool OnDirectoryUpdate(const DirectoryUpdate& aUpdate, TimePoint aNow, FlowActions& aOut);
 
   /// The state kept for a member, or null.
-  KeptState* Find(const std::string& aMember);
+  KeptState* FindKeptState(const std::string& aMember);
 
   /// Flows of these buckets that the restarting agents hold.
   std::vector<DirectoryEntry> HeldFlows(std::span<const std::uint32_t> aBuckets) const;
--- a/include/dandelionslip/Agent/BucketDirectory.h
+++ b/include/dandelionslip/Agent/BucketDirectory.h
@@ -16,7 +16,7 @@
 /// State of a bucket's directory at an agent.
 enum class BucketState
 {
-  NotOwned,    ///< Not owned since the agent started or the directory was reset.
+  NeverOwned,  ///< Not owned since the agent started or the directory was reset.
   Complete,    ///< All flows of the bucket are known.
   Pending,     ///< The directory has been requested from a previous owner.
   Rebuilding,  ///< The previous owner is lost; all members are asked which flows they hold.
@@ -28,7 +28,7 @@
 {
   std::string mName;
   TimePoint mRecordedAt;  ///< When the holder was recorded.
-  TimePoint mRefreshedAt; ///< When the holder last confirmed that it holds the flow.
+  TimePoint mConfirmedAt; ///< When the holder last confirmed that it holds the flow.
 };
 
 /// A message that a flow ended is ignored for this long after the flow's holder was recorded,
@@ -44,9 +44,9 @@
 /// State of one bucket.
 struct Bucket
 {
-  BucketState mState = BucketState::NotOwned;
+  BucketState mState = BucketState::NeverOwned;
   /// Pending: the previous owner that the directory is requested from. Transferred: the new owner.
-  std::string mPeer;
+  std::string mTransferPartner;
   /// Pending: members that the directory was requested from; a second request to one would be a
   /// cycle.
   std::set<std::string> mRequestedFrom;
@@ -68,7 +68,7 @@
   std::unordered_map<FlowId, FlowHolder> mHolders;
   /// Transferred: the holders at the time of the transfer, for packets that still arrive here. They
   /// become outdated, so they are never used as the directory.
-  std::unordered_map<FlowId, FlowHolder> mFormerHolders;
+  std::unordered_map<FlowId, FlowHolder> mHoldersAtTransfer;
 };
 
 /// The directories of all buckets of a service, as far as one agent knows them. Their memory is
@@ -96,11 +96,11 @@
   void RemoveHolder(FlowId aFlow, const std::string& aHolder, TimePoint aNow);
 
   /// The holder's name when the bucket was transferred away, or null.
-  const std::string* FormerHolder(FlowId aFlow) const;
+  const std::string* HolderAtTransfer(FlowId aFlow) const;
 
   /// Prepares a bucket of which the agent has become the owner: removes the holders recorded at an
   /// earlier transfer, and the holders not confirmed within kMaxEarlyReportAge.
-  void DropOutdated(std::uint32_t aBucket, TimePoint aNow);
+  void PrepareOwnership(std::uint32_t aBucket, TimePoint aNow);
 
   /// Removes the flow's entry.
   void Erase(FlowId aFlow);
--- a/include/dandelionslip/Agent/BucketRecords.h
+++ b/include/dandelionslip/Agent/BucketRecords.h
@@ -20,7 +20,7 @@
   /// Returns the records of the buckets for the agent that handles them next; from then on this
   /// agent accepts no new request in them. When an answer was lost, the same buckets may be
   /// exported again to the same agent and give the same records.
-  virtual Json Export(std::span<const std::uint32_t> aBuckets, const std::string& aNewOwner) = 0;
+  virtual Json Export(std::span<const std::uint32_t> aBuckets, const std::string& aReceiver) = 0;
 
   /// From now on this agent handles the requests of the buckets, as owner or as backup, with the
   /// records that another agent exported. Buckets whose records are missing start without records.
--- a/include/dandelionslip/Agent/BucketTransferManager.h
+++ b/include/dandelionslip/Agent/BucketTransferManager.h
@@ -77,7 +77,7 @@
   BucketDirectory mDirectory;
   /// Buckets whose rebuild has started and whose request records are lost, for
   /// StartWithoutRecords.
-  std::vector<std::uint32_t> mRebuiltBuckets;
+  std::vector<std::uint32_t> mBucketsWithoutRecords;
   /// Buckets that never had an owner before, for StartAsFirstOwner.
   std::vector<std::uint32_t> mNewBuckets;
   bool mResumed = false;
--- a/include/dandelionslip/Agent/ColdStartRamp.h
+++ b/include/dandelionslip/Agent/ColdStartRamp.h
@@ -21,7 +21,7 @@
   Started,     ///< The agent started.
   LatencyStep, ///< See LatencyBaseline::IsStepped.
   Shed,        ///< The upstream shed load.
-  Failures,    ///< kStepCompletions failures in a row.
+  Failures,    ///< kWindowCompletions failures in a row.
   Restarted,   ///< The upstream was seen to restart.
 };
 
@@ -66,7 +66,7 @@
   std::optional<ColdReason> DetectCold(const LatencyBaseline& aBaseline) const;
   void CountSuccess(TimePoint aNow, Duration aLatency, const LatencyBaseline& aBaseline);
   void StepUp(TimePoint aNow);
-  std::uint32_t Window() const;
+  std::uint32_t SuccessesPerStep() const;
   /// The connection limit that lies as far between cold and full limit as aSlots does. Connections
   /// do not grow beyond it, so that they are not ahead of the slots.
   std::uint32_t MatchingConnections(std::uint32_t aSlots) const;
@@ -79,7 +79,7 @@
   TimePoint mChangedAt;
   std::uint32_t mSuccesses = 0;
   std::uint32_t mFailuresInRow = 0;
-  std::array<LatencyBaseline, kWorkKinds> mBaselines;
+  std::array<LatencyBaseline, kWorkKindCount> mBaselines;
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Agent/EndpointReports.h
+++ b/include/dandelionslip/Agent/EndpointReports.h
@@ -27,8 +27,8 @@
 
   bool mHealthy = true;
   TimePoint mHealthAt{};
-  double mFactor = 1.0; ///< Load factor when the last load report arrived.
-  double mTarget = 1.0; ///< Load factor that the last load report asks for.
+  double mFactorAtReport = 1.0; ///< Load factor when the last load report arrived.
+  double mTargetFactor = 1.0;   ///< Load factor that the last load report asks for.
   TimePoint mLoadAt{};
 };
 
--- a/include/dandelionslip/Agent/FlowActions.h
+++ b/include/dandelionslip/Agent/FlowActions.h
@@ -60,7 +60,7 @@
 /// The resumption has ended; the agent may announce itself as serving.
 struct ResumptionDone
 {
-  Json mAdmission; ///< As passed to BeginHandover; null when no state was found.
+  Json mAdmissionSnapshot; ///< As passed to BeginHandover; null when no state was found.
 };
 
 using FlowAction = std::variant<SendDatagram, OpenUpstreamPort, SendToUpstream, CloseUpstreamPort,
--- a/include/dandelionslip/Agent/FlowContext.h
+++ b/include/dandelionslip/Agent/FlowContext.h
@@ -13,9 +13,9 @@
 /// Settings of a flow core.
 struct FlowSettings
 {
-  std::string mName;    ///< Name of the agent and its upstream.
-  std::string mService; ///< Name of the service.
-  Endpoint mEndpoint;   ///< Where the agent receives forwarded datagrams.
+  std::string mName;        ///< Name of the agent and its upstream.
+  std::string mServiceName; ///< Name of the service.
+  Endpoint mEndpoint;       ///< Where the agent receives forwarded datagrams.
   std::uint64_t mIncarnation = 0;
   std::size_t mMaxFlows = 100'000;  ///< Capacity of the flow table.
   Milliseconds mRetryInterval{200}; ///< Unanswered requests to peers are repeated after this time.
@@ -43,10 +43,10 @@
   bool IsSelf(const std::string& aName) const { return aName == mSettings.mName; }
 
   /// The member, or null.
-  const TableMember* Find(const std::string& aName) const;
+  const TableMember* FindMember(const std::string& aName) const;
 
   /// The member if packets and messages can reach it or its backup, else null.
-  const TableMember* FindReachable(const std::string& aName) const;
+  const TableMember* FindReachableMember(const std::string& aName) const;
 
   /// The acting member for aName: itself, or its backup while it restarts. Null when it is not
   /// reachable.
--- a/include/dandelionslip/Agent/FlowCore.h
+++ b/include/dandelionslip/Agent/FlowCore.h
@@ -25,8 +25,8 @@
   FlowCore(FlowSettings aSettings, FlowAdmission& aAdmission, BucketRecords* aRecords = nullptr);
 
   /// Applies view and configuration. Each of them is ignored unless its revision is newer.
-  void OnState(const View& aView, const Configuration& aConfiguration, TimePoint aNow,
-               FlowActions& aOut);
+  void OnViewAndConfiguration(const View& aView, const Configuration& aConfiguration,
+                              TimePoint aNow, FlowActions& aOut);
 
   /// The agent's lease has expired. Other members may own its buckets from now on, so the buckets
   /// are rebuilt when the next view or configuration arrives.
@@ -60,11 +60,11 @@
   /// To be called about every 50 ms: ends idle flows and repeats unanswered requests.
   void OnTick(TimePoint aNow, FlowActions& aOut);
 
-  /// Starts a planned stop: hands the whole state over to a backup. aAdmission is passed unread to
-  /// the resumed process. From here on packets of the agent's own flows are dropped, because the
-  /// exported state must not change. Ends with HandoverDone, which names no backup when no other
-  /// agent can take the state.
-  void BeginHandover(Json aAdmission, TimePoint aNow, FlowActions& aOut);
+  /// Starts a planned stop: hands the whole state over to a backup. aAdmissionSnapshot is passed
+  /// unread to the resumed process. From here on packets of the agent's own flows are dropped,
+  /// because the exported state must not change. Ends with HandoverDone, which names no backup when
+  /// no other agent can take the state.
+  void BeginHandover(Json aAdmissionSnapshot, TimePoint aNow, FlowActions& aOut);
 
   /// Starts the resumption: requests the state from before the restart from the backup. Ends with
   /// ResumptionDone; until then no flow is admitted.
@@ -97,13 +97,13 @@
   };
 
   /// A planned stop in progress.
-  struct Stop
+  struct Handover
   {
-    Json mAdmission;
+    Json mAdmissionSnapshot;
     std::string mBackup;
     std::set<std::string> mUnacknowledged; ///< Members whose state the backup has not acknowledged.
     TimePoint mNextSend;
-    std::uint32_t mAttempts = 0; ///< Resends since the backup was chosen or last acknowledged.
+    std::uint32_t mResends = 0; ///< Resends since the backup was chosen or last acknowledged.
     /// Agents that did not acknowledge; they may be stopping too.
     std::set<std::string> mUnresponsive;
   };
@@ -121,7 +121,7 @@
   void UpdateBalancers();
   void ClearFlowState(TimePoint aNow, FlowActions& aOut);
   void ReportHeldFlows(const ServiceTable& aOld, FlowActions& aOut);
-  void ReportFlowsPeriodically(TimePoint aNow, FlowActions& aOut);
+  void ConfirmFlowsPeriodically(TimePoint aNow, FlowActions& aOut);
   void UpdateAcknowledgement();
 
   bool Validate(const Packet& aPacket);
@@ -137,7 +137,7 @@
   void HandleAsOtherMember(const Packet& aPacket, const TableMember& aOwner,
                            const TableMember& aActing);
   void HandleRedirected(const Packet& aPacket);
-  bool SendToFormerHolder(const Packet& aPacket);
+  bool SendToRecordedHolder(const Packet& aPacket);
 
   void Admit(const Packet& aPacket, const std::string& aOwner, BucketDirectory& aDirectory);
   void AdmitForOwner(const Packet& aPacket);
@@ -157,7 +157,7 @@
   void OnHandoverAck(const StateHandoverAck& aAck, FlowActions& aOut);
   void ContinueHandover(TimePoint aNow, FlowActions& aOut);
   void ContinueResumption(TimePoint aNow, FlowActions& aOut);
-  void FinishResumption(Json aAdmission, TimePoint aNow, FlowActions& aOut);
+  void FinishResumption(Json aAdmissionSnapshot, TimePoint aNow, FlowActions& aOut);
   void RestoreFlow(const FlowState& aFlow, TimePoint aNow, FlowActions& aOut);
   std::string ChooseBackup() const;
   StateHandover ExportState() const;
@@ -168,12 +168,12 @@
   BackupRole mBackupRole;
   BucketTransferManager mBucketTransfers;
   bool mOwnershipUncertain = false;
-  std::optional<Stop> mStop;
+  std::optional<Handover> mHandover;
   std::optional<Resumption> mResumption;
   std::map<Endpoint, bool> mBalancers; ///< Known balancers and whether they take replies.
   std::uint32_t mAckedGeneration = 0;
   TimePoint mNextFetch{RuntimeClock::duration(0)};
-  TimePoint mNextRefresh{RuntimeClock::duration(0)};
+  TimePoint mNextConfirmation{RuntimeClock::duration(0)};
   std::map<RefusalReason, std::uint64_t> mDrops;
   std::map<RefusalReason, std::uint64_t> mRefusals;
 };
--- a/include/dandelionslip/Agent/FlowMessages.h
+++ b/include/dandelionslip/Agent/FlowMessages.h
@@ -235,8 +235,8 @@
   /// mNext. Unknown: the directory is incomplete; it is requested from mNext, or rebuilt by asking
   /// all members when mNext is empty.
   std::vector<BucketTransfer> mDirectory;
-  Json mRecords;   ///< Request records of the complete buckets, opaque here.
-  Json mAdmission; ///< As passed to FlowCore::BeginHandover, opaque here.
+  Json mRecords;           ///< Request records of the complete buckets, opaque here.
+  Json mAdmissionSnapshot; ///< As passed to FlowCore::BeginHandover, opaque here.
 
   bool operator==(const StateHandover&) const = default;
 };
@@ -251,7 +251,7 @@
   aVisitor.Field("flows", aValue.mFlows);
   aVisitor.Field("directory", aValue.mDirectory);
   aVisitor.Optional("records", aValue.mRecords);
-  aVisitor.Optional("admission", aValue.mAdmission);
+  aVisitor.Optional("admission", aValue.mAdmissionSnapshot);
 }
 
 /// The backup has the state of mMember. The sender of the handover may exit when every state that
--- a/include/dandelionslip/Agent/LatencyBaseline.h
+++ b/include/dandelionslip/Agent/LatencyBaseline.h
@@ -12,10 +12,10 @@
 /// Number of latest completions among which a latency step is detected. Also the number of
 /// successes after which the baseline is known, of failures in a row that reset the ramp to cold,
 /// and the smallest number of successes for a ramp step.
-inline constexpr std::size_t kStepCompletions = 8;
+inline constexpr std::size_t kWindowCompletions = 8;
 
 /// A latency this many times the baseline is a step.
-inline constexpr std::int64_t kStepFactor = 4;
+inline constexpr std::int64_t kLatencyStepFactor = 4;
 
 /// A latency below this many times the baseline is normal.
 inline constexpr std::int64_t kNormalFactor = 2;
@@ -36,8 +36,8 @@
   /// kNormalFactor times the baseline.
   bool IsNormal() const;
 
-  /// Whether the last kStepCompletions completions, but for at most one, were at least kStepFactor
-  /// times the baseline.
+  /// Whether the last kWindowCompletions completions, but for at most one, were at least
+  /// kLatencyStepFactor times the baseline.
   bool IsStepped() const;
 
   /// Forgets the recent completions but keeps the baseline.
@@ -57,7 +57,7 @@
   void Learn(TimePoint aNow, Duration aLatency);
   std::size_t CountAtLeast(std::int64_t aFactor) const;
 
-  std::array<Sample, kStepCompletions> mRecent{};
+  std::array<Sample, kWindowCompletions> mRecent{};
   std::size_t mRecentCount = 0;
   std::size_t mNext = 0;
   std::int64_t mLearntCount = 0;
--- a/include/dandelionslip/Agent/LoadLimit.h
+++ b/include/dandelionslip/Agent/LoadLimit.h
@@ -17,12 +17,12 @@
 };
 
 /// The limit of an upstream that is warm.
-LoadLimit FullLimit(const ServiceSpec& aSpec);
+LoadLimit FullLoadLimit(const ServiceSpec& aSpec);
 
 /// The limit of an upstream in cold start, not above the full limit.
 LoadLimit ColdLoadLimit(const ServiceSpec& aSpec);
 
 /// The element-wise minimum of two limits.
-LoadLimit Smaller(const LoadLimit& aFirst, const LoadLimit& aSecond);
+LoadLimit ElementwiseMin(const LoadLimit& aFirst, const LoadLimit& aSecond);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Agent/UpstreamAdmission.h
+++ b/include/dandelionslip/Agent/UpstreamAdmission.h
@@ -41,7 +41,7 @@
 
   /// Records that the upstream answered a caller's datagram after aLatency. Answers on established
   /// flows count too; without them a service that has only flows could not ramp up again.
-  void ObserveReply(TimePoint aNow, Duration aLatency);
+  void ObserveAnswer(TimePoint aNow, Duration aLatency);
 
   /// Records that the upstream shed a flow or datagram.
   void ObserveShed(TimePoint aNow);
@@ -72,7 +72,7 @@
   LoadLimit Limit(TimePoint aNow) const;
 
   const ColdStartRamp& Ramp() const { return mRamp; }
-  const WeightEstimator& Estimator() const { return mWeight; }
+  const WeightEstimator& Estimator() const { return mEstimator; }
 
   /// Advances the estimate and returns the weight to announce; 0 while draining or stopped.
   std::uint32_t UpdateWeight(TimePoint aNow);
@@ -85,7 +85,8 @@
 private:
   bool TakesNewWork() const;
   /// Cold while the ramp, not the full limit, is the bound; else aReason.
-  RefusalReason FullReason(std::uint32_t aInUse, std::uint32_t aFull, RefusalReason aReason) const;
+  RefusalReason RefusalReasonWhenFull(std::uint32_t aInUse, std::uint32_t aFull,
+                                      RefusalReason aReason) const;
   void ResetToCold(TimePoint aNow, ColdReason aReason);
   void ApplyRamp(TimePoint aNow);
   void UpdateState();
@@ -103,7 +104,7 @@
   TokenBucket mOpenTokens;
   RetrySchedule mFlowRetries;
   RetrySchedule mSlotRetries;
-  WeightEstimator mWeight;
+  WeightEstimator mEstimator;
   double mClosesPerSecond = 0;
   TimePoint mClosedAt;
 };
--- a/include/dandelionslip/Agent/UpstreamStateMachine.h
+++ b/include/dandelionslip/Agent/UpstreamStateMachine.h
@@ -20,12 +20,12 @@
 
   UpstreamState State() const;
 
-  void OnRampCompleted();  ///< Cold to Serving.
-  void OnReturnedToCold(); ///< Serving to Cold.
-  void OnDrain();          ///< Cold or Serving to Draining.
-  void OnUndrain();        ///< Draining to Cold; OnRampCompleted then leads to Serving.
-  void OnStop();           ///< Any state to Stopped.
-  void OnStart();          ///< Stopped to Cold.
+  void OnRampCompleted(); ///< Cold to Serving.
+  void OnResetToCold();   ///< Serving to Cold.
+  void OnDrain();         ///< Cold or Serving to Draining.
+  void OnUndrain();       ///< Draining to Cold; OnRampCompleted then leads to Serving.
+  void OnStop();          ///< Any state to Stopped.
+  void OnStart();         ///< Stopped to Cold.
 
 private:
   struct Machine;
--- a/include/dandelionslip/Agent/WeightEstimator.h
+++ b/include/dandelionslip/Agent/WeightEstimator.h
@@ -20,7 +20,7 @@
   /// Shortest time between two changes of the weight, and between two samples of the rate.
   static constexpr Milliseconds kStepInterval{1'000};
   /// Largest factor by which one change raises or lowers the weight, or one sample the rate.
-  static constexpr double kStepFactor = 1.25;
+  static constexpr double kMaxStepFactor = 1.25;
 
   explicit WeightEstimator(TimePoint aNow);
 
@@ -36,7 +36,7 @@
   void SetServiceMean(double aCompletionRate);
 
   /// Advances the estimate to aNow and returns the weight to announce. aRampShare (0 to 1) bounds
-  /// the weight of a cold upstream at once; the weight grows by at most kStepFactor a second.
+  /// the weight of a cold upstream at once; the weight grows by at most kMaxStepFactor a second.
   std::uint32_t Update(TimePoint aNow, double aRampShare);
 
   /// Smoothed successes a second of one busy slot; 0 while unknown.
@@ -55,7 +55,7 @@
   void StepTowards(TimePoint aNow, std::uint32_t aTarget);
 
   std::uint32_t mSlotsInUse = 0;
-  TimePoint mOccupiedAt; ///< Up to here busy time is in mBusySeconds.
+  TimePoint mBusyTimeUntil; ///< Up to here busy time is in mBusySeconds.
   double mBusySeconds = 0;
   std::uint32_t mSuccesses = 0;
   std::uint32_t mCompletions = 0;
--- a/include/dandelionslip/Agent/WorkKind.h
+++ b/include/dandelionslip/Agent/WorkKind.h
@@ -11,6 +11,6 @@
   Flow,    ///< From a caller's datagram to the next datagram of the upstream on that flow.
 };
 
-inline constexpr std::size_t kWorkKinds = 2;
+inline constexpr std::size_t kWorkKindCount = 2;
 
 } // namespace dandelionslip
--- a/lib/Agent/BackupRole.cpp
+++ b/lib/Agent/BackupRole.cpp
@@ -17,9 +17,9 @@
 void BackupRole::Add(const std::string& aFrom, const StateHandover& aState, TimePoint aNow)
 {
   KeptState kept;
-  kept.mState = aState;
+  kept.mHandover = aState;
   kept.mDirectory = ImportDirectory(aState.mDirectory, mContext.mTable.Buckets(), aNow);
-  kept.mForwardedBy = aFrom == aState.mMember ? "" : aFrom;
+  kept.mPreviousBackup = aFrom == aState.mMember ? "" : aFrom;
   kept.mSender = aFrom;
   kept.mExpiresAt = aNow + mContext.mSettings.mKeptStateLifetime;
   for (const FlowState& flow : aState.mFlows) {
@@ -37,15 +37,15 @@
   if (aState.mServiceId != mContext.mTable.Id()) {
     return;
   }
-  const KeptState* kept = Find(aState.mMember);
-  if (kept != nullptr && kept->mState.mIncarnation > aState.mIncarnation) {
+  const KeptState* kept = FindKeptState(aState.mMember);
+  if (kept != nullptr && kept->mHandover.mIncarnation > aState.mIncarnation) {
     return;
   }
   // A repeated handover is only acknowledged, because the directory may have changed since the
   // first one.
-  const bool repeated = kept != nullptr && kept->mState.mIncarnation == aState.mIncarnation &&
+  const bool repeated = kept != nullptr && kept->mHandover.mIncarnation == aState.mIncarnation &&
                         kept->mSender == aFrom &&
-                        kept->mState.mSenderIncarnation >= aState.mSenderIncarnation;
+                        kept->mHandover.mSenderIncarnation >= aState.mSenderIncarnation;
   if (!repeated) {
     Add(aFrom, aState, aNow);
   }
@@ -58,20 +58,20 @@
   if (aKept.mFetchedBy == 0) {
     aKept.mFetchedBy = aIncarnation;
     aKept.mExpiresAt = aNow + mContext.mSettings.mKeptStateLifetime;
-    aKept.mState.mDirectory = ExportDirectory(aKept.mDirectory);
+    aKept.mHandover.mDirectory = ExportDirectory(aKept.mDirectory);
     if (mRecords != nullptr) {
-      aKept.mState.mRecords =
-        mRecords->Export(CompleteBuckets(aKept.mDirectory), aKept.mState.mMember);
+      aKept.mHandover.mRecords =
+        mRecords->Export(CompleteBuckets(aKept.mDirectory), aKept.mHandover.mMember);
     }
   }
-  return aKept.mState;
+  return aKept.mHandover;
 }
 
 void BackupRole::OnResumeRequest(const ResumeRequest& aRequest, TimePoint aNow, FlowActions& aOut)
 {
-  KeptState* kept = Find(aRequest.mMember);
-  if (kept != nullptr && kept->mFetchedBy != 0 && !kept->mForwardedBy.empty()) {
-    aOut.emplace_back(SendPeerMessage{kept->mForwardedBy, aRequest});
+  KeptState* kept = FindKeptState(aRequest.mMember);
+  if (kept != nullptr && kept->mFetchedBy != 0 && !kept->mPreviousBackup.empty()) {
+    aOut.emplace_back(SendPeerMessage{kept->mPreviousBackup, aRequest});
     return;
   }
   ResumeAnswer answer{mContext.mSettings.mName, aRequest.mIncarnation, std::nullopt, {}};
@@ -79,7 +79,7 @@
     answer.mState = ReturnState(*kept, aRequest.mIncarnation, aNow);
   }
   for (auto& [member, state] : mKeptStates) {
-    if (state.mForwardedBy == aRequest.mMember &&
+    if (state.mPreviousBackup == aRequest.mMember &&
         (state.mFetchedBy == 0 || state.mFetchedBy == aRequest.mIncarnation)) {
       answer.mKeptStates.push_back(ReturnState(state, aRequest.mIncarnation, aNow));
     }
@@ -89,7 +89,7 @@
 
 std::optional<TransferAnswer> BackupRole::AnswerTransferRequest(const TransferRequest& aRequest)
 {
-  KeptState* kept = Find(aRequest.mOwner);
+  KeptState* kept = FindKeptState(aRequest.mOwner);
   if (kept == nullptr || kept->mFetchedBy != 0) {
     return std::nullopt;
   }
@@ -125,12 +125,13 @@
 bool BackupRole::OnDirectoryUpdate(const DirectoryUpdate& aUpdate, TimePoint aNow,
                                    FlowActions& aOut)
 {
-  KeptState* kept = Find(aUpdate.mOwner);
+  KeptState* kept = FindKeptState(aUpdate.mOwner);
   if (kept == nullptr || kept->mDirectory.Buckets() == 0) {
     return false;
   }
   if (kept->mFetchedBy != 0) {
-    ForwardUpdate(kept->mForwardedBy.empty() ? aUpdate.mOwner : kept->mForwardedBy, aUpdate, aOut);
+    ForwardUpdate(kept->mPreviousBackup.empty() ? aUpdate.mOwner : kept->mPreviousBackup, aUpdate,
+                  aOut);
     return true;
   }
   for (const FlowId flow : aUpdate.mHeld) {
@@ -142,7 +143,7 @@
   return true;
 }
 
-KeptState* BackupRole::Find(const std::string& aMember)
+KeptState* BackupRole::FindKeptState(const std::string& aMember)
 {
   const auto found = mKeptStates.find(aMember);
   return found == mKeptStates.end() ? nullptr : &found->second;
@@ -168,7 +169,7 @@
   std::vector<StateHandover> states;
   for (const auto& [member, state] : mKeptStates) {
     if (state.mFetchedBy == 0) {
-      states.push_back(state.mState);
+      states.push_back(state.mHandover);
       states.back().mSenderIncarnation = mContext.mSettings.mIncarnation;
       states.back().mDirectory = ExportDirectory(state.mDirectory);
       if (mRecords != nullptr) {
--- a/lib/Agent/BucketDirectory.cpp
+++ b/lib/Agent/BucketDirectory.cpp
@@ -29,18 +29,18 @@
   return found == bucket.mHolders.end() ? nullptr : &found->second.mName;
 }
 
-const std::string* BucketDirectory::FormerHolder(FlowId aFlow) const
+const std::string* BucketDirectory::HolderAtTransfer(FlowId aFlow) const
 {
   const Bucket& bucket = Of(aFlow);
-  const auto found = bucket.mFormerHolders.find(aFlow);
-  return found == bucket.mFormerHolders.end() ? nullptr : &found->second.mName;
+  const auto found = bucket.mHoldersAtTransfer.find(aFlow);
+  return found == bucket.mHoldersAtTransfer.end() ? nullptr : &found->second.mName;
 }
 
-void BucketDirectory::DropOutdated(std::uint32_t aBucket, TimePoint aNow)
+void BucketDirectory::PrepareOwnership(std::uint32_t aBucket, TimePoint aNow)
 {
-  mBuckets[aBucket].mFormerHolders.clear();
+  mBuckets[aBucket].mHoldersAtTransfer.clear();
   std::erase_if(mBuckets[aBucket].mHolders, [&](const auto& aEntry) {
-    return aNow - aEntry.second.mRefreshedAt > kMaxEarlyReportAge;
+    return aNow - aEntry.second.mConfirmedAt > kMaxEarlyReportAge;
   });
 }
 
@@ -50,7 +50,7 @@
   if (holder.mName != aHolder) {
     holder = {aHolder, aNow, aNow};
   }
-  holder.mRefreshedAt = aNow;
+  holder.mConfirmedAt = aNow;
 }
 
 void BucketDirectory::RemoveHolder(FlowId aFlow, const std::string& aHolder, TimePoint aNow)
@@ -80,10 +80,10 @@
   for (std::uint32_t i = 0; i < std::min(aBuckets, Buckets()); ++i) {
     mLastExamined = (mLastExamined + 1) % Buckets();
     const auto isOld = [&](const auto& aEntry) {
-      return aNow - aEntry.second.mRefreshedAt > aTimeout;
+      return aNow - aEntry.second.mConfirmedAt > aTimeout;
     };
     std::erase_if(mBuckets[mLastExamined].mHolders, isOld);
-    std::erase_if(mBuckets[mLastExamined].mFormerHolders, isOld);
+    std::erase_if(mBuckets[mLastExamined].mHoldersAtTransfer, isOld);
   }
 }
 
--- a/lib/Agent/BucketExport.cpp
+++ b/lib/Agent/BucketExport.cpp
@@ -16,9 +16,9 @@
     case BucketState::Pending:
     case BucketState::Transferred:
       aBucket.mTransferStatus = TransferStatus::Partial;
-      aBucket.mTransferNext = aBucket.mPeer;
+      aBucket.mTransferNext = aBucket.mTransferPartner;
       return;
-    case BucketState::NotOwned:
+    case BucketState::NeverOwned:
     case BucketState::Rebuilding:
       aBucket.mTransferStatus = TransferStatus::Unknown;
       aBucket.mTransferNext.clear();
@@ -34,16 +34,16 @@
     transfer.mStatus = TransferStatus::Complete;
   } else if (bucket.mState == BucketState::Transferred) {
     transfer.mStatus = TransferStatus::Partial;
-    transfer.mNext = bucket.mPeer;
+    transfer.mNext = bucket.mTransferPartner;
   } else if (bucket.mState == BucketState::Pending) {
-    transfer.mNext = bucket.mPeer;
+    transfer.mNext = bucket.mTransferPartner;
   }
   return transfer;
 }
 
 void ImportBucket(Bucket& aBucket, const BucketTransfer& aTransfer)
 {
-  aBucket.mPeer = aTransfer.mNext;
+  aBucket.mTransferPartner = aTransfer.mNext;
   if (aTransfer.mStatus == TransferStatus::Complete) {
     aBucket.mState = BucketState::Complete;
   } else if (aTransfer.mStatus == TransferStatus::Partial) {
@@ -65,22 +65,22 @@
 {
   Bucket& bucket = aDirectory.At(aBucket);
   const bool repeated = bucket.mState == BucketState::Transferred &&
-                        bucket.mPeer == aNewOwner.mName &&
+                        bucket.mTransferPartner == aNewOwner.mName &&
                         bucket.mNewOwnerIncarnation == aNewOwner.mIncarnation;
   if (!repeated) {
     SetTransferStatus(bucket);
   }
   for (auto& [flow, holder] : bucket.mHolders) {
-    bucket.mFormerHolders[flow] = std::move(holder);
+    bucket.mHoldersAtTransfer[flow] = std::move(holder);
   }
   bucket.mHolders.clear();
   BucketTransfer transfer{aBucket, bucket.mTransferStatus, bucket.mTransferNext, {}};
-  for (const auto& [flow, holder] : bucket.mFormerHolders) {
+  for (const auto& [flow, holder] : bucket.mHoldersAtTransfer) {
     transfer.mFlows.push_back({flow, holder.mName});
   }
   transfer.mFlows.insert(transfer.mFlows.end(), aHeld.begin(), aHeld.end());
   bucket.mState = BucketState::Transferred;
-  bucket.mPeer = aNewOwner.mName;
+  bucket.mTransferPartner = aNewOwner.mName;
   bucket.mNewOwnerIncarnation = aNewOwner.mIncarnation;
   bucket.mHasCompleteCopy = false;
   bucket.mRequestedFrom.clear();
@@ -92,7 +92,7 @@
 {
   std::vector<BucketTransfer> transfers;
   for (std::uint32_t bucket = 0; bucket < aDirectory.Buckets(); ++bucket) {
-    if (aDirectory.At(bucket).mState != BucketState::NotOwned) {
+    if (aDirectory.At(bucket).mState != BucketState::NeverOwned) {
       transfers.push_back(ExportBucket(aDirectory, bucket));
     }
   }
--- a/lib/Agent/BucketTransferManager.cpp
+++ b/lib/Agent/BucketTransferManager.cpp
@@ -15,7 +15,7 @@
 
 // Whether both tables are of the same service with the same number of buckets. The owners in aOld
 // are then the previous owners.
-bool HasSameBuckets(const ServiceTable& aOld, const ServiceTable& aNew)
+bool HasSameBucketCount(const ServiceTable& aOld, const ServiceTable& aNew)
 {
   return aOld.Id() == aNew.Id() && aOld.Generation() > 0 && aOld.Buckets() == aNew.Buckets();
 }
@@ -56,10 +56,10 @@
 std::vector<std::string> BucketTransferManager::PreviousOwners(const ServiceTable& aOld) const
 {
   const ServiceTable& table = mContext.mTable;
-  if (!HasSameBuckets(aOld, table)) {
+  if (!HasSameBucketCount(aOld, table)) {
     // mGenerations is ordered from newest to oldest.
     const ServiceView* service =
-      FindServiceView(mContext.mView, mContext.mConfiguration, mContext.mSettings.mService);
+      FindServiceView(mContext.mView, mContext.mConfiguration, mContext.mSettings.mServiceName);
     return service == nullptr || service->mGenerations.size() < 2
              ? std::vector<std::string>(table.Buckets())
              : OwnerNamesByBucket(service->mGenerations[1], table);
@@ -79,7 +79,7 @@
     Reset();
   }
   const std::vector<std::string> previous = PreviousOwners(aOld);
-  const bool sameBuckets = HasSameBuckets(aOld, mContext.mTable);
+  const bool sameBuckets = HasSameBucketCount(aOld, mContext.mTable);
   const auto& members = mContext.mTable.Members();
   const bool anyDataCentreOut =
     std::any_of(members.begin(), members.end(),
@@ -111,20 +111,20 @@
       }
       return;
     case BucketState::Pending:
-      if (mContext.FindReachable(bucket.mPeer) == nullptr) {
-        StartTransfer(aBucket, bucket.mPeer, aNow);
+      if (mContext.FindReachableMember(bucket.mTransferPartner) == nullptr) {
+        StartTransfer(aBucket, bucket.mTransferPartner, aNow);
       }
       return;
     case BucketState::Rebuilding:
       UpdateRebuild(bucket, aNow);
       return;
-    case BucketState::NotOwned:
-      mDirectory.DropOutdated(aBucket, aNow);
+    case BucketState::NeverOwned:
+      mDirectory.PrepareOwnership(aBucket, aNow);
       StartTransfer(aBucket, aPrevious, aNow);
       return;
     case BucketState::Transferred:
-      mDirectory.DropOutdated(aBucket, aNow);
-      StartTransfer(aBucket, bucket.mPeer, aNow);
+      mDirectory.PrepareOwnership(aBucket, aNow);
+      StartTransfer(aBucket, bucket.mTransferPartner, aNow);
       return;
   }
 }
@@ -133,7 +133,7 @@
                                           TimePoint aNow)
 {
   Bucket& bucket = mDirectory.At(aBucket);
-  const TableMember* previous = mContext.Find(aPrevious);
+  const TableMember* previous = mContext.FindMember(aPrevious);
   const bool isNew = aPrevious.empty() && !mResumed;
   bucket.mUnknownFlowReason = previous != nullptr && previous->mDataCentreOut
                                 ? RefusalReason::DataCentreOut
@@ -143,7 +143,7 @@
     return;
   }
   bucket.mState = BucketState::Pending;
-  bucket.mPeer = aPrevious;
+  bucket.mTransferPartner = aPrevious;
   bucket.mRequestedFrom = {aPrevious};
   bucket.mNextRequest = aNow;
   bucket.mSince = mContext.Epoch();
@@ -153,7 +153,7 @@
 {
   Bucket& bucket = mDirectory.At(aBucket);
   bucket.mState = BucketState::Rebuilding;
-  bucket.mPeer.clear();
+  bucket.mTransferPartner.clear();
   bucket.mHasCompleteCopy = false;
   bucket.mWaitingFor.clear();
   bucket.mNextRequest = aNow;
@@ -165,7 +165,7 @@
     }
   }
   MergeFlows(mBackupRole.HeldFlows(std::span(&aBucket, 1)), aNow);
-  (aNewBucket ? mNewBuckets : mRebuiltBuckets).push_back(aBucket);
+  (aNewBucket ? mNewBuckets : mBucketsWithoutRecords).push_back(aBucket);
   FinishRebuildIfAnswered(bucket);
 }
 
@@ -202,13 +202,13 @@
 
 void BucketTransferManager::InitialiseRecords()
 {
-  if (mRecords != nullptr && !mRebuiltBuckets.empty()) {
-    mRecords->StartWithoutRecords(mRebuiltBuckets);
+  if (mRecords != nullptr && !mBucketsWithoutRecords.empty()) {
+    mRecords->StartWithoutRecords(mBucketsWithoutRecords);
   }
   if (mRecords != nullptr && !mNewBuckets.empty()) {
     mRecords->StartAsFirstOwner(mNewBuckets);
   }
-  mRebuiltBuckets.clear();
+  mBucketsWithoutRecords.clear();
   mNewBuckets.clear();
 }
 
@@ -220,7 +220,7 @@
     if (bucket.mState == BucketState::Pending && bucket.mNextRequest <= aNow &&
         mContext.Owns(index)) {
       bucket.mNextRequest = aNow + mContext.mSettings.mRetryInterval;
-      requests[bucket.mPeer].push_back(index);
+      requests[bucket.mTransferPartner].push_back(index);
     }
   }
   for (auto& [owner, buckets] : requests) {
@@ -314,7 +314,7 @@
       continue;
     }
     const Bucket& bucket = mDirectory.At(transfer.mBucket);
-    if (bucket.mState == BucketState::Pending && bucket.mPeer == aAnswer.mOwner &&
+    if (bucket.mState == BucketState::Pending && bucket.mTransferPartner == aAnswer.mOwner &&
         aAnswer.mEpoch >= bucket.mSince) {
       ApplyTransfer(transfer, aNow, aOut);
       if (transfer.mStatus == TransferStatus::Complete) {
@@ -361,11 +361,11 @@
     return;
   }
   if (mContext.IsSelf(aNext) || bucket.mRequestedFrom.contains(aNext) ||
-      mContext.FindReachable(aNext) == nullptr) {
+      mContext.FindReachableMember(aNext) == nullptr) {
     StartRebuild(aBucket, aNow);
     return;
   }
-  bucket.mPeer = aNext;
+  bucket.mTransferPartner = aNext;
   bucket.mRequestedFrom.insert(aNext);
   bucket.mNextRequest = aNow;
 }
@@ -391,7 +391,7 @@
       continue;
     }
     // From here on the requester owns the bucket, even if this agent's older table says otherwise.
-    if (mDirectory.At(bucket).mState != BucketState::NotOwned || mContext.Owns(bucket)) {
+    if (mDirectory.At(bucket).mState != BucketState::NeverOwned || mContext.Owns(bucket)) {
       // With incarnation 0, a later TransferRequest of the requester does not count as repeated.
       TransferBucketTo(mDirectory, bucket, {aQuery.mRequester, 0}, {});
     }
@@ -438,7 +438,7 @@
       mDirectory.RemoveHolder(aFlow, aUpdate.mHolder, aNow);
     }
     const std::string& owner =
-      bucket.mState == BucketState::Transferred ? bucket.mPeer : mContext.OwnerOf(index);
+      bucket.mState == BucketState::Transferred ? bucket.mTransferPartner : mContext.OwnerOf(index);
     if (!mContext.IsSelf(owner) && owner != aUpdate.mHolder) {
       auto& flows = aHeld ? forwarded[owner].mHeld : forwarded[owner].mEnded;
       flows.push_back(aFlow);
@@ -466,7 +466,7 @@
 {
   SendRequests(aNow, aOut);
   if (const ServiceEntry* entry =
-        mContext.mConfiguration.FindService(mContext.mSettings.mService)) {
+        mContext.mConfiguration.FindService(mContext.mSettings.mServiceName)) {
     // Holders confirm their flows four times within the idle timeout, so an entry that was not
     // confirmed for the whole timeout is outdated.
     mDirectory.Expire(aNow, entry->mSpec.mFlowIdleTimeout, kExpiryBuckets);
--- a/lib/Agent/ColdStartRamp.cpp
+++ b/lib/Agent/ColdStartRamp.cpp
@@ -35,7 +35,7 @@
 }
 
 ColdStartRamp::ColdStartRamp(const ServiceSpec& aSpec, TimePoint aNow)
-  : mFull(FullLimit(aSpec))
+  : mFull(FullLoadLimit(aSpec))
   , mCold(ColdLoadLimit(aSpec))
   , mLimit(mCold)
   , mChangedAt(aNow)
@@ -83,9 +83,9 @@
 
 void ColdStartRamp::UpdateSpec(const ServiceSpec& aSpec, TimePoint aNow)
 {
-  mFull = FullLimit(aSpec);
+  mFull = FullLoadLimit(aSpec);
   mCold = ColdLoadLimit(aSpec);
-  mLimit = Smaller(mLimit, mFull);
+  mLimit = ElementwiseMin(mLimit, mFull);
   mChangedAt = aNow;
   mSuccesses = 0;
 }
@@ -114,7 +114,7 @@
 
 std::optional<ColdReason> ColdStartRamp::DetectCold(const LatencyBaseline& aBaseline) const
 {
-  if (mFailuresInRow >= kStepCompletions) {
+  if (mFailuresInRow >= kWindowCompletions) {
     return ColdReason::Failures;
   }
   return aBaseline.IsStepped() ? std::optional(ColdReason::LatencyStep) : std::nullopt;
@@ -124,7 +124,7 @@
                                  const LatencyBaseline& aBaseline)
 {
   // Work that started before the last change says nothing about the limit now in force.
-  if (IsComplete() || aNow - aLatency < mChangedAt || ++mSuccesses < Window()) {
+  if (IsComplete() || aNow - aLatency < mChangedAt || ++mSuccesses < SuccessesPerStep()) {
     return;
   }
   if (!aBaseline.IsNormal()) {
@@ -146,11 +146,11 @@
   mSuccesses = 0;
 }
 
-std::uint32_t ColdStartRamp::Window() const
+std::uint32_t ColdStartRamp::SuccessesPerStep() const
 {
   // A larger limit needs more completions before it counts as tested.
   constexpr std::uint32_t kCompletionsPerSlot = 2;
-  return std::max<std::uint32_t>(kStepCompletions, kCompletionsPerSlot * mLimit.mSlots);
+  return std::max<std::uint32_t>(kWindowCompletions, kCompletionsPerSlot * mLimit.mSlots);
 }
 
 std::uint32_t ColdStartRamp::MatchingConnections(std::uint32_t aSlots) const
--- a/lib/Agent/EndpointReports.cpp
+++ b/lib/Agent/EndpointReports.cpp
@@ -34,8 +34,8 @@
   if (std::isnan(aLoad)) {
     return;
   }
-  mFactor = LoadFactor(aNow);
-  mTarget = aLoad > 1.0 ? std::max(kSmallestFactor, 1.0 / aLoad) : 1.0;
+  mFactorAtReport = LoadFactor(aNow);
+  mTargetFactor = aLoad > 1.0 ? std::max(kSmallestFactor, 1.0 / aLoad) : 1.0;
   mLoadAt = aNow;
 }
 
@@ -43,7 +43,7 @@
                                  const LoadLimit& aCold) const
 {
   if (!mHealthy && aNow - mHealthAt <= kReportLifetime) {
-    return Smaller(aLimit, aCold);
+    return ElementwiseMin(aLimit, aCold);
   }
   const double factor = LoadFactor(aNow);
   return {Scaled(aLimit.mSlots, aCold.mSlots, factor),
@@ -56,7 +56,8 @@
     return 1.0;
   }
   const double elapsed = std::chrono::duration<double>(aNow - mLoadAt).count();
-  return mTarget + (mFactor - mTarget) * std::exp(-std::max(0.0, elapsed) / kSmoothingSeconds);
+  return mTargetFactor +
+         (mFactorAtReport - mTargetFactor) * std::exp(-std::max(0.0, elapsed) / kSmoothingSeconds);
 }
 
 } // namespace dandelionslip
--- a/lib/Agent/FlowContext.cpp
+++ b/lib/Agent/FlowContext.cpp
@@ -5,21 +5,21 @@
 
 namespace dandelionslip {
 
-const TableMember* FlowContext::Find(const std::string& aName) const
+const TableMember* FlowContext::FindMember(const std::string& aName) const
 {
   const MemberIndex index = mTable.Find(aName);
   return index == kNoMember ? nullptr : &mTable.Members()[index];
 }
 
-const TableMember* FlowContext::FindReachable(const std::string& aName) const
+const TableMember* FlowContext::FindReachableMember(const std::string& aName) const
 {
-  const TableMember* member = Find(aName);
+  const TableMember* member = FindMember(aName);
   return member == nullptr || member->mExcluded ? nullptr : member;
 }
 
 const TableMember* FlowContext::ActingFor(const std::string& aName) const
 {
-  if (FindReachable(aName) == nullptr) {
+  if (FindReachableMember(aName) == nullptr) {
     return nullptr;
   }
   return &mTable.Members()[mTable.ActingFor(mTable.Find(aName))];
--- a/lib/Agent/FlowCore.cpp
+++ b/lib/Agent/FlowCore.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kIdleCheckSlots = 1024;
 
 // Holders confirm their flows this often within the idle timeout.
-constexpr int kRefreshesPerTimeout = 4;
+constexpr int kConfirmationsPerTimeout = 4;
 
 // Name of the member that acts for the bucket's owner, empty when there is none.
 std::string ActingMemberName(const ServiceTable& aTable, std::uint32_t aBucket)
@@ -39,8 +39,8 @@
 {
 }
 
-void FlowCore::OnState(const View& aView, const Configuration& aConfiguration, TimePoint aNow,
-                       FlowActions& aOut)
+void FlowCore::OnViewAndConfiguration(const View& aView, const Configuration& aConfiguration,
+                                      TimePoint aNow, FlowActions& aOut)
 {
   const bool newView = aView.mRevision > mContext.mView.mRevision;
   const bool newConfiguration = aConfiguration.mRevision > mContext.mConfiguration.mRevision;
@@ -52,13 +52,13 @@
   mContext.mConfiguration = newConfiguration ? aConfiguration : mContext.mConfiguration;
   const ServiceTable old = std::move(mContext.mTable);
   mContext.mTable =
-    ServiceTable(mContext.mView, mContext.mConfiguration, mContext.mSettings.mService);
+    ServiceTable(mContext.mView, mContext.mConfiguration, mContext.mSettings.mServiceName);
   mNextFetch = aNow;
   UpdateBalancers();
   if ((old.Id() != 0 && old.Id() != mContext.mTable.Id()) || WasOwnDataCentreOut(before)) {
     ClearFlowState(aNow, aOut);
   }
-  if (!mResumption && !mStop) {
+  if (!mResumption && !mHandover) {
     OnTable(old, aNow, aOut);
   }
 }
@@ -74,7 +74,7 @@
     return false;
   }
   const ServiceView* service =
-    FindServiceView(mContext.mView, mContext.mConfiguration, mContext.mSettings.mService);
+    FindServiceView(mContext.mView, mContext.mConfiguration, mContext.mSettings.mServiceName);
   return service == nullptr || service->mGenerations.size() < 2 ||
          service->mGenerations[1].mNumber != aOld.Generation();
 }
@@ -82,7 +82,7 @@
 void FlowCore::OnTable(const ServiceTable& aOld, TimePoint aNow, FlowActions& aOut)
 {
   const bool missedGeneration = MissedGeneration(aOld);
-  const TableMember* self = mContext.Find(mContext.mSettings.mName);
+  const TableMember* self = mContext.FindMember(mContext.mSettings.mName);
   if (self != nullptr && self->mExcluded) {
     mBucketTransfers.Reset();
   } else {
@@ -96,7 +96,7 @@
 // Whether the agent's data centre is out of service, or was between the two configurations.
 bool FlowCore::WasOwnDataCentreOut(const Configuration& aOld) const
 {
-  const TableMember* self = mContext.Find(mContext.mSettings.mName);
+  const TableMember* self = mContext.FindMember(mContext.mSettings.mName);
   if (self == nullptr) {
     return false;
   }
@@ -210,8 +210,8 @@
                                   TimePoint aNow, FlowActions& aOut)
 {
   FlowEntry* entry = mContext.mFlows.Find(aFlow);
-  if (entry == nullptr || aPayload.size() > kMaxDatagramPayload || mStop) {
-    Drop(mStop ? RefusalReason::TransferPending : RefusalReason::UnknownFlow);
+  if (entry == nullptr || aPayload.size() > kMaxDatagramPayload || mHandover) {
+    Drop(mHandover ? RefusalReason::TransferPending : RefusalReason::UnknownFlow);
     return;
   }
   entry->mEstablished = true;
@@ -277,25 +277,25 @@
   aOut.emplace_back(SendPeerMessage{acting, std::move(update)});
 }
 
-void FlowCore::ReportFlowsPeriodically(TimePoint aNow, FlowActions& aOut)
+void FlowCore::ConfirmFlowsPeriodically(TimePoint aNow, FlowActions& aOut)
 {
-  const ServiceEntry* entry = mContext.mConfiguration.FindService(mContext.mSettings.mService);
-  if (entry == nullptr || aNow < mNextRefresh) {
+  const ServiceEntry* entry = mContext.mConfiguration.FindService(mContext.mSettings.mServiceName);
+  if (entry == nullptr || aNow < mNextConfirmation) {
     return;
   }
-  mNextRefresh = aNow + entry->mSpec.mFlowIdleTimeout / kRefreshesPerTimeout;
+  mNextConfirmation = aNow + entry->mSpec.mFlowIdleTimeout / kConfirmationsPerTimeout;
   // Compared with an empty table, every acting member is new, so all flows are reported.
   ReportHeldFlows(ServiceTable(), aOut);
 }
 
 void FlowCore::OnTick(TimePoint aNow, FlowActions& aOut)
 {
-  if (mStop) {
+  if (mHandover) {
     ContinueHandover(aNow, aOut);
     return;
   }
   if (const ServiceEntry* entry =
-        mContext.mConfiguration.FindService(mContext.mSettings.mService)) {
+        mContext.mConfiguration.FindService(mContext.mSettings.mServiceName)) {
     for (const FlowId flow :
          mContext.mFlows.FindIdle(aNow, entry->mSpec.mFlowIdleTimeout,
                                   mContext.mSettings.mOpeningTimeout, kIdleCheckSlots)) {
@@ -308,7 +308,7 @@
     return;
   }
   mBucketTransfers.Tick(aNow, aOut);
-  ReportFlowsPeriodically(aNow, aOut);
+  ConfirmFlowsPeriodically(aNow, aOut);
   UpdateAcknowledgement();
 }
 
--- a/lib/Agent/FlowCorePackets.cpp
+++ b/lib/Agent/FlowCorePackets.cpp
@@ -41,7 +41,7 @@
     return;
   }
   FetchViewIfBehind(packet);
-  if (mStop) {
+  if (mHandover) {
     HandleWhileStopping(packet);
     return;
   }
@@ -63,7 +63,7 @@
   const FlowId flow = aPacket.mHeader.mFlowHash;
   const BucketDirectory& directory = mBucketTransfers.Directory();
   const std::string* holder = directory.Buckets() == 0 ? nullptr : directory.Holder(flow);
-  const TableMember* member = holder == nullptr ? nullptr : mContext.FindReachable(*holder);
+  const TableMember* member = holder == nullptr ? nullptr : mContext.FindReachableMember(*holder);
   if (member == nullptr || mContext.IsSelf(*holder) || mContext.mFlows.Find(flow) != nullptr) {
     Drop(RefusalReason::TransferPending);
     return;
@@ -144,14 +144,14 @@
     HandleByDirectory(aPacket, aOwner.mName, mBucketTransfers.Directory());
     return;
   }
-  KeptState* kept = mBackupRole.Find(aOwner.mName);
+  KeptState* kept = mBackupRole.FindKeptState(aOwner.mName);
   if (kept == nullptr || kept->mDirectory.Buckets() == 0) {
     Drop(RefusalReason::TransferPending);
     return;
   }
   if (kept->mFetchedBy != 0) {
     const TableMember* fetcher =
-      mContext.Find(kept->mForwardedBy.empty() ? aOwner.mName : kept->mForwardedBy);
+      mContext.FindMember(kept->mPreviousBackup.empty() ? aOwner.mName : kept->mPreviousBackup);
     Forward(aPacket, fetcher == nullptr ? aOwner.mDatagramEndpoint : fetcher->mDatagramEndpoint,
             false);
     return;
@@ -183,14 +183,14 @@
       HandlePending(aPacket, aOwner, aDirectory);
       return;
     case BucketState::Transferred:
-      if (const TableMember* acting = mContext.ActingFor(bucket.mPeer);
+      if (const TableMember* acting = mContext.ActingFor(bucket.mTransferPartner);
           acting != nullptr && !mContext.IsSelf(acting->mName)) {
         Forward(aPacket, acting->mDatagramEndpoint, false);
         return;
       }
       Drop(RefusalReason::TransferPending);
       return;
-    case BucketState::NotOwned:
+    case BucketState::NeverOwned:
       Drop(RefusalReason::TransferPending);
       return;
   }
@@ -207,7 +207,7 @@
   if (holder == nullptr) {
     return false;
   }
-  const TableMember* member = mContext.Find(*holder);
+  const TableMember* member = mContext.FindMember(*holder);
   if (member == nullptr || member->mExcluded || *holder == aOwner || mContext.IsSelf(*holder)) {
     aDirectory.Erase(flow);
     if (member == nullptr || !member->mDataCentreOut || aPacket.mHeader.mOpening) {
@@ -233,7 +233,7 @@
                              BucketDirectory& aDirectory)
 {
   const Bucket& bucket = aDirectory.Of(aPacket.mHeader.mFlowHash);
-  const TableMember* previous = mContext.ActingFor(bucket.mPeer);
+  const TableMember* previous = mContext.ActingFor(bucket.mTransferPartner);
   const bool usable = previous != nullptr && !mContext.IsSelf(previous->mName);
   if (usable && previous->mDatagramEndpoint != aPacket.mSender) {
     Forward(aPacket, previous->mDatagramEndpoint, false);
@@ -256,11 +256,11 @@
     HandleRedirected(aPacket);
     return;
   }
-  if (SendToFormerHolder(aPacket)) {
+  if (SendToRecordedHolder(aPacket)) {
     return;
   }
-  const bool fromOwner = aPacket.mSender == aActing.mDatagramEndpoint;
-  if (!fromOwner || aPacket.mHeader.mOpening) {
+  const bool fromActingMember = aPacket.mSender == aActing.mDatagramEndpoint;
+  if (!fromActingMember || aPacket.mHeader.mOpening) {
     Forward(aPacket, aActing.mDatagramEndpoint, false);
     return;
   }
@@ -284,17 +284,17 @@
 
 // Forwards to the holder that this agent knows, from an earlier ownership of the bucket or from
 // reports that reached it early.
-bool FlowCore::SendToFormerHolder(const Packet& aPacket)
+bool FlowCore::SendToRecordedHolder(const Packet& aPacket)
 {
   const FlowId flow = aPacket.mHeader.mFlowHash;
   const BucketDirectory& directory = mBucketTransfers.Directory();
   const std::string* holder = directory.Of(flow).mState == BucketState::Transferred
-                                ? directory.FormerHolder(flow)
+                                ? directory.HolderAtTransfer(flow)
                                 : directory.Holder(flow);
   if (holder == nullptr || mContext.IsSelf(*holder)) {
     return false;
   }
-  const TableMember* member = mContext.FindReachable(*holder);
+  const TableMember* member = mContext.FindReachableMember(*holder);
   if (member == nullptr || member->mDatagramEndpoint == aPacket.mSender) {
     return false;
   }
@@ -344,8 +344,8 @@
 
 bool FlowCore::MayAdmit() const
 {
-  const TableMember* self = mContext.Find(mContext.mSettings.mName);
-  return !mStop && !mResumption &&
+  const TableMember* self = mContext.FindMember(mContext.mSettings.mName);
+  return !mHandover && !mResumption &&
          (self == nullptr || (!self->mExcluded && TakesNewWork(self->mState)));
 }
 
--- a/lib/Agent/FlowCoreRestart.cpp
+++ b/lib/Agent/FlowCoreRestart.cpp
@@ -22,7 +22,7 @@
 
 // Unacknowledged resends to a backup, one every mRetryInterval, before another backup is chosen. If
 // 10% of the exchanges are lost, a live backup is abandoned at most once in 100,000 times.
-constexpr std::uint32_t kMaxHandoverAttempts = 5;
+constexpr std::uint32_t kMaxHandoverResends = 5;
 
 Endpoint ParseOrEmpty(const std::string& aText)
 {
@@ -37,7 +37,7 @@
 {
   // While the state is on its way to or from a backup, requests are not answered. They are
   // repeated, and then the backup or the new process answers.
-  const bool inTransit = mStop || mResumption;
+  const bool inTransit = mHandover || mResumption;
   std::visit(Overloaded{
                [&](const TransferRequest& aRequest) {
                  if (!inTransit) {
@@ -60,8 +60,8 @@
                  }
                },
                [&](const DirectoryUpdate& aUpdate) {
-                 if (mStop) {
-                   ForwardUpdate(mStop->mBackup, aUpdate, aOut);
+                 if (mHandover) {
+                   ForwardUpdate(mHandover->mBackup, aUpdate, aOut);
                  } else if (!mResumption) {
                    mBucketTransfers.OnDirectoryUpdate(aUpdate, aNow, aOut);
                  }
@@ -87,13 +87,13 @@
 // come first, then agents in the same data centre; rendezvous hashing chooses among equals.
 std::string FlowCore::ChooseBackup() const
 {
-  const TableMember* self = mContext.Find(mContext.mSettings.mName);
+  const TableMember* self = mContext.FindMember(mContext.mSettings.mName);
   std::string best;
   std::tuple<bool, bool, std::uint64_t> highest;
   for (const TableMember& member : mContext.mTable.Members()) {
     const bool serves = TakesNewWork(member.mState);
     if (mContext.IsSelf(member.mName) || member.mExcluded ||
-        mStop->mUnresponsive.contains(member.mName) ||
+        mHandover->mUnresponsive.contains(member.mName) ||
         (!serves && member.mState != MemberState::Draining)) {
       continue;
     }
@@ -122,65 +122,67 @@
   state.mDirectory = ExportDirectory(mBucketTransfers.Directory());
   if (mRecords != nullptr) {
     state.mRecords =
-      mRecords->Export(CompleteBuckets(mBucketTransfers.Directory()), mStop->mBackup);
+      mRecords->Export(CompleteBuckets(mBucketTransfers.Directory()), mHandover->mBackup);
   }
-  state.mAdmission = mStop->mAdmission;
+  state.mAdmissionSnapshot = mHandover->mAdmissionSnapshot;
   return state;
 }
 
-void FlowCore::BeginHandover(Json aAdmission, TimePoint aNow, FlowActions& aOut)
+void FlowCore::BeginHandover(Json aAdmissionSnapshot, TimePoint aNow, FlowActions& aOut)
 {
-  mStop = Stop{std::move(aAdmission), "", {}, aNow, 0, {}};
+  mHandover = Handover{std::move(aAdmissionSnapshot), "", {}, aNow, 0, {}};
   ContinueHandover(aNow, aOut);
 }
 
 void FlowCore::ContinueHandover(TimePoint aNow, FlowActions& aOut)
 {
-  if (aNow < mStop->mNextSend || (!mStop->mBackup.empty() && mStop->mUnacknowledged.empty())) {
+  if (aNow < mHandover->mNextSend ||
+      (!mHandover->mBackup.empty() && mHandover->mUnacknowledged.empty())) {
     return;
   }
-  mStop->mNextSend = aNow + mContext.mSettings.mRetryInterval;
+  mHandover->mNextSend = aNow + mContext.mSettings.mRetryInterval;
   // Agents that stop at the same time do not take each other's state and would wait for each other
   // for ever.
-  if (++mStop->mAttempts > kMaxHandoverAttempts) {
-    mStop->mUnresponsive.insert(mStop->mBackup);
+  if (++mHandover->mResends > kMaxHandoverResends) {
+    mHandover->mUnresponsive.insert(mHandover->mBackup);
   }
   std::string backup = ChooseBackup();
-  if (backup.empty() && !mStop->mUnresponsive.empty()) {
-    mStop->mUnresponsive.clear();
+  if (backup.empty() && !mHandover->mUnresponsive.empty()) {
+    mHandover->mUnresponsive.clear();
     backup = ChooseBackup();
   }
-  const bool changed = backup != mStop->mBackup;
-  mStop->mBackup = backup;
+  const bool changed = backup != mHandover->mBackup;
+  mHandover->mBackup = backup;
   if (backup.empty()) {
-    mStop->mNextSend = TimePoint::max();
+    mHandover->mNextSend = TimePoint::max();
     aOut.emplace_back(HandoverDone{});
     return;
   }
   std::vector<StateHandover> states = mBackupRole.Export(backup);
   states.push_back(ExportState());
   if (changed) {
-    mStop->mAttempts = 0;
-    mStop->mUnacknowledged.clear();
+    mHandover->mResends = 0;
+    mHandover->mUnacknowledged.clear();
     for (const StateHandover& state : states) {
-      mStop->mUnacknowledged.insert(state.mMember);
+      mHandover->mUnacknowledged.insert(state.mMember);
     }
   }
   for (StateHandover& state : states) {
-    if (mStop->mUnacknowledged.contains(state.mMember)) {
-      aOut.emplace_back(SendPeerMessage{mStop->mBackup, std::move(state)});
+    if (mHandover->mUnacknowledged.contains(state.mMember)) {
+      aOut.emplace_back(SendPeerMessage{mHandover->mBackup, std::move(state)});
     }
   }
 }
 
 void FlowCore::OnHandoverAck(const StateHandoverAck& aAck, FlowActions& aOut)
 {
-  if (!mStop || aAck.mBackup != mStop->mBackup || mStop->mUnacknowledged.erase(aAck.mMember) == 0) {
+  if (!mHandover || aAck.mBackup != mHandover->mBackup ||
+      mHandover->mUnacknowledged.erase(aAck.mMember) == 0) {
     return;
   }
-  mStop->mAttempts = 0;
-  if (mStop->mUnacknowledged.empty()) {
-    aOut.emplace_back(HandoverDone{mStop->mBackup});
+  mHandover->mResends = 0;
+  if (mHandover->mUnacknowledged.empty()) {
+    aOut.emplace_back(HandoverDone{mHandover->mBackup});
   }
 }
 
@@ -225,7 +227,7 @@
     RestoreFlow(flow, aNow, aOut);
   }
   mBucketTransfers.Restore(*aAnswer.mState, aNow);
-  FinishResumption(aAnswer.mState->mAdmission, aNow, aOut);
+  FinishResumption(aAnswer.mState->mAdmissionSnapshot, aNow, aOut);
 }
 
 void FlowCore::RestoreFlow(const FlowState& aFlow, TimePoint aNow, FlowActions& aOut)
@@ -244,13 +246,13 @@
   }
 }
 
-void FlowCore::FinishResumption(Json aAdmission, TimePoint aNow, FlowActions& aOut)
+void FlowCore::FinishResumption(Json aAdmissionSnapshot, TimePoint aNow, FlowActions& aOut)
 {
   mResumption.reset();
   // Without an older table, complete buckets stay complete, and the previous owners of the others
   // come from the view's history.
   OnTable(ServiceTable(), aNow, aOut);
-  aOut.emplace_back(ResumptionDone{std::move(aAdmission)});
+  aOut.emplace_back(ResumptionDone{std::move(aAdmissionSnapshot)});
 }
 
 } // namespace dandelionslip
--- a/lib/Agent/LatencyBaseline.cpp
+++ b/lib/Agent/LatencyBaseline.cpp
@@ -23,7 +23,7 @@
 // permanently slower does in the end and is not held at the cold limit for ever.
 constexpr double kSlowLearnSeconds = 600;
 
-constexpr double kLargestGain = 1.0 / kStepCompletions;
+constexpr double kLargestGain = 1.0 / kWindowCompletions;
 
 } // namespace
 
@@ -37,12 +37,12 @@
   // A completion affects the baseline only when it leaves the recent ones, so that a step is
   // compared with the baseline from before the step.
   const Sample& oldest = mRecent[mNext];
-  if (mKnown && mRecentCount == kStepCompletions && oldest.mSucceeded) {
+  if (mKnown && mRecentCount == kWindowCompletions && oldest.mSucceeded) {
     Learn(aNow, oldest.mLatency);
   }
   mRecent[mNext] = sample;
-  mNext = (mNext + 1) % kStepCompletions;
-  mRecentCount = std::min(mRecentCount + 1, kStepCompletions);
+  mNext = (mNext + 1) % kWindowCompletions;
+  mRecentCount = std::min(mRecentCount + 1, kWindowCompletions);
 }
 
 bool LatencyBaseline::IsNormal() const
@@ -52,8 +52,8 @@
 
 bool LatencyBaseline::IsStepped() const
 {
-  return mKnown && mRecentCount == kStepCompletions &&
-         CountAtLeast(kStepFactor) + 1 >= kStepCompletions;
+  return mKnown && mRecentCount == kWindowCompletions &&
+         CountAtLeast(kLatencyStepFactor) + 1 >= kWindowCompletions;
 }
 
 void LatencyBaseline::ClearRecent()
@@ -74,7 +74,7 @@
 {
   ++mLearntCount;
   mBaseline += (aLatency - mBaseline) / mLearntCount;
-  mKnown = mLearntCount >= static_cast<std::int64_t>(kStepCompletions);
+  mKnown = mLearntCount >= static_cast<std::int64_t>(kWindowCompletions);
 }
 
 void LatencyBaseline::Learn(TimePoint aNow, Duration aLatency)
--- a/lib/Agent/LoadLimit.cpp
+++ b/lib/Agent/LoadLimit.cpp
@@ -5,17 +5,18 @@
 
 namespace dandelionslip {
 
-LoadLimit FullLimit(const ServiceSpec& aSpec)
+LoadLimit FullLoadLimit(const ServiceSpec& aSpec)
 {
   return {aSpec.mSlots, aSpec.mConnections};
 }
 
 LoadLimit ColdLoadLimit(const ServiceSpec& aSpec)
 {
-  return Smaller({aSpec.mColdLimit.mSlots, aSpec.mColdLimit.mConnections}, FullLimit(aSpec));
+  return ElementwiseMin({aSpec.mColdLimit.mSlots, aSpec.mColdLimit.mConnections},
+                        FullLoadLimit(aSpec));
 }
 
-LoadLimit Smaller(const LoadLimit& aFirst, const LoadLimit& aSecond)
+LoadLimit ElementwiseMin(const LoadLimit& aFirst, const LoadLimit& aSecond)
 {
   return {std::min(aFirst.mSlots, aSecond.mSlots),
           std::min(aFirst.mConnections, aSecond.mConnections)};
--- a/lib/Agent/UpstreamAdmission.cpp
+++ b/lib/Agent/UpstreamAdmission.cpp
@@ -12,7 +12,7 @@
 constexpr double kCloseRateSeconds = 10;
 
 // For retry times: lower bound of the expected admissions of flows a second.
-constexpr double kAssumedFlowRate = 1;
+constexpr double kMinFlowRate = 1;
 
 // For retry times: admissions of requests a second that are assumed while the completion rate is
 // not known.
@@ -35,7 +35,7 @@
   : mDeclaredOpensPerSecond(aSpec.mOpensPerSecond)
   , mRamp(aSpec, aNow)
   , mOpenTokens(OpensPerSecond(), aNow)
-  , mWeight(aNow)
+  , mEstimator(aNow)
   , mClosedAt(aNow)
 {
   UpdateState();
@@ -47,8 +47,8 @@
     return Refusal{RefusalReason::Draining, RetrySchedule::kShortest};
   }
   if (mConnectionsInUse >= Limit(aNow).mConnections) {
-    const RefusalReason reason =
-      FullReason(mConnectionsInUse, mRamp.Full().mConnections, RefusalReason::ConnectionsFull);
+    const RefusalReason reason = RefusalReasonWhenFull(mConnectionsInUse, mRamp.Full().mConnections,
+                                                       RefusalReason::ConnectionsFull);
     const bool ramping = reason == RefusalReason::Cold;
     return Refusal{reason, mFlowRetries.Next(aNow, FlowInterval(aNow, ramping))};
   }
@@ -81,10 +81,10 @@
   }
   if (mSlotsInUse >= Limit(aNow).mSlots) {
     const RefusalReason reason =
-      FullReason(mSlotsInUse, mRamp.Full().mSlots, RefusalReason::SlotsFull);
+      RefusalReasonWhenFull(mSlotsInUse, mRamp.Full().mSlots, RefusalReason::SlotsFull);
     return Refusal{reason, mSlotRetries.Next(aNow, SlotInterval(aNow))};
   }
-  mWeight.OnOccupancy(aNow, ++mSlotsInUse);
+  mEstimator.OnOccupancy(aNow, ++mSlotsInUse);
   return std::nullopt;
 }
 
@@ -93,13 +93,13 @@
   if (mSlotsInUse == 0) {
     return;
   }
-  mWeight.OnCompletion(aNow, aResult);
-  mWeight.OnOccupancy(aNow, --mSlotsInUse);
+  mEstimator.OnCompletion(aNow, aResult);
+  mEstimator.OnOccupancy(aNow, --mSlotsInUse);
   mRamp.OnCompletion(aNow, aLatency, aResult, WorkKind::Request);
   ApplyRamp(aNow);
 }
 
-void UpstreamAdmission::ObserveReply(TimePoint aNow, Duration aLatency)
+void UpstreamAdmission::ObserveAnswer(TimePoint aNow, Duration aLatency)
 {
   mRamp.OnCompletion(aNow, aLatency, CompletionResult::Success, WorkKind::Flow);
   ApplyRamp(aNow);
@@ -127,7 +127,7 @@
 
 void UpstreamAdmission::SetServiceMean(double aCompletionRate)
 {
-  mWeight.SetServiceMean(aCompletionRate);
+  mEstimator.SetServiceMean(aCompletionRate);
 }
 
 void UpstreamAdmission::Drain()
@@ -160,7 +160,7 @@
 
 std::uint32_t UpstreamAdmission::UpdateWeight(TimePoint aNow)
 {
-  const std::uint32_t weight = mWeight.Update(aNow, mRamp.Share());
+  const std::uint32_t weight = mEstimator.Update(aNow, mRamp.Share());
   return TakesNewWork() ? weight : 0;
 }
 
@@ -171,8 +171,8 @@
   snapshot.mConnectionLimit = mRamp.Limit().mConnections;
   snapshot.mRequestBaselineNs = Nanoseconds(mRamp.Baseline(WorkKind::Request));
   snapshot.mFlowBaselineNs = Nanoseconds(mRamp.Baseline(WorkKind::Flow));
-  snapshot.mWeight = mWeight.Weight();
-  snapshot.mCompletionRate = mWeight.CompletionRate();
+  snapshot.mWeight = mEstimator.Weight();
+  snapshot.mCompletionRate = mEstimator.CompletionRate();
   return snapshot;
 }
 
@@ -180,7 +180,7 @@
 {
   mRamp.Restore({aSnapshot.mSlotLimit, aSnapshot.mConnectionLimit},
                 Duration(aSnapshot.mRequestBaselineNs), Duration(aSnapshot.mFlowBaselineNs), aNow);
-  mWeight.Restore(aSnapshot.mCompletionRate, aSnapshot.mWeight);
+  mEstimator.Restore(aSnapshot.mCompletionRate, aSnapshot.mWeight);
   ApplyRamp(aNow);
 }
 
@@ -189,8 +189,8 @@
   return mState.State() == UpstreamState::Cold || mState.State() == UpstreamState::Serving;
 }
 
-RefusalReason UpstreamAdmission::FullReason(std::uint32_t aInUse, std::uint32_t aFull,
-                                            RefusalReason aReason) const
+RefusalReason UpstreamAdmission::RefusalReasonWhenFull(std::uint32_t aInUse, std::uint32_t aFull,
+                                                       RefusalReason aReason) const
 {
   return aInUse < aFull && !mRamp.IsComplete() ? RefusalReason::Cold : aReason;
 }
@@ -209,7 +209,7 @@
 
 void UpstreamAdmission::UpdateState()
 {
-  mRamp.IsComplete() ? mState.OnRampCompleted() : mState.OnReturnedToCold();
+  mRamp.IsComplete() ? mState.OnRampCompleted() : mState.OnResetToCold();
 }
 
 double UpstreamAdmission::OpensPerSecond() const
@@ -223,13 +223,13 @@
 {
   // A ramp makes room for up to a quarter of its limit with each step.
   const double growth = aRamping ? mRamp.Limit().mConnections / 4.0 : 0.0;
-  const double freed = std::max({kAssumedFlowRate, growth, ClosesPerSecond(aNow)});
+  const double freed = std::max({kMinFlowRate, growth, ClosesPerSecond(aNow)});
   return IntervalOf(std::min(freed, OpensPerSecond()));
 }
 
 UpstreamAdmission::Duration UpstreamAdmission::SlotInterval(TimePoint aNow) const
 {
-  const double perSlot = mWeight.CompletionRate();
+  const double perSlot = mEstimator.CompletionRate();
   return IntervalOf(perSlot > 0 ? perSlot * std::max(1U, Limit(aNow).mSlots) : kAssumedSlotRate);
 }
 
--- a/lib/Agent/UpstreamStateMachine.cpp
+++ b/lib/Agent/UpstreamStateMachine.cpp
@@ -14,11 +14,11 @@
 
 struct RampCompleted
 {};
-struct ReturnedToCold
+struct ResetToCold
 {};
 struct DrainRequested
 {};
-struct DrainEnded
+struct UndrainRequested
 {};
 struct StopRequested
 {};
@@ -47,9 +47,9 @@
   using Row = msm::front::Row<Source, Event, Target>;
 
   using transition_table =
-    boost::mpl::vector<Row<Cold, RampCompleted, Serving>, Row<Serving, ReturnedToCold, Cold>,
+    boost::mpl::vector<Row<Cold, RampCompleted, Serving>, Row<Serving, ResetToCold, Cold>,
                        Row<Cold, DrainRequested, Draining>, Row<Serving, DrainRequested, Draining>,
-                       Row<Draining, DrainEnded, Cold>, Row<Cold, StopRequested, Stopped>,
+                       Row<Draining, UndrainRequested, Cold>, Row<Cold, StopRequested, Stopped>,
                        Row<Serving, StopRequested, Stopped>, Row<Draining, StopRequested, Stopped>,
                        Row<Stopped, StartRequested, Cold>>;
 
@@ -86,9 +86,9 @@
   mMachine->process_event(RampCompleted{});
 }
 
-void UpstreamStateMachine::OnReturnedToCold()
+void UpstreamStateMachine::OnResetToCold()
 {
-  mMachine->process_event(ReturnedToCold{});
+  mMachine->process_event(ResetToCold{});
 }
 
 void UpstreamStateMachine::OnDrain()
@@ -98,7 +98,7 @@
 
 void UpstreamStateMachine::OnUndrain()
 {
-  mMachine->process_event(DrainEnded{});
+  mMachine->process_event(UndrainRequested{});
 }
 
 void UpstreamStateMachine::OnStop()
--- a/lib/Agent/WeightEstimator.cpp
+++ b/lib/Agent/WeightEstimator.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 WeightEstimator::WeightEstimator(TimePoint aNow)
-  : mOccupiedAt(aNow)
+  : mBusyTimeUntil(aNow)
   , mSampledAt(aNow)
   , mSteppedAt(aNow)
 {
@@ -77,9 +77,9 @@
 
 void WeightEstimator::AccumulateBusyTime(TimePoint aNow)
 {
-  if (aNow > mOccupiedAt) {
-    mBusySeconds += mSlotsInUse * Seconds(aNow - mOccupiedAt);
-    mOccupiedAt = aNow;
+  if (aNow > mBusyTimeUntil) {
+    mBusySeconds += mSlotsInUse * Seconds(aNow - mBusyTimeUntil);
+    mBusyTimeUntil = aNow;
   }
 }
 
@@ -89,8 +89,8 @@
   constexpr double kShortestBusySeconds = 1e-4;
   const double sample = mSuccesses / std::max(mBusySeconds, kShortestBusySeconds);
   const double gain = 1.0 - std::exp(-Seconds(aNow - mSampledAt) / Seconds(kTimeConstant));
-  const double folded = mRate + (sample - mRate) * gain;
-  mRate = mRate > 0 ? std::clamp(folded, mRate / kStepFactor, mRate * kStepFactor) : sample;
+  const double smoothed = mRate + (sample - mRate) * gain;
+  mRate = mRate > 0 ? std::clamp(smoothed, mRate / kMaxStepFactor, mRate * kMaxStepFactor) : sample;
   mBusySeconds = 0;
   mSuccesses = 0;
   mCompletions = 0;
@@ -112,8 +112,8 @@
     mSettled = true;
     return;
   }
-  const auto largest = std::max(mWeight + 1, static_cast<std::uint32_t>(mWeight * kStepFactor));
-  const auto smallest = static_cast<std::uint32_t>(std::ceil(mWeight / kStepFactor));
+  const auto largest = std::max(mWeight + 1, static_cast<std::uint32_t>(mWeight * kMaxStepFactor));
+  const auto smallest = static_cast<std::uint32_t>(std::ceil(mWeight / kMaxStepFactor));
   mWeight = std::clamp(aTarget, smallest, largest);
   mSettled = mWeight == aTarget;
   mSteppedAt = aNow;
--- a/lib/Daemon/AgentDaemon.cpp
+++ b/lib/Daemon/AgentDaemon.cpp
@@ -151,7 +151,8 @@
         mResuming = true;
         mFlowCore->BeginResumption(self->mBackup, now, actions);
       }
-      mFlowCore->OnState(aState.CurrentView(), aState.CurrentConfiguration(), now, actions);
+      mFlowCore->OnViewAndConfiguration(aState.CurrentView(), aState.CurrentConfiguration(), now,
+                                        actions);
     }
     Perform(std::move(actions));
     mFlowTimer =
@@ -194,7 +195,7 @@
     mRecordTransfer.SetRequestCore(*mRequestCore);
     FlowSettings flowSettings;
     flowSettings.mName = mSettings.mNode;
-    flowSettings.mService = mSettings.mService;
+    flowSettings.mServiceName = mSettings.mService;
     flowSettings.mEndpoint = mSelfEndpoint;
     flowSettings.mIncarnation = mIncarnation;
     flowSettings.mMaxFlows = mSettings.mMaxFlows;
@@ -294,7 +295,7 @@
     ReportLostAgents(view, aRequestActions);
     mLastView = view;
     mConfiguration = configuration;
-    mFlowCore->OnState(view, configuration, aNow, aFlowActions);
+    mFlowCore->OnViewAndConfiguration(view, configuration, aNow, aFlowActions);
   }
 
   // Reports newly lost agents to the request core: the outcome of requests that they were still
@@ -371,7 +372,7 @@
     WithFlowCore([&](FlowCore& aCore, FlowActions& aOut) {
       const TimePoint now = RuntimeClock::now();
       if (const auto sent = mOldestUnanswered.extract(aFlow); !sent.empty()) {
-        mAdmission->ObserveReply(now, now - sent.mapped());
+        mAdmission->ObserveAnswer(now, now - sent.mapped());
       }
       aCore.OnUpstreamDatagram(aFlow, aPayload, now, aOut);
     });
@@ -479,10 +480,12 @@
 
   void Do(ResumptionDone& aAction)
   {
-    LogEvent(LogLevel::Info, "resumed").With("state_found", aAction.mAdmission.is_null() ? 0 : 1);
+    LogEvent(LogLevel::Info, "resumed")
+      .With("state_found", aAction.mAdmissionSnapshot.is_null() ? 0 : 1);
     {
       const std::lock_guard lock(mMutex);
-      if (const auto snapshot = FromJson<AdmissionSnapshot>(aAction.mAdmission, "handover")) {
+      if (const auto snapshot =
+            FromJson<AdmissionSnapshot>(aAction.mAdmissionSnapshot, "handover")) {
         mAdmission->Restore(snapshot.value(), RuntimeClock::now());
       }
       mResuming = false;
--- a/unittests/Agent/ColdStartRampTest.cpp
+++ b/unittests/Agent/ColdStartRampTest.cpp
@@ -59,10 +59,10 @@
 {
   CPPUNIT_TEST_SUITE(ColdStartRampTest);
   CPPUNIT_TEST(GrowthIsBounded);
-  CPPUNIT_TEST(UnannouncedReturnToColdIsSeenInEightCompletions);
-  CPPUNIT_TEST(ReturnToColdIsSeenInSparseTraffic);
+  CPPUNIT_TEST(UnannouncedColdUpstreamIsSeenInEightCompletions);
+  CPPUNIT_TEST(ColdUpstreamIsSeenInSparseTraffic);
   CPPUNIT_TEST(ShedRestartAndFailuresResetAtOnce);
-  CPPUNIT_TEST(NoiseIsNotAReturnToCold);
+  CPPUNIT_TEST(NoiseDoesNotResetToCold);
   CPPUNIT_TEST(SlowUpstreamDoesNotGrow);
   CPPUNIT_TEST(PermanentlySlowerUpstreamRampsUpAgain);
   CPPUNIT_TEST(WorkStartedBeforeAChangeIsNotCounted);
@@ -94,7 +94,7 @@
   }
 
   // Guards against full load on an upstream that became cold without reporting it.
-  void UnannouncedReturnToColdIsSeenInEightCompletions()
+  void UnannouncedColdUpstreamIsSeenInEightCompletions()
   {
     RampDriver driver;
     driver.Run(kRampCompletions, Milliseconds(20));
@@ -112,7 +112,7 @@
   }
 
   // Guards against a baseline that follows a step so fast that the step is not detected.
-  void ReturnToColdIsSeenInSparseTraffic()
+  void ColdUpstreamIsSeenInSparseTraffic()
   {
     RampDriver driver;
     driver.Run(kRampCompletions, Milliseconds(20));
@@ -146,7 +146,7 @@
 
   // Guards against a reset to cold because of single slow or failed requests, cancelled requests,
   // scheduling delays of upstreams that answer within a millisecond, or a gradual change.
-  void NoiseIsNotAReturnToCold()
+  void NoiseDoesNotResetToCold()
   {
     RampDriver driver;
     driver.Run(kRampCompletions, Milliseconds(20));
@@ -157,8 +157,8 @@
       CPPUNIT_ASSERT(!driver.Complete(Milliseconds(900), Result::Cancelled));
     }
     // The completions of 900 ms above have raised the baseline, so that 100 ms is not a step.
-    for (int percent = 100; percent < 1000; ++percent) {
-      CPPUNIT_ASSERT(!driver.Run(4, Milliseconds(percent)));
+    for (int latencyMs = 100; latencyMs < 1000; ++latencyMs) {
+      CPPUNIT_ASSERT(!driver.Run(4, Milliseconds(latencyMs)));
     }
     CPPUNIT_ASSERT(driver.mRamp.IsComplete());
     RampDriver fast;
@@ -187,8 +187,8 @@
     RampDriver driver;
     driver.Run(kRampCompletions, Milliseconds(20));
     CPPUNIT_ASSERT(driver.Run(kRampCompletions, Milliseconds(200)) == ColdReason::LatencyStep);
-    constexpr int kTenMinutes = 10 * 60 * 20;
-    CPPUNIT_ASSERT(!driver.Run(kTenMinutes, Milliseconds(200)));
+    constexpr int kCompletionsInTenMinutes = 10 * 60 * 20;
+    CPPUNIT_ASSERT(!driver.Run(kCompletionsInTenMinutes, Milliseconds(200)));
     CPPUNIT_ASSERT(driver.mRamp.IsComplete());
   }
 
--- a/unittests/Agent/FlowCoreTest.cpp
+++ b/unittests/Agent/FlowCoreTest.cpp
@@ -43,7 +43,7 @@
   {
     FlowSettings settings;
     settings.mName = "a";
-    settings.mService = "planner";
+    settings.mServiceName = "planner";
     settings.mMaxFlows = kCapacity;
     mCore = std::make_unique<FlowCore>(settings, mAdmission);
     mConfiguration.mRevision = 3;
@@ -51,7 +51,7 @@
     mView.mRevision = 1;
     AddMember("a", "127.0.3.1:1");
     FlowActions actions;
-    mCore->OnState(mView, mConfiguration, mNow, actions);
+    mCore->OnViewAndConfiguration(mView, mConfiguration, mNow, actions);
   }
 
 private:
@@ -133,7 +133,7 @@
   {
     AddMember("b", "127.0.3.1:2");
     FlowActions actions;
-    mCore->OnState(mView, mConfiguration, mNow, actions);
+    mCore->OnViewAndConfiguration(mView, mConfiguration, mNow, actions);
     std::size_t forwarded = 0;
     for (std::uint16_t caller = 1; caller < 40; ++caller) {
       forwarded += CountOf<SendDatagram>(Send(caller, CallerDatagramKind::Open, kMaxHops - 1));
--- a/unittests/Agent/FlowHistory.cpp
+++ b/unittests/Agent/FlowHistory.cpp
@@ -11,7 +11,7 @@
 
 struct Session
 {
-  std::optional<FlowEvent> mHolder;
+  std::optional<FlowEvent> mEstablishedAt;
   bool mEnded = false;
 };
 
@@ -35,7 +35,7 @@
         CheckDelivery(aEvent, session);
         return;
       case FlowEventKind::Established:
-        session.mHolder = aEvent;
+        session.mEstablishedAt = aEvent;
         session.mEnded = session.mEnded || mDataCentresOut.contains(aEvent.mDataCentre);
         return;
       case FlowEventKind::Refused:
@@ -67,21 +67,22 @@
   {
     // A session that no upstream has answered may be opened again at the service that took over the
     // address; an established one may not.
-    if (aSession.mHolder && aSession.mHolder->mService != aEvent.mService) {
-      Report(aEvent,
-             "delivered to services " + aSession.mHolder->mService + " and " + aEvent.mService);
+    if (aSession.mEstablishedAt && aSession.mEstablishedAt->mService != aEvent.mService) {
+      Report(aEvent, "delivered to services " + aSession.mEstablishedAt->mService + " and " +
+                       aEvent.mService);
     }
-    if (aSession.mHolder && !aSession.mEnded &&
-        (aSession.mHolder->mNode != aEvent.mNode || aSession.mHolder->mPort != aEvent.mPort)) {
-      Report(aEvent, "held by " + aSession.mHolder->mNode + ":" +
-                       std::to_string(aSession.mHolder->mPort) + ", delivered to " + aEvent.mNode +
-                       ":" + std::to_string(aEvent.mPort));
+    if (aSession.mEstablishedAt && !aSession.mEnded &&
+        (aSession.mEstablishedAt->mNode != aEvent.mNode ||
+         aSession.mEstablishedAt->mPort != aEvent.mPort)) {
+      Report(aEvent, "held by " + aSession.mEstablishedAt->mNode + ":" +
+                       std::to_string(aSession.mEstablishedAt->mPort) + ", delivered to " +
+                       aEvent.mNode + ":" + std::to_string(aEvent.mPort));
     }
   }
 
   void CheckBreak(const FlowEvent& aEvent, Session& aSession)
   {
-    if (aSession.mHolder && !aSession.mEnded) {
+    if (aSession.mEstablishedAt && !aSession.mEnded) {
       Report(aEvent, "established session broke: " + (aEvent.mKind == FlowEventKind::NoReply
                                                         ? std::string("no reply")
                                                         : std::string(ToString(aEvent.mReason))));
@@ -92,8 +93,8 @@
   void EndSessionsIn(const std::string& aDataCentre)
   {
     for (auto& [id, session] : mSessions) {
-      session.mEnded =
-        session.mEnded || (session.mHolder && session.mHolder->mDataCentre == aDataCentre);
+      session.mEnded = session.mEnded || (session.mEstablishedAt &&
+                                          session.mEstablishedAt->mDataCentre == aDataCentre);
     }
   }
 
--- a/unittests/Agent/FlowPropertyTest.cpp
+++ b/unittests/Agent/FlowPropertyTest.cpp
@@ -1,5 +1,5 @@
 // Property tests of routing and flow cores under mixed planned changes.
-#include "FlowSystem.h"
+#include "FlowSimulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -29,9 +29,10 @@
   CPPUNIT_TEST(CheckerFailsWithoutResumption);
   CPPUNIT_TEST_SUITE_END();
 
-  static std::unique_ptr<FlowSystem> MakeSystem(std::uint64_t aSeed, FlowSystemFaults aFaults = {})
+  static std::unique_ptr<FlowSimulation> MakeSystem(std::uint64_t aSeed,
+                                                    FlowSimulationFaults aFaults = {})
   {
-    auto system = std::make_unique<FlowSystem>(aSeed, aFaults);
+    auto system = std::make_unique<FlowSimulation>(aSeed, aFaults);
     system->Publish("planner", {"127.0.2.1:80"});
     system->Publish("render", {"127.0.2.2:80"});
     for (int i = 0; i < 6; ++i) {
@@ -48,7 +49,7 @@
     return system;
   }
 
-  static void Churn(FlowSystem& aSystem)
+  static void Churn(FlowSimulation& aSystem)
   {
     aSystem.Run(Milliseconds(5'000));
     for (int i = 0; i < 40; ++i) {
@@ -132,11 +133,11 @@
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
       const auto system = MakeSystem(seed);
       system->Run(Milliseconds(4'000));
-      const std::size_t published = system->History().size();
+      const std::size_t eventsBeforeChange = system->History().size();
       system->Publish("planner", {"127.0.2.3:80"});
       system->Publish("render", {"127.0.2.1:80", "127.0.2.2:80"});
       system->Run(Milliseconds(1'000));
-      const std::size_t applied = system->History().size();
+      const std::size_t eventsWhenApplied = system->History().size();
       system->Run(Milliseconds(4'000));
       std::map<std::uint64_t, std::set<std::string>> services;
       std::map<std::uint64_t, std::size_t> firstEvents;
@@ -144,7 +145,8 @@
       for (std::size_t i = 0; i < system->History().size(); ++i) {
         const FlowEvent& event = system->History()[i];
         const std::size_t first = firstEvents.emplace(event.mSession, i).first->second;
-        if (event.mKind == FlowEventKind::Established && (i < published || first > applied)) {
+        if (event.mKind == FlowEventKind::Established &&
+            (i < eventsBeforeChange || first > eventsWhenApplied)) {
           checkedSessions.insert(event.mSession);
         }
         if (event.mKind == FlowEventKind::Delivered) {
@@ -161,7 +163,7 @@
   // Guards against a checker that accepts every history.
   void CheckerFailsWithoutTransfer()
   {
-    FlowSystemFaults faults;
+    FlowSimulationFaults faults;
     faults.mTransferDisabled = true;
     const auto system = MakeSystem(1, faults);
     Churn(*system);
@@ -171,7 +173,7 @@
   // Guards against a checker that does not notice flows lost in a restart.
   void CheckerFailsWithoutResumption()
   {
-    FlowSystemFaults faults;
+    FlowSimulationFaults faults;
     faults.mResumptionDisabled = true;
     const auto system = MakeSystem(1, faults);
     Churn(*system);
--- a/unittests/Agent/FlowSystem.cpp
+++ b/unittests/Agent/FlowSimulation.cpp
@@ -1,5 +1,5 @@
 // The network, a fake of control, and the callers and upstreams of the simulated system.
-#include "FlowSystem.h"
+#include "FlowSimulation.h"
 
 #include "dandelionslip/Net/CallerDatagram.h"
 
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint32_t kBuckets = 64;
-constexpr std::size_t kCapacity = 60;
+constexpr std::size_t kFlowsPerUpstream = 60;
 
 Endpoint NodeEndpoint(std::uint16_t aPort)
 {
@@ -26,7 +26,7 @@
 
 } // namespace
 
-FlowSystem::FlowSystem(std::uint64_t aSeed, FlowSystemFaults aFaults)
+FlowSimulation::FlowSimulation(std::uint64_t aSeed, FlowSimulationFaults aFaults)
   : mRandom(aSeed)
   , mFaults(aFaults)
 {
@@ -34,18 +34,18 @@
   mView.mRevision = 1;
 }
 
-void FlowSystem::After(std::chrono::microseconds aDelay, Task aTask)
+void FlowSimulation::After(std::chrono::microseconds aDelay, Task aTask)
 {
   mTasks.emplace(std::pair(mNow + aDelay, ++mSequence), std::move(aTask));
 }
 
-std::chrono::microseconds FlowSystem::RandomDelay(Milliseconds aLongest)
+std::chrono::microseconds FlowSimulation::RandomDelay(Milliseconds aLongest)
 {
   return std::chrono::microseconds(
     100 + mRandom.Below(static_cast<std::uint64_t>(std::chrono::microseconds(aLongest).count())));
 }
 
-void FlowSystem::Run(Milliseconds aTime)
+void FlowSimulation::Run(Milliseconds aTime)
 {
   const TimePoint end = mNow + aTime;
   while (!mTasks.empty() && mTasks.begin()->first.first <= end) {
@@ -56,7 +56,7 @@
   mNow = end;
 }
 
-void FlowSystem::AddBalancer(const std::string& aName, const std::string& aDataCentre)
+void FlowSimulation::AddBalancer(const std::string& aName, const std::string& aDataCentre)
 {
   auto balancer = std::make_unique<Balancer>();
   balancer->mName = aName;
@@ -72,15 +72,15 @@
   PollBalancer(added);
 }
 
-void FlowSystem::AddAgent(const std::string& aName, const std::string& aService,
-                          const std::string& aDataCentre)
+void FlowSimulation::AddAgent(const std::string& aName, const std::string& aService,
+                              const std::string& aDataCentre)
 {
   auto agent = std::make_unique<Agent>();
   agent->mName = aName;
   agent->mService = aService;
   agent->mDataCentre = aDataCentre;
   agent->mEndpoint = NodeEndpoint(mNextEndpoint++);
-  agent->mAdmission = std::make_unique<FakeAdmission>(mRandom, kCapacity);
+  agent->mAdmission = std::make_unique<FakeAdmission>(mRandom, kFlowsPerUpstream);
   mView.mMembers[aName] = {aName,       MemberKind::Agent,           aService,
                            aDataCentre, agent->mEndpoint.ToString(), "",
                            1,           MemberState::Serving,        ""};
@@ -92,18 +92,18 @@
   TickAgent(added);
 }
 
-void FlowSystem::StartProcess(Agent& aAgent)
+void FlowSimulation::StartProcess(Agent& aAgent)
 {
   FlowSettings settings;
   settings.mName = aAgent.mName;
-  settings.mService = aAgent.mService;
+  settings.mServiceName = aAgent.mService;
   settings.mEndpoint = aAgent.mEndpoint;
   settings.mIncarnation = aAgent.mIncarnation;
   aAgent.mCore = std::make_unique<FlowCore>(settings, *aAgent.mAdmission);
   aAgent.mStopping = false;
 }
 
-void FlowSystem::AddCallers(const std::string& aAddress, std::size_t aCount)
+void FlowSimulation::AddCallers(const std::string& aAddress, std::size_t aCount)
 {
   for (std::size_t i = 0; i < aCount; ++i) {
     auto caller = std::make_unique<Caller>();
@@ -116,8 +116,8 @@
   }
 }
 
-void FlowSystem::Publish(const std::string& aService, std::vector<std::string> aAddresses,
-                         bool aRedeclare)
+void FlowSimulation::Publish(const std::string& aService, std::vector<std::string> aAddresses,
+                             bool aRedeclare)
 {
   ++mConfiguration.mRevision;
   ServiceEntry& entry = mConfiguration.mServices[aService];
@@ -130,7 +130,7 @@
   IssueGenerations();
 }
 
-void FlowSystem::SetDataCentreOut(const std::string& aDataCentre, bool aOut)
+void FlowSimulation::SetDataCentreOut(const std::string& aDataCentre, bool aOut)
 {
   ++mConfiguration.mRevision;
   DataCentreState& state = mConfiguration.mDataCentres[aDataCentre];
@@ -144,13 +144,13 @@
           {}});
 }
 
-void FlowSystem::SetWeight(const std::string& aAgent, std::uint32_t aWeight)
+void FlowSimulation::SetWeight(const std::string& aAgent, std::uint32_t aWeight)
 {
   mWeights[aAgent] = aWeight;
   IssueGenerations();
 }
 
-void FlowSystem::SetDraining(const std::string& aNode, bool aDraining)
+void FlowSimulation::SetDraining(const std::string& aNode, bool aDraining)
 {
   Member& member = mView.mMembers[aNode];
   if (member.mState == MemberState::Serving || member.mState == MemberState::Draining) {
@@ -162,14 +162,14 @@
 
 // Issues generations as the control leader does: one at a time, after all live members have
 // acknowledged the newest one.
-void FlowSystem::IssueGenerations()
+void FlowSimulation::IssueGenerations()
 {
   for (const auto& [service, entry] : mConfiguration.mServices) {
     IssueGeneration(service);
   }
 }
 
-void FlowSystem::IssueGeneration(const std::string& aService)
+void FlowSimulation::IssueGeneration(const std::string& aService)
 {
   const ServiceId id = mConfiguration.mServices[aService].mId;
   ServiceView& view = mView.mServices[aService];
@@ -200,7 +200,7 @@
   ++mView.mRevision;
 }
 
-void FlowSystem::ApplyState(Balancer& aBalancer)
+void FlowSimulation::ApplyState(Balancer& aBalancer)
 {
   AnnouncementAnswer answer;
   answer.mConfirmed = true;
@@ -219,7 +219,7 @@
   }
 }
 
-void FlowSystem::PollBalancer(Balancer& aBalancer)
+void FlowSimulation::PollBalancer(Balancer& aBalancer)
 {
   if (aBalancer.mAlive) {
     ApplyState(aBalancer);
@@ -227,18 +227,18 @@
   After(RandomDelay(Milliseconds(700)), [this, &aBalancer] { PollBalancer(aBalancer); });
 }
 
-void FlowSystem::ApplyState(Agent& aAgent)
+void FlowSimulation::ApplyState(Agent& aAgent)
 {
   if (!aAgent.mCore) {
     return;
   }
   FlowActions actions;
-  aAgent.mCore->OnState(mView, mConfiguration, mNow, actions);
+  aAgent.mCore->OnViewAndConfiguration(mView, mConfiguration, mNow, actions);
   Perform(aAgent, std::move(actions));
   IssueGenerations();
 }
 
-void FlowSystem::TickAgent(Agent& aAgent)
+void FlowSimulation::TickAgent(Agent& aAgent)
 {
   if (aAgent.mCore) {
     FlowActions actions;
@@ -248,13 +248,13 @@
   After(std::chrono::milliseconds(50), [this, &aAgent] { TickAgent(aAgent); });
 }
 
-void FlowSystem::PollAgent(Agent& aAgent)
+void FlowSimulation::PollAgent(Agent& aAgent)
 {
   ApplyState(aAgent);
   After(RandomDelay(Milliseconds(700)), [this, &aAgent] { PollAgent(aAgent); });
 }
 
-FlowSystem::Agent* FlowSystem::AgentAt(const Endpoint& aEndpoint)
+FlowSimulation::Agent* FlowSimulation::AgentAt(const Endpoint& aEndpoint)
 {
   for (const auto& [name, agent] : mAgents) {
     if (agent->mEndpoint == aEndpoint) {
@@ -264,7 +264,7 @@
   return nullptr;
 }
 
-void FlowSystem::Perform(Agent& aAgent, FlowActions aActions)
+void FlowSimulation::Perform(Agent& aAgent, FlowActions aActions)
 {
   for (FlowAction& action : aActions) {
     if (auto* datagram = std::get_if<SendDatagram>(&action)) {
@@ -298,7 +298,7 @@
   }
 }
 
-void FlowSystem::Perform(Agent& aAgent, SendPeerMessage aAction)
+void FlowSimulation::Perform(Agent& aAgent, SendPeerMessage aAction)
 {
   if (auto* answer = std::get_if<TransferAnswer>(&aAction.mMessage)) {
     for (BucketTransfer& bucket : answer->mBuckets) {
@@ -332,7 +332,7 @@
 }
 
 // The upstream records the packet and answers through the same port.
-void FlowSystem::Deliver(Agent& aAgent, const SendToUpstream& aAction)
+void FlowSimulation::Deliver(Agent& aAgent, const SendToUpstream& aAction)
 {
   const std::uint16_t port = aAgent.mPorts[aAction.mFlow];
   const auto datagram = DecodeCallerDatagram(aAction.mPayload).value();
@@ -357,8 +357,8 @@
         });
 }
 
-void FlowSystem::SendToEndpoint(const Endpoint& aFrom, const Endpoint& aTo,
-                                const DatagramHeader& aHeader, const Bytes& aPayload)
+void FlowSimulation::SendToEndpoint(const Endpoint& aFrom, const Endpoint& aTo,
+                                    const DatagramHeader& aHeader, const Bytes& aPayload)
 {
   if (IsLost(mFaults.mDatagramLoss)) {
     return;
@@ -378,14 +378,14 @@
   });
 }
 
-void FlowSystem::StepCaller(Caller& aCaller)
+void FlowSimulation::StepCaller(Caller& aCaller)
 {
   SendFromCaller(aCaller);
   After(std::chrono::milliseconds(100) + RandomDelay(Milliseconds(200)),
         [this, &aCaller] { StepCaller(aCaller); });
 }
 
-void FlowSystem::SendFromCaller(Caller& aCaller)
+void FlowSimulation::SendFromCaller(Caller& aCaller)
 {
   Balancer& balancer = Pick(mRandom, mBalancers);
   if (!balancer.mAlive) {
@@ -413,8 +413,8 @@
   }
 }
 
-void FlowSystem::DeliverToCaller(const Endpoint& aCaller, const Endpoint& aService,
-                                 const Bytes& aPayload)
+void FlowSimulation::DeliverToCaller(const Endpoint& aCaller, const Endpoint& aService,
+                                     const Bytes& aPayload)
 {
   Caller& caller = *mCallers.at(aCaller);
   const auto datagram = DecodeCallerDatagram(aPayload).value();
@@ -446,7 +446,7 @@
   }
 }
 
-void FlowSystem::RestartAgent(const std::string& aAgent)
+void FlowSimulation::RestartAgent(const std::string& aAgent)
 {
   Agent& agent = *mAgents[aAgent];
   if (!agent.mCore || agent.mStopping || agent.mResuming ||
@@ -459,7 +459,7 @@
   Perform(agent, std::move(actions));
 }
 
-void FlowSystem::StopProcess(Agent& aAgent, const std::string& aBackup)
+void FlowSimulation::StopProcess(Agent& aAgent, const std::string& aBackup)
 {
   aAgent.mCore.reset();
   Member& member = mView.mMembers[aAgent.mName];
@@ -473,12 +473,12 @@
           StartProcess(aAgent);
           FlowActions actions;
           aAgent.mCore->BeginResumption(aBackup, mNow, actions);
-          aAgent.mCore->OnState(mView, mConfiguration, mNow, actions);
+          aAgent.mCore->OnViewAndConfiguration(mView, mConfiguration, mNow, actions);
           Perform(aAgent, std::move(actions));
         });
 }
 
-void FlowSystem::RestartBalancer(const std::string& aBalancer)
+void FlowSimulation::RestartBalancer(const std::string& aBalancer)
 {
   Balancer& balancer = *mBalancers[aBalancer];
   if (!balancer.mAlive || mView.mMembers[aBalancer].mState != MemberState::Serving) {
@@ -496,7 +496,7 @@
   });
 }
 
-void FlowSystem::ChangeAtRandom()
+void FlowSimulation::ChangeAtRandom()
 {
   Agent& agent = Pick(mRandom, mAgents);
   const auto serving = std::count_if(mAgents.begin(), mAgents.end(), [&](const auto& aEntry) {
@@ -525,7 +525,7 @@
   }
 }
 
-bool FlowSystem::AllAcknowledged() const
+bool FlowSimulation::AllAcknowledged() const
 {
   return std::all_of(mAgents.begin(), mAgents.end(), [&](const auto& aEntry) {
     const auto service = mView.mServices.find(aEntry.second->mService);
@@ -534,7 +534,7 @@
   });
 }
 
-void FlowSystem::Settle()
+void FlowSimulation::Settle()
 {
   Run(Milliseconds(10'000));
   const TimePoint since = mNow;
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSimulation.h
@@ -14,7 +14,7 @@
 namespace dandelionslip {
 
 /// Faults of the simulated network.
-struct FlowSystemFaults
+struct FlowSimulationFaults
 {
   double mDatagramLoss = 0.01;
   double mPeerLoss = 0.05;
@@ -55,10 +55,10 @@
 };
 
 /// The simulated system. Every run with the same seed and calls is the same.
-class FlowSystem
+class FlowSimulation
 {
 public:
-  FlowSystem(std::uint64_t aSeed, FlowSystemFaults aFaults);
+  FlowSimulation(std::uint64_t aSeed, FlowSimulationFaults aFaults);
 
   void AddBalancer(const std::string& aName, const std::string& aDataCentre);
   void AddAgent(const std::string& aName, const std::string& aService,
@@ -151,7 +151,7 @@
   Agent* AgentAt(const Endpoint& aEndpoint);
 
   Random mRandom;
-  FlowSystemFaults mFaults;
+  FlowSimulationFaults mFaults;
   TimePoint mNow{std::chrono::seconds(1)};
   std::uint64_t mSequence = 0;
   std::map<std::pair<TimePoint, std::uint64_t>, Task> mTasks;
--- a/unittests/Agent/UpstreamAdmissionTest.cpp
+++ b/unittests/Agent/UpstreamAdmissionTest.cpp
@@ -22,7 +22,7 @@
 {
   while (aAdmission.State() == UpstreamState::Cold) {
     aNow += Milliseconds(100);
-    aAdmission.ObserveReply(aNow, Milliseconds(5));
+    aAdmission.ObserveAnswer(aNow, Milliseconds(5));
   }
 }
 
@@ -37,10 +37,10 @@
 
 // Applies random events to an admission. Counts the admitted work itself and asserts that it stays
 // within the limit that the time since the last reset to cold permits.
-class RandomInterleaving
+class RandomEventDriver
 {
 public:
-  explicit RandomInterleaving(std::uint64_t aSeed)
+  explicit RandomEventDriver(std::uint64_t aSeed)
     : mRandom(aSeed)
   {
     mSpec.mSlots = 16;
@@ -104,13 +104,13 @@
   CPPUNIT_TEST_SUITE(UpstreamAdmissionTest);
   CPPUNIT_TEST(LoadNeverExceedsTheBound);
   CPPUNIT_TEST(MisleadingEndpointsNeverRaiseTheLimit);
-  CPPUNIT_TEST(HealthyReportsDoNotHideAReturnToCold);
+  CPPUNIT_TEST(HealthyReportsDoNotHideAResetToCold);
   CPPUNIT_TEST(BadReportsLowerTheLimit);
   CPPUNIT_TEST(ColdUpstreamTakesFlowsSlowly);
   CPPUNIT_TEST(SimultaneousReconnectsAreRateLimited);
-  CPPUNIT_TEST(EstablishedFlowsSurviveAReturnToCold);
+  CPPUNIT_TEST(EstablishedFlowsSurviveAResetToCold);
   CPPUNIT_TEST(DrainingTakesNoNewWork);
-  CPPUNIT_TEST(RefusalsNameTheBound);
+  CPPUNIT_TEST(RefusalsNameTheLimitAndSpreadRetries);
   CPPUNIT_TEST(StateIsHandedOver);
   CPPUNIT_TEST_SUITE_END();
 
@@ -120,7 +120,7 @@
     std::uint32_t peakSlots = 0;
     std::uint32_t peakFlows = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      RandomInterleaving run(seed);
+      RandomEventDriver run(seed);
       for (int i = 0; i < 20'000; ++i) {
         run.Step();
       }
@@ -146,20 +146,20 @@
       for (int i = 0; i < 4'000; ++i) {
         now += Milliseconds(random.Below(100));
         const Milliseconds latency(5 + random.Below(3) + (random.Below(500) == 0 ? 500 : 0));
-        silent.ObserveReply(now, latency);
-        reported.ObserveReply(now, latency);
+        silent.ObserveAnswer(now, latency);
+        reported.ObserveAnswer(now, latency);
         reported.ReportLoad(now, loads[random.Below(loads.size())]);
         reported.ReportHealth(now, random.Below(3) != 0);
         const LoadLimit limit = reported.Limit(now);
-        CPPUNIT_ASSERT(limit == Smaller(limit, silent.Limit(now)));
-        CPPUNIT_ASSERT(silent.Ramp().Cold() == Smaller(limit, silent.Ramp().Cold()));
+        CPPUNIT_ASSERT(limit == ElementwiseMin(limit, silent.Limit(now)));
+        CPPUNIT_ASSERT(silent.Ramp().Cold() == ElementwiseMin(limit, silent.Ramp().Cold()));
         CPPUNIT_ASSERT(reported.UpdateWeight(now) <= silent.UpdateWeight(now));
       }
     }
   }
 
   // Guards against endpoint reports of low load and good health that hide a restart.
-  void HealthyReportsDoNotHideAReturnToCold()
+  void HealthyReportsDoNotHideAResetToCold()
   {
     TimePoint now = kStart;
     UpstreamAdmission admission(ServiceSpec{}, now);
@@ -168,7 +168,7 @@
       now += Milliseconds(10);
       admission.ReportHealth(now, true);
       admission.ReportLoad(now, 0.0);
-      admission.ObserveReply(now, Milliseconds(50));
+      admission.ObserveAnswer(now, Milliseconds(50));
     }
     CPPUNIT_ASSERT(admission.State() == UpstreamState::Cold);
     CPPUNIT_ASSERT(admission.Limit(now) == admission.Ramp().Cold());
@@ -247,7 +247,7 @@
 
   // Guards against breaking established flows when the limit falls, and against a service without
   // requests that could then never ramp up again.
-  void EstablishedFlowsSurviveAReturnToCold()
+  void EstablishedFlowsSurviveAResetToCold()
   {
     TimePoint now = kStart;
     UpstreamAdmission admission(ServiceSpec{}, now);
@@ -284,7 +284,7 @@
 
   // Guards against refusals that name the wrong limit, and against refused callers that retry at
   // the same time.
-  void RefusalsNameTheBound()
+  void RefusalsNameTheLimitAndSpreadRetries()
   {
     TimePoint now = kStart;
     UpstreamAdmission admission(ServiceSpec{}, now);
--- a/unittests/Agent/UpstreamStateMachineTest.cpp
+++ b/unittests/Agent/UpstreamStateMachineTest.cpp
@@ -24,15 +24,15 @@
       State mExpected;
     };
     const Step steps[] = {
-      {&Machine::OnReturnedToCold, State::Cold},
+      {&Machine::OnResetToCold, State::Cold},
       {&Machine::OnRampCompleted, State::Serving},
-      {&Machine::OnReturnedToCold, State::Cold},
+      {&Machine::OnResetToCold, State::Cold},
       {&Machine::OnDrain, State::Draining},
       {&Machine::OnRampCompleted, State::Draining},
       {&Machine::OnUndrain, State::Cold},
       {&Machine::OnRampCompleted, State::Serving},
       {&Machine::OnDrain, State::Draining},
-      {&Machine::OnReturnedToCold, State::Draining},
+      {&Machine::OnResetToCold, State::Draining},
       {&Machine::OnStop, State::Stopped},
       {&Machine::OnUndrain, State::Stopped},
       {&Machine::OnRampCompleted, State::Stopped},
--- a/unittests/Agent/WeightEstimatorTest.cpp
+++ b/unittests/Agent/WeightEstimatorTest.cpp
@@ -31,7 +31,7 @@
       simulation.Run(seconds(60));
       simulation.RestartSome(3);
       simulation.Run(seconds(120));
-      const auto measured = static_cast<std::ptrdiff_t>(180 * 4);
+      const auto measuredTicks = static_cast<std::ptrdiff_t>(180 * 4);
       simulation.Run(seconds(180));
       double widestSwing = 0;
       double busiest = 0;
@@ -40,18 +40,18 @@
         CPPUNIT_ASSERT(upstream.mAdmission.State() == UpstreamState::Serving);
         CPPUNIT_ASSERT(!upstream.mExceededShare);
         const auto& weights = upstream.mWeights;
-        const auto [low, high] = std::minmax_element(weights.end() - measured, weights.end());
+        const auto [low, high] = std::minmax_element(weights.end() - measuredTicks, weights.end());
         widestSwing = std::max(widestSwing, static_cast<double>(*high) / *low);
         const auto& total = upstream.mBusySeconds;
-        const double busy = total.back() - *(total.end() - 1 - measured);
+        const double busy = total.back() - *(total.end() - 1 - measuredTicks);
         busiest = std::max(busiest, busy);
         busySum += busy;
       }
       const double imbalance = busiest * 20 / busySum;
       // One step of the weight is a factor of 1.25; a larger range would be an oscillation.
-      CPPUNIT_ASSERT(widestSwing <= WeightEstimator::kStepFactor);
-      constexpr double kSteadyImbalance = 1.05;
-      CPPUNIT_ASSERT(imbalance <= kSteadyImbalance);
+      CPPUNIT_ASSERT(widestSwing <= WeightEstimator::kMaxStepFactor);
+      constexpr double kMaxImbalance = 1.05;
+      CPPUNIT_ASSERT(imbalance <= kMaxImbalance);
     }
   }
 
