--- a/include/dandelionslip/Agent/BucketDirectory.h
+++ b/include/dandelionslip/Agent/BucketDirectory.h
@@ -76,7 +76,7 @@
 class BucketDirectory
 {
 public:
-  explicit BucketDirectory(std::uint32_t aBuckets = 0);
+  explicit BucketDirectory(std::uint32_t aBucketCount = 0);
 
   std::uint32_t Buckets() const { return static_cast<std::uint32_t>(mBuckets.size()); }
   Bucket& At(std::uint32_t aBucket) { return mBuckets[aBucket]; }
@@ -111,8 +111,8 @@
   /// The bucket's entries, ordered by flow.
   std::vector<DirectoryEntry> Entries(std::uint32_t aBucket) const;
 
-  /// Examines the next aBuckets buckets and removes entries not confirmed for aTimeout.
-  void Expire(TimePoint aNow, Milliseconds aTimeout, std::uint32_t aBuckets);
+  /// Examines the next aMaxBuckets buckets and removes entries not confirmed for aTimeout.
+  void Expire(TimePoint aNow, Milliseconds aTimeout, std::uint32_t aMaxBuckets);
 
 private:
   std::vector<Bucket> mBuckets;
--- a/include/dandelionslip/Agent/UpstreamAdmission.h
+++ b/include/dandelionslip/Agent/UpstreamAdmission.h
@@ -84,9 +84,9 @@
 
 private:
   bool TakesNewWork() const;
-  /// Cold while the ramp, not the full limit, is the bound; else aReason.
-  RefusalReason RefusalReasonWhenFull(std::uint32_t aInUse, std::uint32_t aFull,
-                                      RefusalReason aReason) const;
+  /// Cold while the ramp, not the full limit, is the bound; else aReasonIfWarm.
+  RefusalReason RefusalReasonWhenFull(std::uint32_t aInUse, std::uint32_t aFullLimit,
+                                      RefusalReason aReasonIfWarm) const;
   void ResetToCold(TimePoint aNow, ColdReason aReason);
   void ApplyRamp(TimePoint aNow);
   void UpdateState();
--- a/lib/Agent/BucketDirectory.cpp
+++ b/lib/Agent/BucketDirectory.cpp
@@ -7,8 +7,8 @@
 
 namespace dandelionslip {
 
-BucketDirectory::BucketDirectory(std::uint32_t aBuckets)
-  : mBuckets(aBuckets)
+BucketDirectory::BucketDirectory(std::uint32_t aBucketCount)
+  : mBuckets(aBucketCount)
 {
 }
 
@@ -75,9 +75,9 @@
   }
 }
 
-void BucketDirectory::Expire(TimePoint aNow, Milliseconds aTimeout, std::uint32_t aBuckets)
+void BucketDirectory::Expire(TimePoint aNow, Milliseconds aTimeout, std::uint32_t aMaxBuckets)
 {
-  for (std::uint32_t i = 0; i < std::min(aBuckets, Buckets()); ++i) {
+  for (std::uint32_t i = 0; i < std::min(aMaxBuckets, Buckets()); ++i) {
     mLastExamined = (mLastExamined + 1) % Buckets();
     const auto isOld = [&](const auto& aEntry) {
       return aNow - aEntry.second.mConfirmedAt > aTimeout;
--- a/lib/Agent/FlowMessages.cpp
+++ b/lib/Agent/FlowMessages.cpp
@@ -34,7 +34,7 @@
 
 constexpr auto kDecoders = MakeDecoders(std::make_index_sequence<kTypes.size()>{});
 
-auto Refuse(std::string_view aSource, const char* aDetail)
+auto RejectMessage(std::string_view aSource, const char* aDetail)
 {
   return Fail(ErrorCode::InvalidInput, "peer_message.decode", std::string(aSource), aDetail);
 }
@@ -68,7 +68,7 @@
   const Json& message = json.value();
   if (!message.is_object() || message.size() != 2 || !message.contains("type") ||
       !message.contains("body") || !message["type"].is_string()) {
-    return Refuse(aSource, "expected an object with type and body");
+    return RejectMessage(aSource, "expected an object with type and body");
   }
   const auto& type = message["type"].get_ref<const std::string&>();
   for (std::size_t i = 0; i < kTypes.size(); ++i) {
@@ -76,7 +76,7 @@
       return kDecoders[i](message["body"], aSource);
     }
   }
-  return Refuse(aSource, "type: unknown message type");
+  return RejectMessage(aSource, "type: unknown message type");
 }
 
 } // namespace dandelionslip
--- a/lib/Agent/UpstreamAdmission.cpp
+++ b/lib/Agent/UpstreamAdmission.cpp
@@ -189,10 +189,11 @@
   return mState.State() == UpstreamState::Cold || mState.State() == UpstreamState::Serving;
 }
 
-RefusalReason UpstreamAdmission::RefusalReasonWhenFull(std::uint32_t aInUse, std::uint32_t aFull,
-                                                       RefusalReason aReason) const
+RefusalReason UpstreamAdmission::RefusalReasonWhenFull(std::uint32_t aInUse,
+                                                       std::uint32_t aFullLimit,
+                                                       RefusalReason aReasonIfWarm) const
 {
-  return aInUse < aFull && !mRamp.IsComplete() ? RefusalReason::Cold : aReason;
+  return aInUse < aFullLimit && !mRamp.IsComplete() ? RefusalReason::Cold : aReasonIfWarm;
 }
 
 void UpstreamAdmission::ResetToCold(TimePoint aNow, ColdReason aReason)
--- a/unittests/Agent/FlowPropertyTest.cpp
+++ b/unittests/Agent/FlowPropertyTest.cpp
@@ -29,34 +29,35 @@
   CPPUNIT_TEST(CheckerFailsWithoutResumption);
   CPPUNIT_TEST_SUITE_END();
 
-  static std::unique_ptr<FlowSimulation> MakeSystem(std::uint64_t aSeed,
-                                                    FlowSimulationFaults aFaults = {})
+  static std::unique_ptr<FlowSimulation> MakeSimulation(std::uint64_t aSeed,
+                                                        FlowSimulationFaults aFaults = {})
   {
-    auto system = std::make_unique<FlowSimulation>(aSeed, aFaults);
-    system->Publish("planner", {"127.0.2.1:80"});
-    system->Publish("render", {"127.0.2.2:80"});
+    auto simulation = std::make_unique<FlowSimulation>(aSeed, aFaults);
+    simulation->Publish("planner", {"127.0.2.1:80"});
+    simulation->Publish("render", {"127.0.2.2:80"});
     for (int i = 0; i < 6; ++i) {
-      system->AddAgent("planner-" + std::to_string(i), "planner", "dc-" + std::to_string(i % 3));
+      simulation->AddAgent("planner-" + std::to_string(i), "planner",
+                           "dc-" + std::to_string(i % 3));
     }
     for (int i = 0; i < 4; ++i) {
-      system->AddAgent("render-" + std::to_string(i), "render", "dc-" + std::to_string(i % 3));
+      simulation->AddAgent("render-" + std::to_string(i), "render", "dc-" + std::to_string(i % 3));
     }
     for (int i = 0; i < 3; ++i) {
-      system->AddBalancer("balancer-" + std::to_string(i), "dc-" + std::to_string(i));
+      simulation->AddBalancer("balancer-" + std::to_string(i), "dc-" + std::to_string(i));
     }
-    system->AddCallers("127.0.2.1:80", 120);
-    system->AddCallers("127.0.2.2:80", 40);
-    return system;
+    simulation->AddCallers("127.0.2.1:80", 120);
+    simulation->AddCallers("127.0.2.2:80", 40);
+    return simulation;
   }
 
-  static void Churn(FlowSimulation& aSystem)
+  static void Churn(FlowSimulation& aSimulation)
   {
-    aSystem.Run(Milliseconds(5'000));
+    aSimulation.Run(Milliseconds(5'000));
     for (int i = 0; i < 40; ++i) {
-      aSystem.ChangeAtRandom();
-      aSystem.Run(Milliseconds(i % 3 == 0 ? 50 : 700));
+      aSimulation.ChangeAtRandom();
+      aSimulation.Run(Milliseconds(i % 3 == 0 ? 50 : 700));
     }
-    aSystem.Settle();
+    aSimulation.Settle();
   }
 
   static std::string Describe(std::uint64_t aSeed, const std::vector<std::string>& aViolations)
@@ -76,16 +77,16 @@
     std::size_t redirects = 0;
     std::size_t resumptions = 0;
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
-      const auto system = MakeSystem(seed);
-      Churn(*system);
-      const auto violations = CheckFlowHistory(system->History());
+      const auto simulation = MakeSimulation(seed);
+      Churn(*simulation);
+      const auto violations = CheckFlowHistory(simulation->History());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, violations), violations.empty());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"bucket transfers never finished"}),
-                             system->AllAcknowledged());
-      CPPUNIT_ASSERT(system->EstablishedSessions() > 160);
-      transfers += system->TransfersWithFlows();
-      redirects += system->RedirectedFlows();
-      resumptions += system->Resumptions();
+                             simulation->AllAcknowledged());
+      CPPUNIT_ASSERT(simulation->EstablishedSessions() > 160);
+      transfers += simulation->TransfersWithFlows();
+      redirects += simulation->RedirectedFlows();
+      resumptions += simulation->Resumptions();
     }
     // Checks that the runs exercised transfers, redirects and resumptions.
     CPPUNIT_ASSERT(transfers > SeedCount());
@@ -97,12 +98,12 @@
   void SeedsThatFailedBefore()
   {
     for (const std::uint64_t seed : {std::uint64_t{123}}) {
-      const auto system = MakeSystem(seed);
-      Churn(*system);
-      const auto violations = CheckFlowHistory(system->History());
+      const auto simulation = MakeSimulation(seed);
+      Churn(*simulation);
+      const auto violations = CheckFlowHistory(simulation->History());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, violations), violations.empty());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, {"bucket transfers never finished"}),
-                             system->AllAcknowledged());
+                             simulation->AllAcknowledged());
     }
   }
 
@@ -111,16 +112,16 @@
   void OtherFlowsSurviveDataCentreOut()
   {
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
-      const auto system = MakeSystem(seed);
-      system->Run(Milliseconds(5'000));
+      const auto simulation = MakeSimulation(seed);
+      simulation->Run(Milliseconds(5'000));
       for (int round = 0; round < 3; ++round) {
-        system->SetDataCentreOut("dc-1", true);
-        system->Run(Milliseconds(4'000));
-        system->SetDataCentreOut("dc-1", false);
-        system->Run(Milliseconds(3'000));
+        simulation->SetDataCentreOut("dc-1", true);
+        simulation->Run(Milliseconds(4'000));
+        simulation->SetDataCentreOut("dc-1", false);
+        simulation->Run(Milliseconds(3'000));
       }
-      system->Settle();
-      const auto violations = CheckFlowHistory(system->History());
+      simulation->Settle();
+      const auto violations = CheckFlowHistory(simulation->History());
       CPPUNIT_ASSERT_MESSAGE(Describe(seed, violations), violations.empty());
     }
   }
@@ -131,19 +132,19 @@
   void ReusedAddressNeverMixesServices()
   {
     for (std::uint64_t seed = 1; seed <= SeedCount(); ++seed) {
-      const auto system = MakeSystem(seed);
-      system->Run(Milliseconds(4'000));
-      const std::size_t eventsBeforeChange = system->History().size();
-      system->Publish("planner", {"127.0.2.3:80"});
-      system->Publish("render", {"127.0.2.1:80", "127.0.2.2:80"});
-      system->Run(Milliseconds(1'000));
-      const std::size_t eventsWhenApplied = system->History().size();
-      system->Run(Milliseconds(4'000));
+      const auto simulation = MakeSimulation(seed);
+      simulation->Run(Milliseconds(4'000));
+      const std::size_t eventsBeforeChange = simulation->History().size();
+      simulation->Publish("planner", {"127.0.2.3:80"});
+      simulation->Publish("render", {"127.0.2.1:80", "127.0.2.2:80"});
+      simulation->Run(Milliseconds(1'000));
+      const std::size_t eventsWhenApplied = simulation->History().size();
+      simulation->Run(Milliseconds(4'000));
       std::map<std::uint64_t, std::set<std::string>> services;
       std::map<std::uint64_t, std::size_t> firstEvents;
       std::set<std::uint64_t> checkedSessions;
-      for (std::size_t i = 0; i < system->History().size(); ++i) {
-        const FlowEvent& event = system->History()[i];
+      for (std::size_t i = 0; i < simulation->History().size(); ++i) {
+        const FlowEvent& event = simulation->History()[i];
         const std::size_t first = firstEvents.emplace(event.mSession, i).first->second;
         if (event.mKind == FlowEventKind::Established &&
             (i < eventsBeforeChange || first > eventsWhenApplied)) {
@@ -165,9 +166,9 @@
   {
     FlowSimulationFaults faults;
     faults.mTransferDisabled = true;
-    const auto system = MakeSystem(1, faults);
-    Churn(*system);
-    CPPUNIT_ASSERT(!CheckFlowHistory(system->History()).empty());
+    const auto simulation = MakeSimulation(1, faults);
+    Churn(*simulation);
+    CPPUNIT_ASSERT(!CheckFlowHistory(simulation->History()).empty());
   }
 
   // Guards against a checker that does not notice flows lost in a restart.
@@ -175,9 +176,9 @@
   {
     FlowSimulationFaults faults;
     faults.mResumptionDisabled = true;
-    const auto system = MakeSystem(1, faults);
-    Churn(*system);
-    CPPUNIT_ASSERT(!CheckFlowHistory(system->History()).empty());
+    const auto simulation = MakeSimulation(1, faults);
+    Churn(*simulation);
+    CPPUNIT_ASSERT(!CheckFlowHistory(simulation->History()).empty());
   }
 };
 
