--- a/include/dandelionslip/Agent/FlowActions.h
+++ b/include/dandelionslip/Agent/FlowActions.h
@@ -51,7 +51,7 @@
 struct FetchView
 {};
 
-/// The backup has acknowledged the state; announce the backup and exit.
+/// The handover has ended; announce the backup, if there is one, and exit.
 struct HandoverDone
 {
   std::string mBackup; ///< Empty when no other agent could take the state.
@@ -60,7 +60,7 @@
 /// The resumption has ended; the agent may announce itself as serving.
 struct ResumptionDone
 {
-  Json mAdmission; ///< As passed to BeginHandover; null when no state was found.
+  Json mAdmissionSnapshot; ///< As passed to BeginHandover; null when no state was found.
 };
 
 using FlowAction = std::variant<SendDatagram, OpenUpstreamPort, SendToUpstream, CloseUpstreamPort,
--- a/include/dandelionslip/Agent/LoadLimit.h
+++ b/include/dandelionslip/Agent/LoadLimit.h
@@ -11,18 +11,18 @@
 struct LoadLimit
 {
   std::uint32_t mSlots = 0;       ///< Requests running.
-  std::uint32_t mConnections = 0; ///< Flows open.
+  std::uint32_t mConnections = 0; ///< Open flows; services and metrics call them connections.
 
   bool operator==(const LoadLimit&) const = default;
 };
 
 /// The limit of an upstream that is warm.
-LoadLimit FullLimit(const ServiceSpec& aSpec);
+LoadLimit FullLoadLimit(const ServiceSpec& aSpec);
 
 /// The limit of an upstream in cold start, not above the full limit.
 LoadLimit ColdLoadLimit(const ServiceSpec& aSpec);
 
 /// The element-wise minimum of two limits.
-LoadLimit Smaller(const LoadLimit& aFirst, const LoadLimit& aSecond);
+LoadLimit ElementwiseMin(const LoadLimit& aFirst, const LoadLimit& aSecond);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Agent/WeightEstimator.h
+++ b/include/dandelionslip/Agent/WeightEstimator.h
@@ -15,9 +15,12 @@
 class WeightEstimator
 {
 public:
+  /// Time constant of the smoothed completion rate.
   static constexpr Milliseconds kTimeConstant{10'000};
+  /// Shortest time between two changes of the weight, and between two samples of the rate.
   static constexpr Milliseconds kStepInterval{1'000};
-  static constexpr double kStepFactor = 1.25;
+  /// Largest factor by which one change raises or lowers the weight, or one sample the rate.
+  static constexpr double kMaxStepFactor = 1.25;
 
   explicit WeightEstimator(TimePoint aNow);
 
@@ -33,7 +36,7 @@
   void SetServiceMean(double aCompletionRate);
 
   /// Advances the estimate to aNow and returns the weight to announce. aRampShare (0 to 1) bounds
-  /// the weight of a cold upstream at once; the weight grows by at most kStepFactor a second.
+  /// the weight of a cold upstream at once; the weight grows by at most kMaxStepFactor a second.
   std::uint32_t Update(TimePoint aNow, double aRampShare);
 
   /// Smoothed successes a second of one busy slot; 0 while unknown.
@@ -52,7 +55,7 @@
   void StepTowards(TimePoint aNow, std::uint32_t aTarget);
 
   std::uint32_t mSlotsInUse = 0;
-  TimePoint mOccupiedAt;
+  TimePoint mBusyTimeUntil; ///< Up to here busy time is in mBusySeconds.
   double mBusySeconds = 0;
   std::uint32_t mSuccesses = 0;
   std::uint32_t mCompletions = 0;
@@ -61,6 +64,7 @@
   double mServiceMean = 0;
   TimePoint mSteppedAt;
   std::uint32_t mWeight = 0;
+  /// The weight has reached its target; changes within the dead band are then ignored.
   bool mSettled = false;
 };
 
--- a/lib/Agent/EndpointReports.cpp
+++ b/lib/Agent/EndpointReports.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// When a report expires, the limit rises by a factor of at most 1.25, the largest step of the ramp.
+// When a load report expires, the limit rises by a factor of at most 1.25, the largest step of the
+// ramp.
 constexpr double kSmallestFactor = 0.8;
 
 // Time constant with which the limit follows reports: late reports must not make it oscillate.
@@ -33,8 +34,8 @@
   if (std::isnan(aLoad)) {
     return;
   }
-  mFactor = LoadFactor(aNow);
-  mTarget = aLoad > 1.0 ? std::max(kSmallestFactor, 1.0 / aLoad) : 1.0;
+  mFactorAtReport = LoadFactor(aNow);
+  mTargetFactor = aLoad > 1.0 ? std::max(kSmallestFactor, 1.0 / aLoad) : 1.0;
   mLoadAt = aNow;
 }
 
@@ -42,7 +43,7 @@
                                  const LoadLimit& aCold) const
 {
   if (!mHealthy && aNow - mHealthAt <= kReportLifetime) {
-    return Smaller(aLimit, aCold);
+    return ElementwiseMin(aLimit, aCold);
   }
   const double factor = LoadFactor(aNow);
   return {Scaled(aLimit.mSlots, aCold.mSlots, factor),
@@ -55,7 +56,8 @@
     return 1.0;
   }
   const double elapsed = std::chrono::duration<double>(aNow - mLoadAt).count();
-  return mTarget + (mFactor - mTarget) * std::exp(-std::max(0.0, elapsed) / kSmoothingSeconds);
+  return mTargetFactor +
+         (mFactorAtReport - mTargetFactor) * std::exp(-std::max(0.0, elapsed) / kSmoothingSeconds);
 }
 
 } // namespace dandelionslip
--- a/unittests/Agent/FlowSystem.h
+++ b/unittests/Agent/FlowSimulation.h
@@ -14,13 +14,14 @@
 namespace dandelionslip {
 
 /// Faults of the simulated network.
-struct FlowSystemFaults
+struct FlowSimulationFaults
 {
   double mDatagramLoss = 0.01;
   double mPeerLoss = 0.05;
   Milliseconds mPeerDelay{50};
   // With these two faults flows break, which shows that the checker can fail.
-  bool mTransferDisabled = false;   ///< Transferred directories arrive empty.
+  /// Transferred directories arrive empty, and directory updates are lost.
+  bool mTransferDisabled = false;
   bool mResumptionDisabled = false; ///< Resumed agents get no flows back.
 };
 
@@ -54,10 +55,10 @@
 };
 
 /// The simulated system. Every run with the same seed and calls is the same.
-class FlowSystem
+class FlowSimulation
 {
 public:
-  FlowSystem(std::uint64_t aSeed, FlowSystemFaults aFaults);
+  FlowSimulation(std::uint64_t aSeed, FlowSimulationFaults aFaults);
 
   void AddBalancer(const std::string& aName, const std::string& aDataCentre);
   void AddAgent(const std::string& aName, const std::string& aService,
@@ -78,8 +79,8 @@
 
   void Run(Milliseconds aTime);
 
-  /// Waits until planned changes have finished, then records established sessions that get no
-  /// reply.
+  /// Runs for 10 s, in which planned changes should finish, then for 3 s more, and records the
+  /// established sessions that got no reply in these 3 s.
   void Settle();
 
   bool AllAcknowledged() const;
@@ -150,7 +151,7 @@
   Agent* AgentAt(const Endpoint& aEndpoint);
 
   Random mRandom;
-  FlowSystemFaults mFaults;
+  FlowSimulationFaults mFaults;
   TimePoint mNow{std::chrono::seconds(1)};
   std::uint64_t mSequence = 0;
   std::map<std::pair<TimePoint, std::uint64_t>, Task> mTasks;
