--- a/include/dandelionslip/Daemon/AgentDaemon.h
+++ b/include/dandelionslip/Daemon/AgentDaemon.h
@@ -1,4 +1,5 @@
-// The agent as a process.
+// The agent as a process, for callers that send datagrams and HTTP/2 requests; dandelionslip-agent
+// runs it. For the packet agent of a platform see PacketDaemons.h.
 #pragma once
 
 #include "dandelionslip/Config/AgentSettings.h"
--- a/include/dandelionslip/Daemon/BalancerDaemon.h
+++ b/include/dandelionslip/Daemon/BalancerDaemon.h
@@ -1,4 +1,5 @@
-// The balancer as a process.
+// The balancer as a process, for callers that send datagrams and HTTP/2 requests;
+// dandelionslip-balancer runs it. For the packet balancer of a platform see PacketDaemons.h.
 #pragma once
 
 #include "dandelionslip/Config/BalancerSettings.h"
--- a/include/dandelionslip/Daemon/ControlDaemon.h
+++ b/include/dandelionslip/Daemon/ControlDaemon.h
@@ -7,7 +7,7 @@
 
 namespace dandelionslip {
 
-/// Options of a control replica's start.
+/// Options for starting a control replica.
 struct ControlStart
 {
   /// Writes the first membership from the settings to an empty data folder. Only for a new group:
--- a/include/dandelionslip/Daemon/ControlInterface.h
+++ b/include/dandelionslip/Daemon/ControlInterface.h
@@ -1,4 +1,5 @@
-// Interface between a control replica and its adapter, which serves operators' requests.
+// Interface between a control replica and a platform's adapter, which serves the platform's own
+// operator API.
 #pragma once
 
 #include "dandelionslip/Model/Command.h"
@@ -19,8 +20,9 @@
 public:
   virtual ~ControlInterface() = default;
 
-  /// Proposes the command here or at the leader, and repeats it under the same publication id until
-  /// it is decided or the time is over. The callback runs once.
+  /// Proposes the command at this replica if it leads, else at the leader, and resends it under the
+  /// same publication id until it is decided or the submit timeout (900 ms) has passed. The
+  /// callback runs once.
   virtual void Submit(Command aCommand, std::function<void(const CommandAnswer&)> aCallback) = 0;
 
   /// The published text of the newest route table. Errors: Unavailable when no quorum has confirmed
--- a/include/dandelionslip/Daemon/OperatorClient.h
+++ b/include/dandelionslip/Daemon/OperatorClient.h
@@ -28,10 +28,13 @@
   /// or aTimeout has passed.
   CommandAnswer Send(const RaftMembershipChange& aChange, Milliseconds aTimeout);
 
-  /// The status of each replica, or the error if it does not answer, keyed by endpoint.
+  /// The status of each replica, or the error if it does not answer, keyed by endpoint. aTimeout
+  /// applies to each replica.
   Json Status(Milliseconds aTimeout);
 
-  /// The newest confirmed configuration. Unavailable when no replica confirms one.
+  /// The configuration of the first replica whose state a quorum has confirmed. aTimeout applies to
+  /// each replica. Without such a replica it fails with the last transport or decoding error, or
+  /// with Unavailable if all replicas answered.
   Result<Configuration> FetchConfiguration(Milliseconds aTimeout);
 
 private:
--- a/include/dandelionslip/Daemon/PacketNodeInterface.h
+++ b/include/dandelionslip/Daemon/PacketNodeInterface.h
@@ -42,7 +42,7 @@
   virtual ~PacketNodeAdapter() = default;
 };
 
-template <typename Calls>
-using PacketAdapterFactory = std::function<Result<std::unique_ptr<PacketNodeAdapter>>(Calls&)>;
+template <typename Interface>
+using PacketAdapterFactory = std::function<Result<std::unique_ptr<PacketNodeAdapter>>(Interface&)>;
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Daemon/RequestRecordTransfer.h
+++ b/include/dandelionslip/Daemon/RequestRecordTransfer.h
@@ -1,4 +1,4 @@
-// Transfers an agent's request records together with its flow directory.
+// Exports and imports an agent's request records for the bucket transfers of the flow core.
 #pragma once
 
 #include "dandelionslip/Agent/BucketRecords.h"
@@ -11,12 +11,12 @@
 /// Connects the bucket transfer of the flow core to the records of the request core. Not
 /// thread-safe.
 ///
-/// Every transfer raises the generation of the bucket's records by one, so that the request core
-/// recognises outdated messages. This generation is not the generation of the assignment. The new
-/// owner of a lost agent's bucket does not know the last value. It takes the wall clock in seconds,
-/// which is above any count of transfers, or its own value plus one if that is higher. An owner
-/// that already has a higher value than a transfer message ignores the message and starts without
-/// records.
+/// Every transfer raises the record generation of the bucket by one, so that the request core
+/// recognises outdated messages. The record generation is a number of its own, not the generation
+/// of the bucket assignment. The new owner of a lost agent's bucket does not know the last record
+/// generation. It takes the wall clock in seconds, which is above any count of transfers, or one
+/// above the record generation that it knows if that is greater. An owner that already has a higher
+/// record generation than a transfer message ignores the message and starts without records.
 class RequestRecordTransfer : public BucketRecords
 {
 public:
--- a/include/dandelionslip/Daemon/WorkerPool.h
+++ b/include/dandelionslip/Daemon/WorkerPool.h
@@ -22,18 +22,18 @@
 
   boost::asio::io_context& Loop();
 
-  /// Sets the function that SIGTERM and SIGINT call; it must lead to a call of Exit. Without it the
-  /// loop stops at once.
+  /// Sets the function that runs on SIGTERM or SIGINT; it must call Exit, at once or later. Without
+  /// it the loop stops at once.
   void OnStop(std::function<void()> aFunction);
 
-  /// Sets the function that SIGHUP calls, after which the settings may have changed. Without it the
+  /// Sets the function that runs on SIGHUP, the signal to read the settings again. Without it the
   /// signal is only logged.
   void OnReload(std::function<void()> aFunction);
 
   /// Makes Run return with an exit code.
   void Exit(int aCode);
 
-  /// Blocks until Exit and returns its code.
+  /// Blocks until the loop stops. Returns the code that Exit got, or 0 without a call of Exit.
   int Run();
 
 private:
--- a/lib/Daemon/AgentDaemon.cpp
+++ b/lib/Daemon/AgentDaemon.cpp
@@ -49,6 +49,7 @@
 
   void Finished(TimePoint aNow, RuntimeClock::duration aLatency, RunResult aResult) override
   {
+    // Indexed by RunResult.
     static constexpr std::array<CompletionResult, 4> kResults{
       CompletionResult::Success, CompletionResult::Failed, CompletionResult::Shed,
       CompletionResult::Cancelled};
@@ -77,7 +78,7 @@
     , mPool(aSettings.mWorkers)
     , mClients(mPool.Loop())
     , mLink(mPool.Loop(), mClients, aSettings, mRegistry,
-            {[this] { return Announce(); },
+            {[this] { return MakeAnnouncement(); },
              [this](const auto& aAnswer, const auto& aState, TimePoint aSentAt) {
                OnAnnouncementAnswer(aAnswer, aState, aSentAt);
              }})
@@ -216,7 +217,7 @@
 
   // --- Control ---
 
-  Announcement Announce()
+  Announcement MakeAnnouncement()
   {
     Announcement announcement;
     Member& member = announcement.mMember;
@@ -535,7 +536,8 @@
     });
   }
 
-  // Sends the newest state to a balancer that does not reach control.
+  // Sends the newest state to a balancer that does not reach control. mConfirmed says here only
+  // that this agent has a state; no quorum is contacted.
   void OnStateRequest(const std::shared_ptr<HttpExchange>& aExchange)
   {
     AnnouncementAnswer answer;
@@ -635,7 +637,6 @@
     const auto client = mClients.ClientFor(mSettings.mUpstreamRequestEndpoint);
     const auto timeout = std::max(aAction.mRemaining, Milliseconds(1));
     const RunId run = aAction.mRun;
-    // Send only posts the request; its callback waits for this mutex, so the entry is stored first.
     const std::lock_guard lock(mRunsMutex);
     mRuns[run] = {client, client->Send(std::move(request), timeout, [this, run](auto aResult) {
                     RemoveRun(run);
@@ -775,16 +776,16 @@
   void Stop()
   {
     mStopBy = RuntimeClock::now() + mSettings.mStopDeadline;
-    bool running = false;
+    bool hasOwnState = false;
     {
       const std::lock_guard lock(mMutex);
-      running = mFlowCore != nullptr && !mResuming;
-      if (running) {
+      hasOwnState = mFlowCore != nullptr && !mResuming;
+      if (hasOwnState) {
         mStopState = MemberState::Draining;
         mAdmission->Drain();
       }
     }
-    if (!running) {
+    if (!hasOwnState) {
       mPool.Exit(0);
       return;
     }
@@ -816,6 +817,8 @@
     });
   }
 
+  // --- Metrics ---
+
   void RefreshMetrics()
   {
     mRegistry.GaugeFor("dandelionslip_control_bytes")
@@ -874,14 +877,17 @@
   /// For each flow the time at which its oldest datagram without a reply went to the upstream.
   std::unordered_map<FlowId, TimePoint> mOldestUnanswered;
   TimePoint mLeaseEnd;
-  bool mFlowCoreHasLease = false; ///< The flow core was not told yet of the newest lease's end.
+  /// Whether the flow core was told of a lease and not yet of its expiry.
+  bool mFlowCoreHasLease = false;
   std::optional<MemberState> mStopState;
   std::string mBackup;
   bool mResuming = false;
   View mLastView;
   Configuration mConfiguration;
   std::mutex mRunsMutex; ///< Guards mRuns.
-  /// The HTTP/2 client and its request id of each run in progress.
+  /// The HTTP/2 client and its request id of each run in progress. Send, which only posts the
+  /// request, is called with mRunsMutex held. Its callback locks the mutex in RemoveRun, so an
+  /// entry is stored before it is removed.
   std::map<RunId, std::pair<std::shared_ptr<Http2Client>, std::uint64_t>> mRuns;
   std::atomic<ReplyHandle> mNextHandle{1};
   TimePoint mStopBy;
--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -98,7 +98,7 @@
     , mPool(aSettings.mWorkers)
     , mClients(mPool.Loop())
     , mLink(mPool.Loop(), mClients, aSettings, mRegistry,
-            {[this] { return Announce(); },
+            {[this] { return MakeAnnouncement(); },
              [this](const auto& aAnswer, const auto& aState, TimePoint aSentAt) {
                OnAnnouncementAnswer(aAnswer, aState, aSentAt);
              }})
@@ -151,7 +151,7 @@
     std::unique_ptr<Http2Server> mRequests;
   };
 
-  Announcement Announce()
+  Announcement MakeAnnouncement()
   {
     Announcement announcement;
     Member& member = announcement.mMember;
--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -36,7 +36,9 @@
 constexpr Milliseconds kForwardTimeout{500}; // For the leader's answer to a forwarded command.
 // Interval of the join requests of a replica that has no vote yet.
 constexpr Milliseconds kNonVoterJoinInterval{200};
-// Interval of the join requests of a voter; below ReplicaRepairSettings::mJoinLifetime.
+// A voter repeats its join request too: the leader then deletes the requests of other identities at
+// the same address, which would mark the voter as replaceable. Below
+// ReplicaRepairSettings::mJoinLifetime.
 constexpr Milliseconds kVoterJoinInterval{800};
 constexpr Milliseconds kReplicaCheckInterval{100};
 constexpr int kFatalExit = 3;
@@ -142,7 +144,7 @@
 }
 
 class ControlDaemon
-  : public RaftListener
+  : public RaftStateMachine
   , public ControlInterface
 {
 public:
@@ -152,7 +154,7 @@
     , mClients(mPool.Loop())
     , mRaft(mPool.Loop(), mClients, *this, aSettings.mEndpoint, std::move(aStore),
             RaftSettingsFrom(aSettings), aSettings.mSnapshotEntries, aRandom)
-    , mMembership(mRaft.Self(), MembershipSettingsFrom(aSettings))
+    , mMembershipCore(mRaft.Self(), MembershipSettingsFrom(aSettings))
     , mRepairPlanner(RepairSettingsFrom(aSettings))
   {
   }
@@ -205,7 +207,7 @@
     CommandAnswer answer;
     {
       const std::lock_guard lock(mMutex);
-      answer = mMembership.OnCommitted(aEntry.mIndex, command.value());
+      answer = mMembershipCore.OnCommitted(aEntry.mIndex, command.value());
       mLastAnswer = answer;
     }
     mRegistry
@@ -227,13 +229,13 @@
       return state.as_failure();
     }
     const std::lock_guard lock(mMutex);
-    return mMembership.OnSnapshot(state.value());
+    return mMembershipCore.OnSnapshot(state.value());
   }
 
   Bytes EncodeState() override
   {
     const std::lock_guard lock(mMutex);
-    return EncodeCbor(mMembership.Store().Snapshot());
+    return EncodeCbor(mMembershipCore.Store().Snapshot());
   }
 
   void OnRole(RaftRole aRole, Term aTerm, const std::string& aLeader,
@@ -246,7 +248,7 @@
       }
     }
     const std::lock_guard lock(mMutex);
-    mMembership.OnRoleChange(change, RuntimeClock::now());
+    mMembershipCore.OnRoleChange(change, RuntimeClock::now());
     if (change.mLeading && mNewestLedTerm != aTerm) {
       mNewestLedTerm = aTerm;
       mRepairPlanner.OnBecameLeader(RuntimeClock::now());
@@ -279,10 +281,10 @@
                   "no quorum has confirmed this replica's state recently");
     }
     const std::lock_guard lock(mMutex);
-    if (mMembership.Store().Current().mRoutes.mVersion == 0) {
+    if (mMembershipCore.Store().Current().mRoutes.mVersion == 0) {
       return Fail(ErrorCode::NotFound, "routes.read", "", "no route table was published yet");
     }
-    return mMembership.Store().RouteDocument();
+    return mMembershipCore.Store().RouteDocument();
   }
 
   boost::asio::io_context& Loop() override { return mPool.Loop(); }
@@ -321,18 +323,18 @@
 
   void RefreshMetrics()
   {
-    const Json status = mRaft.Report();
+    const Json status = mRaft.StatusJson();
     mRegistry.GaugeFor("dandelionslip_raft_term").Set(status["term"].get<double>());
     mRegistry.GaugeFor("dandelionslip_raft_commit_index").Set(status["commit_index"].get<double>());
     mRegistry.GaugeFor("dandelionslip_raft_leader").Set(status["role"] == "leader" ? 1 : 0);
     mRegistry.GaugeFor("dandelionslip_raft_confirmed").Set(status["confirmed"] == true ? 1 : 0);
     const std::lock_guard lock(mMutex);
     mRegistry.GaugeFor("dandelionslip_configuration_revision")
-      .Set(static_cast<double>(mMembership.Store().Current().mRevision));
+      .Set(static_cast<double>(mMembershipCore.Store().Current().mRevision));
     mRegistry.GaugeFor("dandelionslip_view_revision")
-      .Set(static_cast<double>(mMembership.CurrentView().mRevision));
+      .Set(static_cast<double>(mMembershipCore.CurrentView().mRevision));
     mRegistry.GaugeFor("dandelionslip_view_members")
-      .Set(static_cast<double>(mMembership.CurrentView().mMembers.size()));
+      .Set(static_cast<double>(mMembershipCore.CurrentView().mMembers.size()));
   }
 
   void OnTick()
@@ -341,7 +343,7 @@
     std::vector<MembershipAction> actions;
     {
       const std::lock_guard lock(mMutex);
-      actions = mMembership.OnTick(RuntimeClock::now());
+      actions = mMembershipCore.OnTick(RuntimeClock::now());
     }
     for (auto& action : actions) {
       std::visit([this](auto& aAction) { Send(aAction); }, action);
@@ -384,8 +386,9 @@
     CallAfter(mPool.Loop(), kResubmitDelay, [this, aCall] { TrySubmit(aCall); });
   }
 
-  // Whether commands must wait for more voters. A first route table that is accepted before the
-  // group has all its voters could be lost with fewer disks than the deployment must survive.
+  // Whether commands must wait for more voters. As long as no route table is published, they wait
+  // until the group has all its voters. Otherwise the first table could be lost with fewer disks
+  // than the deployment is built to lose at once.
   bool MustAwaitVoters()
   {
     if (mSettings.mTargetVoters == 0) {
@@ -393,7 +396,8 @@
     }
     const std::size_t voters = mRaft.Members().VoterCount();
     const std::lock_guard lock(mMutex);
-    return mMembership.Store().Current().mRoutes.mVersion == 0 && voters < mSettings.mTargetVoters;
+    return mMembershipCore.Store().Current().mRoutes.mVersion == 0 &&
+           voters < mSettings.mTargetVoters;
   }
 
   void ProposeCommand(const Bytes& aBody, std::function<void(const CommandAnswer&)> aCallback)
@@ -418,7 +422,7 @@
       mJoinSentAt = now;
       SendJoin(members);
     }
-    mRaft.MaintainMembers([this](const RaftCore& aCore, TimePoint aNow) {
+    mRaft.MaintainReplicas([this](const RaftCore& aCore, TimePoint aNow) {
       const std::lock_guard lock(mMutex);
       return mRepairPlanner.Next({aCore.Members(), mRaft.Self(), aCore.CommitIndex(),
                                   [&](const ReplicaId& aId) { return aCore.MatchIndexOf(aId); }},
@@ -492,7 +496,7 @@
         return;
       }
       const std::lock_guard lock(mMutex);
-      (mMembership.*aHandler)(answer.value());
+      (mMembershipCore.*aHandler)(answer.value());
     });
   }
 
@@ -541,7 +545,7 @@
     AnnouncementAnswer answer;
     {
       const std::lock_guard lock(mMutex);
-      answer = mMembership.OnAnnouncement(*announcement, confirmed, RuntimeClock::now());
+      answer = mMembershipCore.OnAnnouncement(*announcement, confirmed, RuntimeClock::now());
     }
     if (confirmed) {
       for (const auto& [id, info] : mRaft.Members().mReplicas) {
@@ -577,7 +581,7 @@
     SummaryAnswer answer;
     {
       const std::lock_guard lock(mMutex);
-      answer = mMembership.OnSummary(summary.value(), RuntimeClock::now());
+      answer = mMembershipCore.OnSummary(summary.value(), RuntimeClock::now());
     }
     RespondCbor(*aExchange, answer);
   }
@@ -592,7 +596,7 @@
     ViewUpdateAnswer answer;
     {
       const std::lock_guard lock(mMutex);
-      answer = mMembership.OnViewUpdate(update.value());
+      answer = mMembershipCore.OnViewUpdate(update.value());
     }
     RespondCbor(*aExchange, answer);
   }
@@ -604,8 +608,8 @@
     answer.mConfirmed = mRaft.Confirmed();
     if (answer.mConfirmed) {
       const std::lock_guard lock(mMutex);
-      answer.mConfiguration = mMembership.Store().Current();
-      answer.mView = mMembership.CurrentView();
+      answer.mConfiguration = mMembershipCore.Store().Current();
+      answer.mView = mMembershipCore.CurrentView();
       answer.mConfigurationRevision = answer.mConfiguration->mRevision;
       answer.mViewRevision = answer.mView->mRevision;
     }
@@ -627,7 +631,9 @@
                    [aExchange](const auto& aAnswer) { RespondCbor(*aExchange, aAnswer); });
   }
 
-  // Runs on the Raft strand right after OnCommand for the same entry, so mLastAnswer is its answer.
+  // Runs on the Raft strand. For a command it runs right after OnCommand for the same entry, so
+  // mLastAnswer is its answer. A membership change has no OnCommand: mLastAnswer then belongs to an
+  // earlier command, and OnReplicaRequest replaces the returned answer.
   CommandAnswer AnswerFor(const Result<ProposalOutcome>& aResult)
   {
     if (!aResult) {
@@ -661,20 +667,21 @@
 
   void OnStatusRequest(const std::shared_ptr<HttpExchange>& aExchange)
   {
-    Json status = mRaft.Report();
+    Json status = mRaft.StatusJson();
     status["node"] = mSettings.mNode;
     status["leader_endpoint"] = mRaft.LeaderAddress();
     {
       const std::lock_guard lock(mMutex);
-      status["configuration"] = ToJson(mMembership.Store().Current());
-      status["view"] = ToJson(mMembership.CurrentView());
+      status["configuration"] = ToJson(mMembershipCore.Store().Current());
+      status["view"] = ToJson(mMembershipCore.CurrentView());
     }
     HttpResponse response;
     response.mBody = EncodeCbor(status);
     aExchange->Respond(std::move(response));
   }
 
-  // Transfers leadership, lets open requests end and exits.
+  // Transfers leadership, waits for the minimal election timeout so that a new leader can be
+  // elected, then for one heartbeat interval so that open requests can end, and exits.
   void Stop()
   {
     mRaft.TransferLeadership([this] {
@@ -693,10 +700,10 @@
   Http2ClientPool mClients;
   MetricsRegistry mRegistry;
   RaftRuntime mRaft;
-  /// Guards mMembership, mLastAnswer, mRepairPlanner and mNewestLedTerm; taken after the mutex of
-  /// the Raft core.
+  /// Guards mMembershipCore, mLastAnswer, mRepairPlanner and mNewestLedTerm; taken after the mutex
+  /// of the Raft core.
   std::mutex mMutex;
-  MembershipCore mMembership;
+  MembershipCore mMembershipCore;
   CommandAnswer mLastAnswer; ///< Of the newest applied command.
   std::unique_ptr<Http2Server> mServer;
   std::unique_ptr<MetricsEndpoint> mMetrics;
--- a/lib/Daemon/ControlLink.cpp
+++ b/lib/Daemon/ControlLink.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Milliseconds kAnswerTimeout{400};
-constexpr Milliseconds kFetchRetry{40};
+constexpr Milliseconds kRetryDelay{40};
 // The link switches to the next replica when the current one has granted no lease for this long.
 constexpr Milliseconds kMaxTimeWithoutLease{1'000};
 
@@ -36,8 +36,8 @@
   return mEndpoints[mIndex % mEndpoints.size()];
 }
 
-// The current endpoint stays in use if the new list has it.
-void ControlLink::ReplaceEndpoints(const std::vector<std::string>& aEndpoints)
+// Called with mMutex held. Keeps using the current endpoint if the new list has it.
+void ControlLink::ReplaceEndpointsLocked(const std::vector<std::string>& aEndpoints)
 {
   if (aEndpoints.empty() || aEndpoints == mEndpoints) {
     return;
@@ -48,7 +48,7 @@
   mIndex = found == mEndpoints.end() ? 0 : static_cast<std::size_t>(found - mEndpoints.begin());
 }
 
-void ControlLink::SetSeeds(std::vector<std::string> aSeeds)
+void ControlLink::AddSeeds(std::vector<std::string> aSeeds)
 {
   const std::lock_guard lock(mMutex);
   mSettings.mControlEndpoints = std::move(aSeeds);
@@ -58,13 +58,13 @@
       all.push_back(seed);
     }
   }
-  ReplaceEndpoints(all);
+  ReplaceEndpointsLocked(all);
 }
 
-bool ControlLink::InContact(Milliseconds aWithin)
+bool ControlLink::HadLeaseWithin(Milliseconds aDuration)
 {
   const std::lock_guard lock(mMutex);
-  return mLastLeaseTime && RuntimeClock::now() - *mLastLeaseTime <= aWithin;
+  return mLastLeaseTime && RuntimeClock::now() - *mLastLeaseTime <= aDuration;
 }
 
 void ControlLink::SwitchReplica(const Error& aReason)
@@ -74,7 +74,7 @@
     const std::lock_guard lock(mMutex);
     index = ++mIndex;
     mWithoutLeaseSince = RuntimeClock::now();
-    if (std::exchange(mLossLogged, true)) {
+    if (std::exchange(mSwitchLogged, true)) {
       mRegistry.CounterFor("dandelionslip_control_switches_total").Add();
       return;
     }
@@ -111,7 +111,7 @@
   SwitchReplica(answer ? Error{ErrorCode::Unavailable, "control.fetch", CurrentEndpoint(),
                                "the replica is not confirmed by a quorum"}
                        : answer.error());
-  CallAfter(mLoop, kFetchRetry, [this, aDone] { FetchState(aDone); });
+  CallAfter(mLoop, kRetryDelay, [this, aDone] { FetchState(aDone); });
 }
 
 void ControlLink::Start()
@@ -128,7 +128,7 @@
 
 void ControlLink::AnnounceNow(std::function<void(bool)> aDone)
 {
-  Announcement announcement = mHandlers.mAnnounce();
+  Announcement announcement = mHandlers.mMakeAnnouncement();
   {
     const std::lock_guard lock(mMutex);
     if (mAwaitingAnswer && !aDone) {
@@ -166,10 +166,10 @@
       if (answer.value().mLease.count() > 0) {
         mWithoutLeaseSince = aSentAt;
         mLastLeaseTime = aSentAt;
-        if (std::exchange(mLossLogged, false)) {
+        if (std::exchange(mSwitchLogged, false)) {
           LogEvent(LogLevel::Info, "control_regained").With("replica", aEndpoint);
         }
-        ReplaceEndpoints(answer.value().mControlEndpoints);
+        ReplaceEndpointsLocked(answer.value().mControlEndpoints);
       }
     }
     // A replica that does not reach the leader cannot grant a lease; another replica may reach it.
@@ -181,10 +181,10 @@
     SwitchReplica(answer ? Error{ErrorCode::Unavailable, "control.announce", aEndpoint,
                                  "the replica grants no lease"}
                          : answer.error());
-    CallAfter(mLoop, kFetchRetry, [this] { AnnounceNow(); });
+    CallAfter(mLoop, kRetryDelay, [this] { AnnounceNow(); });
   }
   if (answer) {
-    mHandlers.mAnswered(answer.value(), state, aSentAt);
+    mHandlers.mOnAnswer(answer.value(), state, aSentAt);
   }
   return answer.has_value();
 }
--- a/lib/Daemon/ControlLink.h
+++ b/lib/Daemon/ControlLink.h
@@ -21,10 +21,10 @@
   struct Handlers
   {
     /// Builds the announcement; the link fills in the revisions.
-    std::function<Announcement()> mAnnounce;
+    std::function<Announcement()> mMakeAnnouncement;
     /// Called after each answer with the answer, the newest state of the node and the time at which
     /// the announcement was sent.
-    std::function<void(const AnnouncementAnswer&, const NodeState&, TimePoint)> mAnswered;
+    std::function<void(const AnnouncementAnswer&, const NodeState&, TimePoint)> mOnAnswer;
   };
 
   ControlLink(boost::asio::io_context& aLoop, Http2ClientPool& aClients,
@@ -37,16 +37,16 @@
   void Start();
   void Stop();
 
-  /// Announces the node now; aDone gets whether an answer came. Without aDone nothing is sent while
-  /// an earlier announcement awaits its answer.
+  /// Announces the node now. Calls aDone with whether an answer arrived. A call without aDone sends
+  /// nothing while an earlier announcement is unanswered.
   void AnnounceNow(std::function<void(bool)> aDone = {});
 
-  /// Replaces the seeds, which are the endpoints of the settings, for example after the settings
-  /// file has changed. Endpoints learned from control stay in use.
-  void SetSeeds(std::vector<std::string> aSeeds);
+  /// Adds seeds (the control endpoints of the settings) to the endpoints in use, for example after
+  /// the settings file has changed. The next list from control replaces all endpoints.
+  void AddSeeds(std::vector<std::string> aSeeds);
 
-  /// Whether a replica has granted a lease within the given time.
-  bool InContact(Milliseconds aWithin);
+  /// Whether a replica has granted a lease within the last aDuration.
+  bool HadLeaseWithin(Milliseconds aDuration);
 
   /// Bytes sent to and received from all control replicas.
   std::uint64_t TrafficBytes();
@@ -56,7 +56,7 @@
 
 private:
   std::string CurrentEndpoint();
-  void ReplaceEndpoints(const std::vector<std::string>& aEndpoints);
+  void ReplaceEndpointsLocked(const std::vector<std::string>& aEndpoints);
   void SwitchReplica(const Error& aReason);
   bool OnAnnouncementAnswer(const Result<Bytes>& aResult, TimePoint aSentAt,
                             const std::string& aEndpoint);
@@ -70,11 +70,13 @@
   Handlers mHandlers;
   std::mutex mMutex; ///< Guards the members below; not held while handlers run.
   NodeState mState;
-  std::vector<std::string> mEndpoints; ///< The seeds, until control gives a list of its replicas.
+  std::vector<std::string> mEndpoints; ///< The seeds, until control sends its list of replicas.
   std::size_t mIndex = 0;
   TimePoint mWithoutLeaseSince; ///< Last lease, or last switch of the replica if that was later.
   std::optional<TimePoint> mLastLeaseTime;
-  bool mLossLogged = false; ///< The loss of control was logged and has not ended yet.
+  /// Whether a switch of the replica was logged since the last lease. Further switches are then not
+  /// logged.
+  bool mSwitchLogged = false;
   bool mAwaitingAnswer = false;
   std::unique_ptr<RepeatingTimer> mTimer;
 };
--- a/lib/Daemon/PacketAgentDaemon.cpp
+++ b/lib/Daemon/PacketAgentDaemon.cpp
@@ -21,7 +21,8 @@
 // Flows that end within this time need no registration.
 constexpr Milliseconds kRegisterInterval{250};
 
-// A balancer gets no more load reports when neither a view nor a packet has shown it for this long.
+// Load reports to a balancer stop when it has neither been in a view nor sent a packet for this
+// long.
 constexpr Milliseconds kBalancerTimeout{5'000};
 
 // Time for the last load reports and packets to arrive.
@@ -114,6 +115,7 @@
       return upstream.as_failure();
     }
     mUpstreamSocket = std::move(upstream.value());
+    // An agent sends packets to callers from its node socket.
     mOutput.SetSockets({mNodeSocket.get(), mNodeSocket.get(), mUpstreamSocket.get(),
                         Endpoint::Parse(mSettings.mUpstreamEndpoint).value()});
     auto adapter = mAdapterFactory(*this);
@@ -181,7 +183,7 @@
     Bytes encoded = report.Encode();
     const auto shares = mShares.Split(report.mOpensAllowed, mBalancers.size());
     auto share = shares.begin();
-    for (const auto& [balancer, heard] : mBalancers) {
+    for (const auto& [balancer, lastSeen] : mBalancers) {
       if (*share != report.mOpensAllowed) {
         report.mOpensAllowed = *share;
         encoded = report.Encode();
--- a/lib/Daemon/PacketNode.cpp
+++ b/lib/Daemon/PacketNode.cpp
@@ -13,9 +13,10 @@
 // replica grants a lease; only then are new seeds needed.
 constexpr Milliseconds kSeedCheckInterval{2'000};
 
-// Added to the incarnation when control knows a higher one, because the wall clock was set back
-// since an earlier process started. Larger than the clock steps that were observed, up to 2.4 s.
-constexpr std::uint64_t kIncarnationStep = 5'000;
+// In milliseconds, as incarnations are. If the wall clock was set back after an earlier process had
+// started, control knows a higher incarnation and answers mFenced; this step is then added until it
+// does so no more. Larger than the clock steps that were observed, up to 2.4 s.
+constexpr std::uint64_t kIncarnationStepMs = 5'000;
 
 // After its start a node announces itself at this shorter interval for some time, so that the first
 // views after a restart of all nodes contain it.
@@ -62,9 +63,9 @@
                                                      [this] { mLink.AnnounceNow(); });
     CallAfter(mPool.Loop(), kStartupAnnounceTime, [this] { mStartupTimer.reset(); });
   });
-  mPool.OnReload([this] { ReadSeeds(); });
-  mSeedTimer =
-    std::make_unique<RepeatingTimer>(mPool.Loop(), kSeedCheckInterval, [this] { CheckSeeds(); });
+  mPool.OnReload([this] { ReloadSeeds(); });
+  mSeedTimer = std::make_unique<RepeatingTimer>(mPool.Loop(), kSeedCheckInterval,
+                                                [this] { ReloadSeedsWithoutLease(); });
 }
 
 // A node that cannot serve its metrics still serves callers.
@@ -85,25 +86,25 @@
 void PacketNode::OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState)
 {
   if (aAnswer.mFenced) {
-    mIncarnation += kIncarnationStep;
+    mIncarnation += kIncarnationStepMs;
     LogEvent(LogLevel::Info, "incarnation_raised").With("incarnation", mIncarnation);
   }
   mHandlers.mOnState(aState);
 }
 
-void PacketNode::CheckSeeds()
+void PacketNode::ReloadSeedsWithoutLease()
 {
-  if (!mLink.InContact(kSeedCheckInterval)) {
-    ReadSeeds();
+  if (!mLink.HadLeaseWithin(kSeedCheckInterval)) {
+    ReloadSeeds();
   }
 }
 
-void PacketNode::ReadSeeds()
+void PacketNode::ReloadSeeds()
 {
   if (auto seeds = mHandlers.mReadSeeds(); !seeds.empty() && seeds != mSeeds) {
     mSeeds = seeds;
     LogEvent(LogLevel::Info, "seeds_changed").With("first", mSeeds.front());
-    mLink.SetSeeds(std::move(seeds));
+    mLink.AddSeeds(std::move(seeds));
   }
 }
 
--- a/lib/Daemon/PacketNode.h
+++ b/lib/Daemon/PacketNode.h
@@ -32,9 +32,11 @@
 
   /// Fetches the state from control and announces the node from then on.
   void Start();
-  /// Opens the socket towards other nodes; the handler gets the datagrams with a valid header.
+
+  /// Gets the sender, header and packet of a datagram from another node.
   using NodeHandler =
     std::function<void(const Endpoint&, const NodeMessageHeader&, std::span<std::uint8_t>)>;
+  /// Opens the socket towards other nodes. aHandler gets the datagrams with a valid header.
   Result<std::unique_ptr<UdpSocket>> BindNodeSocket(NodeHandler aHandler);
 
   /// Announces the node now, so that control gets its last state, and exits after aDelay.
@@ -50,8 +52,9 @@
   Announcement MakeAnnouncement() const;
   void OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, const NodeState& aState);
   void OpenMetrics();
-  void CheckSeeds();
-  void ReadSeeds();
+  /// Reloads the seeds if no replica has granted a lease recently.
+  void ReloadSeedsWithoutLease();
+  void ReloadSeeds();
 
   PacketNodeSettings mSettings;
   Handlers mHandlers;
--- a/lib/Daemon/RaftRuntime.cpp
+++ b/lib/Daemon/RaftRuntime.cpp
@@ -14,11 +14,11 @@
 } // namespace
 
 RaftRuntime::RaftRuntime(boost::asio::io_context& aLoop, Http2ClientPool& aClients,
-                         RaftListener& aListener, std::string aEndpoint,
+                         RaftStateMachine& aStateMachine, std::string aEndpoint,
                          std::unique_ptr<LogStore> aStore, RaftSettings aSettings,
                          std::uint32_t aSnapshotEntries, Random aRandom)
   : mClients(aClients)
-  , mListener(aListener)
+  , mStateMachine(aStateMachine)
   , mEndpoint(std::move(aEndpoint))
   , mStore(std::move(aStore))
   , mSnapshotEntries(aSnapshotEntries)
@@ -38,7 +38,7 @@
   mSnapshotIndex = mRecoveredSnapshot->mIndex;
   mLastApplied = mRecoveredSnapshot->Id();
   const bool hasState = !mRecoveredSnapshot->mState.empty();
-  auto loaded = hasState ? mListener.LoadState(mRecoveredSnapshot->mState) : Ok();
+  auto loaded = hasState ? mStateMachine.LoadState(mRecoveredSnapshot->mState) : Ok();
   mRecoveredSnapshot.reset();
   return loaded;
 }
@@ -107,7 +107,7 @@
   });
 }
 
-void RaftRuntime::MaintainMembers(
+void RaftRuntime::MaintainReplicas(
   std::function<std::optional<RaftMembershipChange>(const RaftCore&, TimePoint)> aDecide)
 {
   boost::asio::post(mStrand, [this, decide = std::move(aDecide)] {
@@ -171,7 +171,7 @@
     return true;
   }
   mFailed = true;
-  mListener.OnFatal(aStatus.error());
+  mStateMachine.OnFatal(aStatus.error());
   return false;
 }
 
@@ -205,7 +205,7 @@
 {
   for (const auto& entry : aAction.mEntries) {
     if (entry.mKind == EntryKind::Command) {
-      mListener.OnCommand(entry);
+      mStateMachine.OnCommand(entry);
     }
     mLastApplied = entry.Id();
     Resolve(mTracker.OnApplied(entry));
@@ -220,9 +220,9 @@
     return;
   }
   if (!snapshot.mState.empty()) {
-    if (const auto loaded = mListener.LoadState(snapshot.mState); !loaded) {
+    if (const auto loaded = mStateMachine.LoadState(snapshot.mState); !loaded) {
       mFailed = true;
-      mListener.OnFatal(loaded.error());
+      mStateMachine.OnFatal(loaded.error());
       return;
     }
   }
@@ -245,7 +245,7 @@
     .With("role", ToString(aAction.mRole))
     .With("term", aAction.mTerm)
     .With("leader", aAction.mLeader.value_or(""));
-  mListener.OnRole(aAction.mRole, aAction.mTerm, aAction.mLeader.value_or(""), members);
+  mStateMachine.OnRole(aAction.mRole, aAction.mTerm, aAction.mLeader.value_or(""), members);
 }
 
 void RaftRuntime::Do(PeerRefusedAction& aAction)
@@ -258,7 +258,7 @@
 void RaftRuntime::Do(StopAction& aAction)
 {
   mFailed = true;
-  mListener.OnFatal(Error{ErrorCode::Conflict, "raft.identity", mSelf, aAction.mReason});
+  mStateMachine.OnFatal(Error{ErrorCode::Conflict, "raft.identity", mSelf, aAction.mReason});
 }
 
 void RaftRuntime::Send(const RaftMessage& aMessage)
@@ -294,7 +294,7 @@
     const std::lock_guard lock(mMutex);
     snapshot->mMembership = mCore->CommittedMembers();
   }
-  snapshot->mState = mListener.EncodeState();
+  snapshot->mState = mStateMachine.EncodeState();
   if (!CheckStorage(mStore->SaveSnapshot(*snapshot))) {
     return;
   }
@@ -338,7 +338,7 @@
   return sender == mSenders.end() ? "" : sender->second;
 }
 
-Json RaftRuntime::Report()
+Json RaftRuntime::StatusJson()
 {
   const std::lock_guard lock(mMutex);
   Json status;
--- a/lib/Daemon/RaftRuntime.h
+++ b/lib/Daemon/RaftRuntime.h
@@ -16,12 +16,12 @@
 
 namespace dandelionslip {
 
-/// The state machine, as the runtime sees it. Called on the runtime's strand, except for LoadState
-/// during Start().
-class RaftListener
+/// The replicated state machine and the handler of the runtime's events. Called on the runtime's
+/// strand, except for LoadState during Start().
+class RaftStateMachine
 {
 public:
-  virtual ~RaftListener() = default;
+  virtual ~RaftStateMachine() = default;
   /// Applies a committed command entry.
   virtual void OnCommand(const LogEntry& aEntry) = 0;
   /// Replaces the whole state, at start or by a snapshot from the leader.
@@ -42,8 +42,9 @@
   using ProposalCallback = std::function<void(Result<ProposalOutcome>)>;
 
   /// aEndpoint is the address and port at which peers reach this replica.
-  RaftRuntime(boost::asio::io_context& aLoop, Http2ClientPool& aClients, RaftListener& aListener,
-              std::string aEndpoint, std::unique_ptr<LogStore> aStore, RaftSettings aSettings,
+  RaftRuntime(boost::asio::io_context& aLoop, Http2ClientPool& aClients,
+              RaftStateMachine& aStateMachine, std::string aEndpoint,
+              std::unique_ptr<LogStore> aStore, RaftSettings aSettings,
               std::uint32_t aSnapshotEntries, Random aRandom);
 
   /// Loads the state machine from the newest snapshot. Call once before any other event.
@@ -56,7 +57,7 @@
   void ProposeChange(const RaftMembershipChange& aChange, ProposalCallback aCallback);
   /// Proposes the membership change that aDecide returns, if any. aDecide is called on the strand,
   /// and only if this replica leads.
-  void MaintainMembers(
+  void MaintainReplicas(
     std::function<std::optional<RaftMembershipChange>(const RaftCore&, TimePoint)> aDecide);
   /// Starts a leadership transfer before a planned stop; the callback then runs on the strand.
   void TransferLeadership(std::function<void()> aCallback);
@@ -66,7 +67,8 @@
   std::string LeaderAddress();
   std::string AddressOf(const ReplicaId& aReplica);
   RaftMembership Members();
-  Json Report();
+  /// The Raft part of the answer to /v1/status.
+  Json StatusJson();
   const ReplicaId& Self() const { return mSelf; }
 
 private:
@@ -89,7 +91,7 @@
   void Track(const Result<EntryId>& aEntry, const ProposalCallback& aCallback);
 
   Http2ClientPool& mClients;
-  RaftListener& mListener;
+  RaftStateMachine& mStateMachine;
   std::string mEndpoint;
   std::unique_ptr<LogStore> mStore;
   std::uint32_t mSnapshotEntries;
--- a/lib/Daemon/RequestRecordTransfer.cpp
+++ b/lib/Daemon/RequestRecordTransfer.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-constexpr char kPeer[] = "bucket transfer from the previous owner";
+// Names the source of a transfer message in errors.
+constexpr char kErrorSource[] = "bucket transfer from the previous owner";
 constexpr std::int64_t kMsInSecond = 1'000;
 
 } // namespace
@@ -33,6 +34,8 @@
     const std::uint32_t generation = records.GenerationOf(bucket);
     if (state == RecordBucketState::Complete) {
       byGeneration[generation + 1].insert(bucket);
+      // A frozen bucket was exported before and has its new generation; a repeated export must not
+      // raise it again.
     } else if (state == RecordBucketState::Frozen && records.NewOwner(bucket) == aNewOwner) {
       byGeneration[generation].insert(bucket);
     }
@@ -67,7 +70,7 @@
 
 void RequestRecordTransfer::ImportTable(const Json& aTable)
 {
-  const auto buckets = ListTransferredBuckets(aTable, kPeer);
+  const auto buckets = ListTransferredBuckets(aTable, kErrorSource);
   if (!buckets) {
     LogEvent(LogLevel::Warning, "records_not_imported").With(buckets.error());
     return;
@@ -76,7 +79,7 @@
   for (const auto& [bucket, generation] : buckets.value()) {
     Append(mRequestCore->OnBucketAcquired(bucket, generation, now));
   }
-  auto actions = mRequestCore->OnBucketTransfer(aTable, kPeer, now);
+  auto actions = mRequestCore->OnBucketTransfer(aTable, kErrorSource, now);
   if (!actions) {
     LogEvent(LogLevel::Warning, "records_not_imported").With(actions.error());
     return;
--- a/unittests/Daemon/RequestRecordTransferTest.cpp
+++ b/unittests/Daemon/RequestRecordTransferTest.cpp
@@ -134,6 +134,7 @@
     const RequestId id = RunAt(first, "price");
     second.mRecordTransfer.Import(mAllBuckets, first.mRecordTransfer.Export(mAllBuckets, "b"));
     CheckResendIsAnswered(second, id, "price");
+    // New requests run at the new owner.
     RunAt(second, "new work runs");
   }
 
@@ -186,6 +187,7 @@
     second.mRecordTransfer.StartWithoutRecords(mAllBuckets);
     CheckResendIsUnknown(second, id);
     mWallMs += kClockSkewBound.count() + 1;
+    // A request id that was made after the loss runs.
     RunAt(second, "work made after the loss runs");
   }
 
@@ -218,6 +220,7 @@
     first.mRecordTransfer.Import(mAllBuckets, tables);
     CheckResendIsUnknown(first, RequestId::Make(mWallMs, mRandom));
     mWallMs += kClockSkewBound.count() + 1;
+    // A request id that was made after the loss runs.
     RunAt(first, "work made after the loss runs");
   }
 };
