--- a/lib/Daemon/ControlDaemon.cpp
+++ b/lib/Daemon/ControlDaemon.cpp
@@ -403,7 +403,9 @@
   void ProposeCommand(const Bytes& aBody, std::function<void(const CommandAnswer&)> aCallback)
   {
     if (MustAwaitVoters()) {
-      aCallback({CommandOutcome::NotApplied, 0, "the group does not have all its voters yet"});
+      aCallback(
+        {CommandOutcome::NotApplied, 0,
+         "the control group does not have all its voters yet; try again when all have joined"});
       return;
     }
     mRaft.Propose(aBody, [this, callback = std::move(aCallback)](auto aResult) {
@@ -640,7 +642,8 @@
       return {CommandOutcome::NotApplied, 0, aResult.error().Message()};
     }
     if (aResult.value() == ProposalOutcome::NotApplied) {
-      return {CommandOutcome::NotApplied, 0, "another leader's entry replaced it in the log"};
+      return {CommandOutcome::NotApplied, 0,
+              "the entry of another leader replaced this entry in the log"};
     }
     if (aResult.value() == ProposalOutcome::Applied) {
       const std::lock_guard lock(mMutex);
