--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -479,7 +479,8 @@
     const auto client = mClients.ClientFor(aAction.mAgent);
     const AttemptKey key = aAction.mKey;
     const auto timeout = std::max(aAction.mRemaining, Milliseconds(1));
-    // Send only posts the request; its callback waits for this mutex, so the id is stored first.
+    // Send only posts the request. Its callback, OnAgentResult, locks the same mutex before it
+    // erases the id, so the id is stored first.
     const std::lock_guard lock(mRequestMutex);
     mHttpRequestIds[AttemptMapKey(key)] =
       client->Send(std::move(request), timeout,
