--- a/bench/RoutingBench.cpp
+++ b/bench/RoutingBench.cpp
@@ -107,7 +107,7 @@
   const std::string deployment = "7 members, 1024 buckets, unequal weights";
   const auto ring = MeasureTable(*MakeRingStrategy(), aReport.Options());
   for (const auto& strategy :
-       {MakeRendezvousStrategy(), MakePermutationStrategy(), MakeRingStrategy()}) {
+       {MakeRendezvousStrategy(), MakeMaglevStrategy(), MakeRingStrategy()}) {
     const TableMeasurements measured = MeasureTable(*strategy, aReport.Options());
     const std::string name(strategy->Name());
     // The target applies to the strategy in use; the others are measured for comparison.
--- a/include/dandelionslip/Config/AgentSettings.h
+++ b/include/dandelionslip/Config/AgentSettings.h
@@ -20,7 +20,7 @@
   std::string mLocalAddress = "127.0.0.1"; ///< Numeric source address of traffic to the upstream.
   std::uint32_t mMaxFlows = 20'000;        ///< Largest number of flows in the flow table.
   std::uint32_t mMaxRecords = 100'000;     ///< Largest number of request records.
-  std::uint32_t mMaxRecordMebibytes = 64;  ///< Most memory for recorded answers, in MiB.
+  std::uint32_t mMaxRecordMebibytes = 64;  ///< Maximum memory for recorded answers, in MiB.
   Milliseconds mRecordRetention{600'000};  ///< How long a request record is kept.
 
   bool operator==(const AgentSettings&) const = default;
--- a/include/dandelionslip/Config/BalancerSettings.h
+++ b/include/dandelionslip/Config/BalancerSettings.h
@@ -12,8 +12,8 @@
 {
   std::string mDatagramEndpoint; ///< UDP "address:port" for agents.
   std::string mRequestEndpoint;  ///< TCP "address:port" for HTTP/2 from other nodes.
-  /// Numeric address on which the balancer binds the services' ports instead of on the services'
-  /// own addresses; empty to bind the services' addresses.
+  /// Numeric address on which the balancer listens at the services' ports. If empty, it listens on
+  /// each service's own address.
   std::string mListenAddress;
 
   bool operator==(const BalancerSettings&) const = default;
--- a/include/dandelionslip/Config/ControlSettings.h
+++ b/include/dandelionslip/Config/ControlSettings.h
@@ -39,10 +39,12 @@
   Milliseconds mFirstElectionTimeout{0};
   std::uint32_t mSnapshotEntries = 4'096; ///< Log entries between two snapshots.
   Milliseconds mLease{2'000};
-  Milliseconds mSummaryInterval{250}; ///< Interval at which replicas send summaries of their nodes.
-  bool mJoin = false;                 ///< Whether to start as a learner of an existing Raft group.
+  /// Interval at which a replica sends the leader a summary of the announcements that it received.
+  Milliseconds mSummaryInterval{250};
+  bool mJoin = false; ///< Whether to start as a learner of an existing Raft group.
   /// Endpoints of the replicas that form the initial Raft group; may include this replica. Used
-  /// instead of mPeers when the later replicas are not known in advance. All other replicas join.
+  /// instead of mPeers when the replicas that are added later are not known. A replica that is not
+  /// listed joins the existing group.
   std::vector<std::string> mInitialReplicas;
   /// Number of voters that the leader maintains by promoting learners; 0 when only the operator
   /// changes the membership.
@@ -66,6 +68,7 @@
   aVisitor.Optional("lease_ms", aValue.mLease, {500, 60'000});
   aVisitor.Optional("summary_interval_ms", aValue.mSummaryInterval, {10, 5'000});
   aVisitor.Optional("join", aValue.mJoin);
+  // The key is an earlier name of the field, kept for compatibility.
   aVisitor.Optional("founders", aValue.mInitialReplicas);
   aVisitor.Optional("target_voters", aValue.mTargetVoters, {0, 7});
 }
--- a/include/dandelionslip/Config/PacketSettings.h
+++ b/include/dandelionslip/Config/PacketSettings.h
@@ -1,4 +1,5 @@
-// Settings of balancers and agents of the packet plane, which forwards the packets of flows.
+// Settings of balancers and agents of the packet plane, which forwards the packets of flows. They
+// are not read with LoadSettings: platform/NodeFile fills them.
 #pragma once
 
 #include "dandelionslip/Config/CommonSettings.h"
@@ -10,9 +11,9 @@
 /// Settings that these balancers and agents have in common.
 struct PacketNodeSettings : CommonSettings
 {
-  std::string mDatagramEndpoint; ///< UDP "address:port" for other nodes.
-  std::string mStatusEndpoint;   ///< TCP "address:port" for readiness and metrics.
-  std::uint16_t mCallerPort = 0; ///< UDP port at which callers receive packets.
+  std::string mDatagramEndpoint;        ///< UDP "address:port" for other nodes.
+  std::string mStatusEndpoint;          ///< TCP "address:port" for readiness and metrics.
+  std::uint16_t mCallerReceivePort = 0; ///< UDP port of the callers, to which replies are sent.
 
   bool operator==(const PacketNodeSettings&) const = default;
 };
@@ -20,7 +21,7 @@
 /// Settings of a balancer of the packet plane.
 struct PacketBalancerNodeSettings : PacketNodeSettings
 {
-  std::string mCallerEndpoint;  ///< UDP "address:port" that receives the callers' packets.
+  std::string mListenEndpoint;  ///< UDP "address:port" of the balancer to which callers send.
   double mProcessorShare = 1.0; ///< Share of a processor core that the balancer may use.
   double mLinkMbps = 1'000.0;   ///< Bandwidth of the VM's network link.
 
@@ -35,7 +36,7 @@
   std::string mUpstreamOutboundEndpoint;  ///< UDP "address:port" that the upstream sends to.
   std::string mUpstreamHeartbeatEndpoint; ///< TCP "address:port" for the upstream's heartbeats.
   Milliseconds mHeartbeat{1'000};         ///< Interval of the upstream's heartbeats.
-  Milliseconds mMaxFlowAge{60'000};       ///< Flows older than this need not be kept.
+  Milliseconds mMaxFlowAge{60'000};       ///< Flows older than this may be reset.
   /// A cold upstream takes at most RoutedService::mColdOpensPerSecond * mColdExcessFactor +
   /// mColdSlack new flows a second, rounded down but at least 1.
   double mColdExcessFactor = 1.0;
--- a/include/dandelionslip/Config/Publication.h
+++ b/include/dandelionslip/Config/Publication.h
@@ -30,14 +30,14 @@
 };
 
 /// The files whose declaration differs from the current configuration.
-std::vector<ServiceFile> ChangedServices(std::span<const ServiceFile> aFiles,
-                                         const Configuration& aCurrent);
+std::vector<ServiceFile> ChangedServiceFiles(std::span<const ServiceFile> aFiles,
+                                             const Configuration& aCurrent);
 
 /// Builds one command, which is applied atomically. Each service file expects the current version
 /// to be its own version minus one. Errors (InvalidInput): malformed publication id, no operator,
 /// no change, a service named twice, an address used by two services, a deletion without a version.
-Result<Command> BuildPublication(const PublicationIdentity& aIdentity,
-                                 std::span<const ServiceFile> aFiles,
-                                 std::span<const ServiceDeletion> aDeletions = {});
+Result<Command> BuildPublicationCommand(const PublicationIdentity& aIdentity,
+                                        std::span<const ServiceFile> aFiles,
+                                        std::span<const ServiceDeletion> aDeletions = {});
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Config/ServiceFiles.h
+++ b/include/dandelionslip/Config/ServiceFiles.h
@@ -25,11 +25,11 @@
 Result<ServiceSpec> ParseServiceSpec(std::string_view aText, std::string_view aSource);
 
 /// Reads and checks one service file. Errors: Io, or InvalidInput with file and key path.
-Result<ServiceSpec> LoadServiceFile(const std::string& aPath);
+Result<ServiceSpec> LoadServiceSpec(const std::string& aPath);
 
 /// Reads the service files that are directly in the folders, and orders them by service name.
 /// Errors: Io when a folder is missing or contains no service file; InvalidInput, naming both
 /// files, when two files declare the same service or use the same address.
-Result<std::vector<ServiceFile>> CollectServices(const std::vector<std::string>& aFolders);
+Result<std::vector<ServiceFile>> LoadServiceFiles(const std::vector<std::string>& aFolders);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Control/BinaryField.h
+++ b/include/dandelionslip/Control/BinaryField.h
@@ -13,7 +13,7 @@
   aVisitor.Field(aKey, data);
   if constexpr (std::is_same_v<V, FieldReader>) {
     if (!data.is_binary()) {
-      aVisitor.Reject(aKey, data.type_name(), "a byte string");
+      aVisitor.RecordViolation(aKey, data.type_name(), "a byte string");
       return;
     }
     aValue = std::move(static_cast<Bytes&>(data.get_binary()));
--- a/include/dandelionslip/Model/Announcement.h
+++ b/include/dandelionslip/Model/Announcement.h
@@ -16,8 +16,8 @@
   /// Capacity estimate of the upstream; kFullWeight is its declared capacity.
   std::uint32_t mWeight = 0;
   std::uint32_t mAckedGeneration = 0; ///< Newest generation whose bucket transfers are complete.
-  std::uint64_t mConfigurationRevision = 0;
-  std::uint64_t mViewRevision = 0;
+  std::uint64_t mConfigurationRevision = 0; ///< Current revision at the node.
+  std::uint64_t mViewRevision = 0;          ///< Current revision at the node.
 
   bool operator==(const Announcement&) const = default;
 };
@@ -40,12 +40,14 @@
   /// Duration of the lease from the time at which the announcement was sent. Zero grants no lease
   /// and does not shorten one that an earlier answer granted.
   Milliseconds mLease{0};
-  std::uint64_t mConfigurationRevision = 0;
-  std::uint64_t mViewRevision = 0;
-  std::optional<Configuration> mConfiguration; ///< Present when the node is far behind.
+  std::uint64_t mConfigurationRevision = 0; ///< Newest revision at the replica.
+  std::uint64_t mViewRevision = 0;          ///< Newest revision that the replica may send to nodes.
+  /// Present when the node has no state or the replica does not keep the differences since the
+  /// announced revision.
+  std::optional<Configuration> mConfiguration;
   /// Changes since the announced revision.
   std::optional<ConfigurationDifference> mConfigurationDifference;
-  std::optional<View> mView;                     ///< Present when the node is far behind.
+  std::optional<View> mView; ///< Present under the same condition as mConfiguration.
   std::optional<ViewDifference> mViewDifference; ///< Changes since the announced revision.
   /// All control replicas, "address:port"; empty when this replica does not know them.
   std::vector<std::string> mControlEndpoints;
--- a/include/dandelionslip/Model/ConfigurationDifference.h
+++ b/include/dandelionslip/Model/ConfigurationDifference.h
@@ -10,16 +10,17 @@
 
 namespace dandelionslip {
 
-/// Changes between two configurations; applies only to the configuration with revision mFrom.
+/// Changes between two configurations; applies only to the configuration with revision
+/// mFromRevision.
 struct ConfigurationDifference
 {
-  std::uint64_t mFrom = 0;
-  std::uint64_t mTo = 0;
-  std::map<std::string, ServiceEntry> mServices;
+  std::uint64_t mFromRevision = 0;
+  std::uint64_t mToRevision = 0;
+  std::map<std::string, ServiceEntry> mServices; ///< Added or changed services.
   std::vector<std::string> mRemovedServices;
-  std::map<std::string, DataCentreState> mDataCentres;
+  std::map<std::string, DataCentreState> mDataCentres; ///< Added or changed data centres.
   std::vector<std::string> mRemovedDataCentres;
-  std::map<std::string, bool> mDrained;
+  std::map<std::string, bool> mDrained; ///< Added or changed entries.
   std::vector<std::string> mRemovedDrained;
   std::optional<RouteTable> mRoutes; ///< Present when the version of the route table changed.
 
@@ -29,8 +30,8 @@
 template <typename V>
 void DescribeFields(V& aVisitor, ConfigurationDifference& aValue)
 {
-  aVisitor.Field("from", aValue.mFrom);
-  aVisitor.Field("to", aValue.mTo);
+  aVisitor.Field("from", aValue.mFromRevision);
+  aVisitor.Field("to", aValue.mToRevision);
   aVisitor.Optional("services", aValue.mServices);
   aVisitor.Optional("removed_services", aValue.mRemovedServices);
   aVisitor.Optional("data_centres", aValue.mDataCentres);
@@ -43,11 +44,11 @@
 /// The difference that changes aFrom into aTo.
 ConfigurationDifference DifferenceBetween(const Configuration& aFrom, const Configuration& aTo);
 
-/// Adds the changes of aSecond to aFirst; aSecond must start at the revision at which aFirst ends.
-void AppendDifference(ConfigurationDifference& aFirst, const ConfigurationDifference& aSecond);
+/// Merges aSecond into aFirst; aSecond must start at the revision at which aFirst ends.
+void MergeDifference(ConfigurationDifference& aFirst, const ConfigurationDifference& aSecond);
 
 /// Applies the difference. Errors, which leave aConfiguration unchanged: Conflict when its revision
-/// is not mFrom, InvalidInput when mTo is not higher than mFrom.
+/// is not mFromRevision, InvalidInput when mToRevision is not higher than mFromRevision.
 Result<void> ApplyDifference(Configuration& aConfiguration,
                              const ConfigurationDifference& aDifference);
 
--- a/include/dandelionslip/Model/Member.h
+++ b/include/dandelionslip/Model/Member.h
@@ -56,6 +56,7 @@
   aVisitor.Field("request_endpoint", aValue.mRequestEndpoint);
   aVisitor.Field("incarnation", aValue.mIncarnation);
   aVisitor.Field("state", aValue.mState);
+  // The key is an earlier name of the field, kept for compatibility.
   aVisitor.Optional("custodian", aValue.mBackup);
 }
 
--- a/include/dandelionslip/Model/NodeState.h
+++ b/include/dandelionslip/Model/NodeState.h
@@ -10,9 +10,9 @@
 {
 public:
   /// Applies the configuration and view that the answer carries, whole or as differences, each only
-  /// when its revision is higher than the current one. Errors, on which nothing changes:
+  /// when its revision is higher than the current one. Errors, which leave the state unchanged:
   /// InvalidInput when the answer carries state although mConfirmed is false, Conflict when a
-  /// difference starts at another revision than the current one.
+  /// difference does not start at the current revision.
   Result<void> Apply(const AnnouncementAnswer& aAnswer);
 
   const Configuration& CurrentConfiguration() const { return mConfiguration; }
--- a/include/dandelionslip/Model/RefusalReason.h
+++ b/include/dandelionslip/Model/RefusalReason.h
@@ -12,7 +12,8 @@
   NoService,       ///< No service has the address.
   WrongService,    ///< The packet carries another service's id.
   NoUpstream,      ///< The service has no upstream that takes new work.
-  DataCentreOut,   ///< The flow's data centre was taken out of service.
+  DataCentreOut,   ///< The flow's data centre, or every data centre of the service, is out of
+                   ///< service.
   NoControl,       ///< The node or the data centre has no valid lease.
   ConnectionsFull, ///< The upstream holds as many flows as it may.
   SlotsFull,       ///< All slots are in use and the queue is full.
--- a/include/dandelionslip/Model/RevisionHistory.h
+++ b/include/dandelionslip/Model/RevisionHistory.h
@@ -44,19 +44,19 @@
     return Ok();
   }
 
-  /// The difference from revision aRevision to the newest state with a revision of at most aLimit;
-  /// empty when the history does not hold it.
+  /// The difference from aRevision to the highest revision that is kept and at most aLimit. Empty
+  /// when no kept difference up to aLimit starts at aRevision.
   std::optional<Difference> DifferenceFrom(
     std::uint64_t aRevision, std::uint64_t aLimit = std::numeric_limits<std::uint64_t>::max()) const
   {
     std::optional<Difference> total;
     for (const Difference& step : mDifferences) {
-      if (step.mTo > aLimit) {
+      if (step.mToRevision > aLimit) {
         break;
       }
       if (total) {
-        AppendDifference(*total, step);
-      } else if (step.mFrom == aRevision) {
+        MergeDifference(*total, step);
+      } else if (step.mFromRevision == aRevision) {
         total = step;
       }
     }
--- a/include/dandelionslip/Model/RouteTable.h
+++ b/include/dandelionslip/Model/RouteTable.h
@@ -1,4 +1,5 @@
-// Routes that assign new flows to services, published together under one version.
+// Routes of the packet plane, which assign new flows to services. Published together under one
+// version; routing in lib/Route does not use them.
 #pragma once
 
 #include "dandelionslip/Support/Fields.h"
@@ -27,13 +28,13 @@
   aVisitor.Field("weight", aValue.mWeight);
 }
 
-/// The targets of new flows to one address.
+/// The targets of new flows to one address, and the limits of the requests sent on these flows.
 struct Route
 {
   std::string mName;
   std::string mAddress; ///< Numeric "address:port" to which callers send.
   std::vector<RouteTarget> mTargets;
-  Milliseconds mTimeout{0}; ///< Longest time a request on the route may take.
+  Milliseconds mTimeout{0}; ///< Maximum duration of a request on the route.
   /// Priority of the route's requests; 0 is the highest.
   std::uint32_t mPriority = 0;
 
@@ -54,8 +55,8 @@
 struct RoutedService
 {
   std::string mName;
-  std::uint32_t mMaxFlows = 0; ///< Most flows that one upstream holds at once.
-  Milliseconds mWarmUp{0};     ///< How long an upstream is cold after its start.
+  std::uint32_t mMaxFlowsPerUpstream = 0; ///< Maximum number of flows that one upstream holds.
+  Milliseconds mWarmUp{0};                ///< How long an upstream is cold after its start.
   /// New flows a second that a cold upstream takes, before the cold excess factor and the cold
   /// slack of the agent's settings are applied.
   double mColdOpensPerSecond = 0;
@@ -67,7 +68,7 @@
 void DescribeFields(V& aVisitor, RoutedService& aValue)
 {
   aVisitor.Field("name", aValue.mName);
-  aVisitor.Field("max_flows", aValue.mMaxFlows);
+  aVisitor.Field("max_flows", aValue.mMaxFlowsPerUpstream);
   aVisitor.Field("warm_up_ms", aValue.mWarmUp);
   aVisitor.Field("cold_opens_per_second", aValue.mColdOpensPerSecond);
 }
@@ -78,7 +79,7 @@
   std::uint64_t mVersion = 0;
   std::vector<Route> mRoutes;
   std::vector<RoutedService> mServices;
-  Milliseconds mFlowIdleTimeout{0}; ///< A flow without packets for this long may be forgotten.
+  Milliseconds mFlowIdleTimeout{0}; ///< A flow without packets for this long may be removed.
 
   /// The service with this name, or null.
   const RoutedService* FindService(std::string_view aName) const;
--- a/include/dandelionslip/Model/ServiceSpec.h
+++ b/include/dandelionslip/Model/ServiceSpec.h
@@ -42,8 +42,8 @@
   std::string mName;
   std::uint64_t mVersion = 1;          ///< Must be one more than the current version.
   std::vector<std::string> mAddresses; ///< Numeric "address:port" to which callers send.
-  std::uint32_t mSlots = 4;            ///< Most requests that an upstream runs at once.
-  std::uint32_t mConnections = 2000;   ///< Most flows that an upstream holds at once.
+  std::uint32_t mSlots = 4;          ///< Maximum number of requests that an upstream runs at once.
+  std::uint32_t mConnections = 2000; ///< Maximum number of flows that an upstream holds.
   ColdLimit mColdLimit;
   std::uint32_t mBuckets = 1024; ///< Power of two; cannot be changed later.
   bool mIdempotent = false;      ///< Whether requests may run more than once.
--- a/include/dandelionslip/Model/ViewDifference.h
+++ b/include/dandelionslip/Model/ViewDifference.h
@@ -10,14 +10,14 @@
 
 namespace dandelionslip {
 
-/// Changes between two views; applies only to the view with revision mFrom.
+/// Changes between two views; applies only to the view with revision mFromRevision.
 struct ViewDifference
 {
-  std::uint64_t mFrom = 0;
-  std::uint64_t mTo = 0;
-  std::map<std::string, Member> mMembers;
+  std::uint64_t mFromRevision = 0;
+  std::uint64_t mToRevision = 0;
+  std::map<std::string, Member> mMembers; ///< Added or changed members.
   std::vector<std::string> mRemovedMembers;
-  std::map<std::string, ServiceView> mServices;
+  std::map<std::string, ServiceView> mServices; ///< Added or changed services.
   std::vector<std::string> mRemovedServices;
 
   bool operator==(const ViewDifference&) const = default;
@@ -26,8 +26,8 @@
 template <typename V>
 void DescribeFields(V& aVisitor, ViewDifference& aValue)
 {
-  aVisitor.Field("from", aValue.mFrom);
-  aVisitor.Field("to", aValue.mTo);
+  aVisitor.Field("from", aValue.mFromRevision);
+  aVisitor.Field("to", aValue.mToRevision);
   aVisitor.Optional("members", aValue.mMembers);
   aVisitor.Optional("removed_members", aValue.mRemovedMembers);
   aVisitor.Optional("services", aValue.mServices);
@@ -37,11 +37,11 @@
 /// The difference that changes aFrom into aTo.
 ViewDifference DifferenceBetween(const View& aFrom, const View& aTo);
 
-/// Adds the changes of aSecond to aFirst; aSecond must start at the revision at which aFirst ends.
-void AppendDifference(ViewDifference& aFirst, const ViewDifference& aSecond);
+/// Merges aSecond into aFirst; aSecond must start at the revision at which aFirst ends.
+void MergeDifference(ViewDifference& aFirst, const ViewDifference& aSecond);
 
 /// Applies the difference. Errors, which leave aView unchanged: Conflict when its revision is not
-/// mFrom, InvalidInput when mTo is not higher than mFrom.
+/// mFromRevision, InvalidInput when mToRevision is not higher than mFromRevision.
 Result<void> ApplyDifference(View& aView, const ViewDifference& aDifference);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Route/AssignmentStrategy.h
+++ b/include/dandelionslip/Route/AssignmentStrategy.h
@@ -11,7 +11,8 @@
 
 namespace dandelionslip {
 
-/// Index of a member in the member list of a table or strategy.
+/// Index of a member in the member list of a ServiceTable or in the list passed to an
+/// AssignmentStrategy.
 using MemberIndex = std::uint16_t;
 
 /// The index that means no member.
@@ -35,9 +36,10 @@
 /// Weighted rendezvous hashing with a quota for each member. Used in production.
 std::unique_ptr<AssignmentStrategy> MakeRendezvousStrategy();
 
-/// Maglev hashing: members take turns in proportion to their weights, each in the order of its own
-/// permutation of the buckets. Only a baseline for benchmarks.
-std::unique_ptr<AssignmentStrategy> MakePermutationStrategy();
+/// Maglev hashing: members take turns, with more turns for a higher weight. In its turn a member
+/// takes the first free bucket in its own permutation of the buckets. Only a baseline for
+/// benchmarks.
+std::unique_ptr<AssignmentStrategy> MakeMaglevStrategy();
 
 /// Consistent hashing on a ring, in which all members with a positive weight have equal shares.
 /// Only a baseline for benchmarks.
--- a/include/dandelionslip/Route/AssignmentTable.h
+++ b/include/dandelionslip/Route/AssignmentTable.h
@@ -26,8 +26,8 @@
   /// The member that owns the bucket, or kNoMember.
   MemberIndex Owner(std::uint32_t aBucket) const { return mOwners[aBucket]; }
 
-  /// The member that takes new flows which the owner cannot admit. Never the owner; kNoMember when
-  /// no other member is eligible.
+  /// The member that takes the bucket's new flows and requests when its owner cannot. Never the
+  /// owner; kNoMember when no other member is eligible.
   MemberIndex Alternate(std::uint32_t aBucket) const { return mAlternates[aBucket]; }
 
 private:
--- a/include/dandelionslip/Route/RouteDecision.h
+++ b/include/dandelionslip/Route/RouteDecision.h
@@ -37,13 +37,15 @@
 {
   ServiceId mServiceId = 0;
   std::uint32_t mGeneration = 0;
-  RequestTarget mOwner; ///< Owner of the request id's bucket; while it restarts, its backup.
-  /// The member to which the owner may relay the request; may be absent.
+  RequestTarget mActingMember; ///< The acting member for the request id's bucket.
+  /// The member to which the acting member may relay the request. Empty when the bucket has no
+  /// alternate or the lease of the alternate's data centre is not valid.
   std::optional<RequestTarget> mAlternate;
 };
 
 /// Two randomly drawn members, of which the balancer chooses the one with fewer requests in flight.
-/// They are equal when both draws gave the same member or only one of the members is reachable.
+/// They are equal when both draws gave the same member, or when only one draw gave a member whose
+/// data centre has a valid lease.
 struct RequestCandidates
 {
   ServiceId mServiceId = 0;
--- a/include/dandelionslip/Route/RoutingCore.h
+++ b/include/dandelionslip/Route/RoutingCore.h
@@ -31,8 +31,9 @@
 {
   Endpoint mEndpoint; ///< Endpoint at which this balancer receives replies and probe answers.
   Milliseconds mProbeInterval{500};
-  /// Lease of a data centre that an answered probe grants, counted from when the probe was sent.
-  Milliseconds mProbeValidity{2'000};
+  /// Duration of the data centre lease that an answered probe grants, from the time at which the
+  /// probe was sent.
+  Milliseconds mProbeLease{2'000};
 };
 
 /// Holds the view, the configuration and the leases of a balancer, and publishes snapshots for the
@@ -52,7 +53,9 @@
   bool ApplyView(const View& aView);
 
   /// Handles the answer to the announcement that was sent at aSentAt. The lease runs from that
-  /// time, so a delayed answer does not make it longer than control granted.
+  /// time, so a delayed answer does not make it longer than control granted. Ignores an answer that
+  /// is not confirmed or is fenced. Reads only whole state (mConfiguration, mView),
+  /// not differences.
   void OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, TimePoint aSentAt);
 
   /// Handles a probe answer from aSender. It extends the lease of the agent's data centre, counted
@@ -91,7 +94,7 @@
   TimePoint mLeaseEnd{RuntimeClock::duration(-1)}; ///< Initially earlier than any clock reading.
   TimePoint mNextProbe{RuntimeClock::duration(0)};
   std::uint64_t mProbeRound = 0;
-  std::map<Endpoint, SentProbe> mSentProbes;
+  std::map<Endpoint, SentProbe> mSentProbes; ///< By the agent's datagram endpoint.
   DataCentreLeases mDataCentreLeases;
   mutable std::mutex mSnapshotMutex;
   std::shared_ptr<const RoutingSnapshot> mSnapshot;
--- a/include/dandelionslip/Route/RoutingSnapshot.h
+++ b/include/dandelionslip/Route/RoutingSnapshot.h
@@ -13,7 +13,7 @@
 namespace dandelionslip {
 
 /// Time after which a caller may retry work that a balancer refused.
-inline constexpr Milliseconds kBalancerRetryAfterMs{500};
+inline constexpr Milliseconds kBalancerRetryAfter{500};
 
 /// All service tables of one view and configuration. Safe for concurrent use.
 class RoutingSnapshot
@@ -49,30 +49,31 @@
 private:
   /// Where the datagrams of a bucket go. Resolved when the snapshot is built, so that a datagram
   /// needs only one look-up.
-  struct Target
+  struct DatagramTarget
   {
     Endpoint mTo;
-    const DataCentreLease* mLease = nullptr; ///< Null when no member acts for the bucket.
+    /// Null when the bucket has no acting member or the member's data centre has no lease.
+    const DataCentreLease* mLease = nullptr;
   };
 
   struct Service
   {
     ServiceTable mTable;
-    std::vector<Target> mOpeningTargets;     ///< For opening packets, by bucket.
-    std::vector<Target> mEstablishedTargets; ///< For all other packets, by bucket.
+    std::vector<DatagramTarget> mOpeningTargets;     ///< For opening packets, by bucket.
+    std::vector<DatagramTarget> mEstablishedTargets; ///< For all other packets, by bucket.
     /// Why flows and requests are refused while no member owns buckets.
     RefusalReason mReasonWithoutOwner = RefusalReason::NoUpstream;
   };
 
-  struct AddressSlot
+  struct AddressEntry
   {
     Endpoint mAddress;
     const Service* mService = nullptr;
   };
 
   void ResolveTargets(Service& aService) const;
-  Target TargetFor(const ServiceTable& aTable, MemberIndex aMember) const;
-  void IndexAddresses(const std::vector<AddressSlot>& aAddresses);
+  DatagramTarget DatagramTargetFor(const ServiceTable& aTable, MemberIndex aMember) const;
+  void IndexAddresses(const std::vector<AddressEntry>& aAddresses);
   const Service* FindByAddress(const Endpoint& aAddress) const;
   const Service* FindByName(std::string_view aServiceName) const;
   std::optional<RequestTarget> RequestTargetFor(const Service& aService, MemberIndex aMember,
@@ -83,7 +84,7 @@
   DataCentreLeases mDataCentreLeases;
   std::map<std::string, std::unique_ptr<Service>, std::less<>> mServices;
   /// Hash table with open addressing; its size is a power of two.
-  std::vector<AddressSlot> mAddresses;
+  std::vector<AddressEntry> mAddresses;
 };
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Route/ServiceTable.h
+++ b/include/dandelionslip/Route/ServiceTable.h
@@ -38,9 +38,9 @@
 
   ServiceId Id() const { return mId; }
   std::uint32_t Generation() const { return mGeneration; }
-  std::uint32_t Buckets() const { return mTable.Buckets(); }
+  std::uint32_t Buckets() const { return mAssignment.Buckets(); }
   const std::vector<TableMember>& Members() const { return mMembers; }
-  const AssignmentTable& Assignment() const { return mTable; }
+  const AssignmentTable& Assignment() const { return mAssignment; }
 
   /// Whether there are members with a positive weight but the data centres of all of them are out
   /// of service.
@@ -49,8 +49,9 @@
   /// The index of the member with this name, or kNoMember.
   MemberIndex Find(std::string_view aName) const;
 
-  /// The acting member for aMember: its backup while it restarts, else aMember itself. When the
-  /// backup restarts too, its backup, and so on.
+  /// The acting member for aMember: its backup while it restarts, else aMember itself. If the
+  /// backup restarts too, the backup's backup acts, and so on for at most 8 steps. Excluded members
+  /// never act as a backup.
   MemberIndex ActingFor(MemberIndex aMember) const;
 
 private:
@@ -63,16 +64,17 @@
   bool mAllDataCentresOut = false;
   std::vector<TableMember> mMembers; ///< All agents of the service in the view, ordered by name.
   std::vector<MemberIndex> mActingMembers; ///< By member index.
-  AssignmentTable mTable;
+  AssignmentTable mAssignment;
 };
 
-/// The view of the service; null when the configuration does not declare the service, or when the
-/// view has no generation of it or belongs to an earlier service of the same name.
+/// The view's entry of the service. Null when the configuration does not declare the service, the
+/// view has no generation of it, or the view's entry is that of another service with the same name,
+/// for example a deleted one.
 const ServiceView* FindServiceView(const View& aView, const Configuration& aConfiguration,
                                    const std::string& aServiceName);
 
-/// The owner's name of each bucket in aGeneration without the excluded members of aTable. A name is
-/// empty when no member is left.
+/// For each bucket, the name of its owner in aGeneration if the excluded members of aTable own
+/// nothing. Names are empty when no member is left.
 std::vector<std::string> OwnerNamesByBucket(const Generation& aGeneration,
                                             const ServiceTable& aTable);
 
--- a/include/dandelionslip/Support/Error.h
+++ b/include/dandelionslip/Support/Error.h
@@ -1,4 +1,4 @@
-// Errors with a code, the operation that failed and the address, file or replica involved.
+// Errors with a code, the operation that failed and its subject, such as an address or a file.
 #pragma once
 
 #include <boost/outcome/result.hpp>
@@ -30,11 +30,11 @@
 struct Error
 {
   ErrorCode mCode = ErrorCode::InvalidInput;
-  std::string mStep;   ///< Operation that failed, for example "log.append".
-  std::string mPeer;   ///< Address, file or replica involved; may be empty.
-  std::string mDetail; ///< What was found and what was expected.
+  std::string mStep;    ///< Operation that failed, for example "log.append".
+  std::string mSubject; ///< Address, file, key or name that the failure is about; may be empty.
+  std::string mDetail;  ///< What was found and what was expected.
 
-  /// Formats the error as "step (peer): detail [code]".
+  /// Formats the error as "step (subject): detail [code]".
   std::string Message() const;
 
   bool operator==(const Error&) const = default;
@@ -45,10 +45,10 @@
 using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::terminate>;
 
 /// A failure, to be returned from a function whose return type is a Result.
-inline auto Fail(ErrorCode aCode, std::string aStep, std::string aPeer, std::string aDetail)
+inline auto Fail(ErrorCode aCode, std::string aStep, std::string aSubject, std::string aDetail)
 {
   return boost::outcome_v2::failure(
-    Error{aCode, std::move(aStep), std::move(aPeer), std::move(aDetail)});
+    Error{aCode, std::move(aStep), std::move(aSubject), std::move(aDetail)});
 }
 
 /// Success without a value.
--- a/include/dandelionslip/Support/Fields.h
+++ b/include/dandelionslip/Support/Fields.h
@@ -31,7 +31,7 @@
   std::string_view mName;
 };
 
-/// Inclusive bounds of a numeric field.
+/// Inclusive bounds of a numeric field, or of each element of an array or map.
 struct Range
 {
   std::int64_t mMin = std::numeric_limits<std::int64_t>::min();
@@ -144,7 +144,7 @@
     , mPath(std::move(aPath))
   {
     if (!mObject.is_object()) {
-      Report(mPath, mObject, "an object");
+      RecordWrongValue(mPath, mObject, "an object");
     }
   }
 
@@ -177,15 +177,15 @@
     }
     for (const auto& [key, value] : mObject.items()) {
       if (!mSeen.contains(key)) {
-        Report(Path(key), value, "no such key");
+        RecordWrongValue(Path(key), value, "no such key");
         break;
       }
     }
     return mError;
   }
 
-  /// Reports a violation that a struct's own checks found; aKey is relative to this object.
-  void Reject(std::string_view aKey, std::string_view aFound, std::string_view aExpected)
+  /// Records a violation that a struct's own checks found; aKey is relative to this object.
+  void RecordViolation(std::string_view aKey, std::string_view aFound, std::string_view aExpected)
   {
     if (!mError) {
       mError = Error{ErrorCode::InvalidInput, "decode", mSource,
@@ -210,7 +210,7 @@
     return found == mObject.end() ? nullptr : &*found;
   }
 
-  void Report(const std::string& aPath, const Json& aFound, const std::string& aExpected)
+  void RecordWrongValue(const std::string& aPath, const Json& aFound, const std::string& aExpected)
   {
     if (!mError) {
       std::string found = aFound.dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -233,7 +233,8 @@
     if constexpr (std::is_enum_v<T>) {
       DecodeEnum(aIn, aPath, aValue);
     } else if constexpr (std::is_same_v<T, bool>) {
-      aIn.is_boolean() ? void(aValue = aIn.get<bool>()) : Report(aPath, aIn, "true or false");
+      aIn.is_boolean() ? void(aValue = aIn.get<bool>())
+                       : RecordWrongValue(aPath, aIn, "true or false");
     } else if constexpr (std::is_same_v<T, std::chrono::milliseconds>) {
       std::int64_t count = 0;
       DecodeInteger(aIn, aPath, count, aRange);
@@ -241,9 +242,10 @@
     } else if constexpr (std::is_integral_v<T>) {
       DecodeInteger(aIn, aPath, aValue, aRange);
     } else if constexpr (std::is_floating_point_v<T>) {
-      aIn.is_number() ? void(aValue = aIn.get<T>()) : Report(aPath, aIn, "a number");
+      aIn.is_number() ? void(aValue = aIn.get<T>()) : RecordWrongValue(aPath, aIn, "a number");
     } else if constexpr (std::is_same_v<T, std::string>) {
-      aIn.is_string() ? void(aValue = aIn.get<std::string>()) : Report(aPath, aIn, "a string");
+      aIn.is_string() ? void(aValue = aIn.get<std::string>())
+                      : RecordWrongValue(aPath, aIn, "a string");
     } else if constexpr (std::is_same_v<T, Json>) {
       aValue = aIn;
     } else if constexpr (detail::IsVector<T>::value) {
@@ -275,17 +277,19 @@
       }
       expected += (expected.empty() ? "one of " : ", ") + std::string(name);
     }
-    Report(aPath, aIn, expected);
+    RecordWrongValue(aPath, aIn, expected);
   }
 
   template <typename T>
   void DecodeInteger(const Json& aIn, const std::string& aPath, T& aValue, Range aRange)
   {
     if (!aIn.is_number_integer()) {
-      Report(aPath, aIn, "an integer");
+      RecordWrongValue(aPath, aIn, "an integer");
       return;
     }
     if constexpr (std::is_same_v<T, std::uint64_t>) {
+      // Bounds are int64_t, so a field without an upper bound is read directly to accept values
+      // above INT64_MAX.
       if (aRange.mMax == std::numeric_limits<std::int64_t>::max() && aIn.is_number_unsigned()) {
         aValue = aIn.get<std::uint64_t>();
         return;
@@ -299,7 +303,8 @@
       std::max<std::int64_t>(aRange.mMin, std::is_unsigned_v<T> ? 0 : TypeMin<T>());
     const std::int64_t high = std::min<std::int64_t>(aRange.mMax, TypeMax<T>());
     if (tooLarge || count < low || count > high) {
-      Report(aPath, aIn, "an integer from " + std::to_string(low) + " to " + std::to_string(high));
+      RecordWrongValue(aPath, aIn,
+                       "an integer from " + std::to_string(low) + " to " + std::to_string(high));
       return;
     }
     aValue = static_cast<T>(count);
@@ -325,7 +330,7 @@
   void DecodeVector(const Json& aIn, const std::string& aPath, std::vector<T>& aValue, Range aRange)
   {
     if (!aIn.is_array()) {
-      Report(aPath, aIn, "an array");
+      RecordWrongValue(aPath, aIn, "an array");
       return;
     }
     aValue.clear();
@@ -341,7 +346,7 @@
                  Range aRange)
   {
     if (!aIn.is_object()) {
-      Report(aPath, aIn, "an object");
+      RecordWrongValue(aPath, aIn, "an object");
       return;
     }
     aValue.clear();
--- a/include/dandelionslip/Support/Hash.h
+++ b/include/dandelionslip/Support/Hash.h
@@ -13,7 +13,7 @@
 /// XXH3 of a text.
 std::uint64_t Hash64(std::string_view aText, std::uint64_t aSeed = 0);
 
-/// Combines two hashes into one; the order of the arguments matters.
+/// Hashes two 64-bit values together; the order of the arguments matters.
 std::uint64_t CombineHash(std::uint64_t aFirst, std::uint64_t aSecond);
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Support/Log.h
+++ b/include/dandelionslip/Support/Log.h
@@ -43,14 +43,14 @@
     return With(aKey, std::string_view(std::to_string(aValue)));
   }
 
-  /// Adds step, peer, code and detail of an error.
+  /// Adds step, subject (with the key "peer"), code and detail of an error.
   LogEvent& With(const Error& aError);
 
 private:
   void Begin(std::string_view aEvent);
 
   LogLevel mLevel;
-  bool mWritten; ///< The level is high enough and the event's rate limit admits the line.
+  bool mEnabled; ///< Whether the level is high enough and the event's rate limit allows the line.
   std::string mLine;
 };
 
--- a/include/dandelionslip/Support/LogRateLimiter.h
+++ b/include/dandelionslip/Support/LogRateLimiter.h
@@ -27,7 +27,7 @@
   static constexpr std::uint32_t kLinesPerSecond = 25;
 
   /// Whether a line of this event may be written now; if not, counts it as omitted.
-  bool Admit(std::string_view aEvent, TimePoint aNow);
+  bool AllowLine(std::string_view aEvent, TimePoint aNow);
 
   /// Returns and resets the counts of omitted lines, at most once a second; empty otherwise.
   std::vector<OmittedLines> TakeOmitted(TimePoint aNow);
--- a/include/dandelionslip/Support/Metrics.h
+++ b/include/dandelionslip/Support/Metrics.h
@@ -42,8 +42,8 @@
   void Observe(double aValue);
   std::uint64_t Count() const;
   double Mean() const;
-  /// The estimated quantile; aRank is one of 0.5, 0.9, 0.99.
-  double Quantile(double aRank) const;
+  /// The estimated quantile at level aLevel, one of 0.5, 0.9 and 0.99; 0 for other levels.
+  double Quantile(double aLevel) const;
 
 private:
   struct State;
@@ -60,7 +60,8 @@
   Gauge& GaugeFor(std::string_view aName, std::string_view aLabels = {});
   Summary& SummaryFor(std::string_view aName, std::string_view aLabels = {});
 
-  /// All metrics in the text exposition format, ordered by name.
+  /// All metrics in the text exposition format: counters, gauges, then summaries, each ordered
+  /// by name and labels.
   std::string Render() const;
 
 private:
--- a/include/dandelionslip/Support/Random.h
+++ b/include/dandelionslip/Support/Random.h
@@ -31,7 +31,7 @@
   std::mt19937_64 mEngine;
 };
 
-/// A random seed from the operating system. Only for programs; tests use fixed seeds.
+/// A random seed from the operating system. Only for production code; tests use fixed seeds.
 std::uint64_t SystemSeed();
 
 } // namespace dandelionslip
--- a/include/dandelionslip/Support/RuntimeClock.h
+++ b/include/dandelionslip/Support/RuntimeClock.h
@@ -30,7 +30,8 @@
 using TimePoint = RuntimeClock::time_point;
 using Milliseconds = std::chrono::milliseconds;
 
-/// Wall-clock time in milliseconds since 1970. Only for identifiers, never for timers.
+/// Wall-clock time in milliseconds since 1970. For identifiers, incarnations and times that are
+/// compared between nodes; never for timers.
 std::int64_t WallClockMs();
 
 } // namespace dandelionslip
--- a/lib/Config/CheckSettings.cpp
+++ b/lib/Config/CheckSettings.cpp
@@ -28,7 +28,7 @@
   std::set<Endpoint> seen;
   for (std::size_t i = 0; i < aEndpoints.size(); ++i) {
     const std::string key = KeyWithIndex("control_endpoints", i);
-    if (const auto endpoint = aChecker.CheckRemoteEndpoint(key, aEndpoints[i])) {
+    if (const auto endpoint = aChecker.CheckEndpoint(key, aEndpoints[i])) {
       aChecker.Require(seen.insert(*endpoint).second, key, Quoted(aEndpoints[i]),
                        "distinct endpoints");
     }
@@ -40,13 +40,13 @@
   aChecker.CheckName("node", aSettings.mNode);
   aChecker.CheckName("data_centre", aSettings.mDataCentre);
   if (!aSettings.mMetricsEndpoint.empty()) {
-    aChecker.CheckLocalEndpoint("metrics_endpoint", aSettings.mMetricsEndpoint, kTcp);
+    aChecker.CheckDistinctEndpoint("metrics_endpoint", aSettings.mMetricsEndpoint, kTcp);
   }
   CheckControlEndpoints(aChecker, aSettings.mControlEndpoints);
 }
 
 // Balancers and agents need at least one control replica.
-void CheckNode(SettingsChecker& aChecker, const CommonSettings& aSettings)
+void CheckMember(SettingsChecker& aChecker, const CommonSettings& aSettings)
 {
   CheckCommon(aChecker, aSettings);
   aChecker.Require(!aSettings.mControlEndpoints.empty(), "control_endpoints", "none",
@@ -66,13 +66,13 @@
     aChecker.CheckName(key + ".name", name);
     aChecker.Require(names.insert(name).second, key + ".name", Quoted(name),
                      "a name other than this node's and the other peers'");
-    if (const auto endpoint = aChecker.CheckRemoteEndpoint(key + ".endpoint", text)) {
+    if (const auto endpoint = aChecker.CheckEndpoint(key + ".endpoint", text)) {
       aChecker.Require(endpoints.insert(*endpoint).second, key + ".endpoint", Quoted(text),
                        "an endpoint other than this node's and the other peers'");
     }
   }
   for (std::size_t i = 0; i < aSettings.mInitialReplicas.size(); ++i) {
-    aChecker.CheckRemoteEndpoint(KeyWithIndex("founders", i), aSettings.mInitialReplicas[i]);
+    aChecker.CheckEndpoint(KeyWithIndex("founders", i), aSettings.mInitialReplicas[i]);
   }
   const bool knowsGroup = !aSettings.mPeers.empty() || !aSettings.mInitialReplicas.empty();
   aChecker.Require(!aSettings.mJoin || knowsGroup, "join", "true without peers",
@@ -105,10 +105,10 @@
 
 void CheckUpstream(SettingsChecker& aChecker, const AgentSettings& aSettings)
 {
-  aChecker.CheckLocalEndpoint("upstream_datagram_endpoint", aSettings.mUpstreamDatagramEndpoint,
-                              kUdp);
-  aChecker.CheckLocalEndpoint("upstream_request_endpoint", aSettings.mUpstreamRequestEndpoint,
-                              kTcp);
+  aChecker.CheckDistinctEndpoint("upstream_datagram_endpoint", aSettings.mUpstreamDatagramEndpoint,
+                                 kUdp);
+  aChecker.CheckDistinctEndpoint("upstream_request_endpoint", aSettings.mUpstreamRequestEndpoint,
+                                 kTcp);
   const std::string& path = aSettings.mUpstreamHealthPath;
   aChecker.Require(
     path.empty() || (path.front() == '/' && std::all_of(path.begin(), path.end(), IsPathCharacter)),
@@ -125,9 +125,9 @@
 Result<void> CheckSettings(const BalancerSettings& aSettings, std::string_view aSource)
 {
   SettingsChecker checks(aSource);
-  CheckNode(checks, aSettings);
-  checks.CheckLocalEndpoint("datagram_endpoint", aSettings.mDatagramEndpoint, kUdp);
-  checks.CheckLocalEndpoint("request_endpoint", aSettings.mRequestEndpoint, kTcp);
+  CheckMember(checks, aSettings);
+  checks.CheckDistinctEndpoint("datagram_endpoint", aSettings.mDatagramEndpoint, kUdp);
+  checks.CheckDistinctEndpoint("request_endpoint", aSettings.mRequestEndpoint, kTcp);
   if (!aSettings.mListenAddress.empty()) {
     checks.CheckAddress("listen_address", aSettings.mListenAddress);
   }
@@ -137,10 +137,10 @@
 Result<void> CheckSettings(const AgentSettings& aSettings, std::string_view aSource)
 {
   SettingsChecker checks(aSource);
-  CheckNode(checks, aSettings);
+  CheckMember(checks, aSettings);
   checks.CheckName("service", aSettings.mService);
-  checks.CheckLocalEndpoint("datagram_endpoint", aSettings.mDatagramEndpoint, kUdp);
-  checks.CheckLocalEndpoint("request_endpoint", aSettings.mRequestEndpoint, kTcp);
+  checks.CheckDistinctEndpoint("datagram_endpoint", aSettings.mDatagramEndpoint, kUdp);
+  checks.CheckDistinctEndpoint("request_endpoint", aSettings.mRequestEndpoint, kTcp);
   CheckUpstream(checks, aSettings);
   return checks.Finish();
 }
@@ -149,7 +149,7 @@
 {
   SettingsChecker checks(aSource);
   CheckCommon(checks, aSettings);
-  checks.CheckLocalEndpoint("endpoint", aSettings.mEndpoint, kTcp);
+  checks.CheckDistinctEndpoint("endpoint", aSettings.mEndpoint, kTcp);
   checks.Require(!aSettings.mDataFolder.empty(), "data_folder", Quoted(""), "the path of a folder");
   CheckRaftGroup(checks, aSettings);
   CheckTimes(checks, aSettings);
--- a/lib/Config/Publication.cpp
+++ b/lib/Config/Publication.cpp
@@ -88,8 +88,8 @@
 
 } // namespace
 
-std::vector<ServiceFile> ChangedServices(std::span<const ServiceFile> aFiles,
-                                         const Configuration& aCurrent)
+std::vector<ServiceFile> ChangedServiceFiles(std::span<const ServiceFile> aFiles,
+                                             const Configuration& aCurrent)
 {
   std::vector<ServiceFile> changed;
   std::copy_if(aFiles.begin(), aFiles.end(), std::back_inserter(changed),
@@ -100,9 +100,9 @@
   return changed;
 }
 
-Result<Command> BuildPublication(const PublicationIdentity& aIdentity,
-                                 std::span<const ServiceFile> aFiles,
-                                 std::span<const ServiceDeletion> aDeletions)
+Result<Command> BuildPublicationCommand(const PublicationIdentity& aIdentity,
+                                        std::span<const ServiceFile> aFiles,
+                                        std::span<const ServiceDeletion> aDeletions)
 {
   if (aFiles.empty() && aDeletions.empty()) {
     return Reject("services", "found no change, expected at least one");
--- a/lib/Config/ServiceFiles.cpp
+++ b/lib/Config/ServiceFiles.cpp
@@ -68,7 +68,7 @@
   return spec;
 }
 
-Result<ServiceSpec> LoadServiceFile(const std::string& aPath)
+Result<ServiceSpec> LoadServiceSpec(const std::string& aPath)
 {
   const auto text = ReadTextFile(aPath);
   if (!text) {
@@ -77,7 +77,7 @@
   return ParseServiceSpec(text.value(), aPath);
 }
 
-Result<std::vector<ServiceFile>> CollectServices(const std::vector<std::string>& aFolders)
+Result<std::vector<ServiceFile>> LoadServiceFiles(const std::vector<std::string>& aFolders)
 {
   std::set<fs::path> seen;
   std::vector<std::string> paths;
@@ -92,7 +92,7 @@
   ServiceFileIndex index;
   std::vector<ServiceFile> files;
   for (const std::string& path : paths) {
-    auto spec = LoadServiceFile(path);
+    auto spec = LoadServiceSpec(path);
     if (!spec) {
       return spec.as_failure();
     }
--- a/lib/Config/SettingsChecker.cpp
+++ b/lib/Config/SettingsChecker.cpp
@@ -31,20 +31,20 @@
   Require(valid, aKey, Quoted(aValue), "1 to 63 characters of a-z, 0-9 and '-'");
 }
 
-void SettingsChecker::CheckLocalEndpoint(std::string_view aKey, std::string_view aValue,
-                                         std::string_view aTransport)
+void SettingsChecker::CheckDistinctEndpoint(std::string_view aKey, std::string_view aValue,
+                                            std::string_view aTransport)
 {
-  const auto endpoint = CheckRemoteEndpoint(aKey, aValue);
+  const auto endpoint = CheckEndpoint(aKey, aValue);
   if (!endpoint) {
     return;
   }
   const auto [entry, isNew] =
-    mKeyByLocalEndpoint.emplace(std::pair(std::string(aTransport), *endpoint), std::string(aKey));
+    mKeyByEndpoint.emplace(std::pair(std::string(aTransport), *endpoint), std::string(aKey));
   Require(isNew, aKey, Quoted(aValue), "an endpoint other than that of " + entry->second);
 }
 
-std::optional<Endpoint> SettingsChecker::CheckRemoteEndpoint(std::string_view aKey,
-                                                             std::string_view aValue)
+std::optional<Endpoint> SettingsChecker::CheckEndpoint(std::string_view aKey,
+                                                       std::string_view aValue)
 {
   const auto endpoint = Endpoint::Parse(aValue);
   Require(endpoint.has_value(), aKey, Quoted(aValue),
--- a/lib/Config/SettingsChecker.h
+++ b/lib/Config/SettingsChecker.h
@@ -23,13 +23,13 @@
   /// Checks a name of a node, data centre or service: 1 to 63 characters of a-z, 0-9 and '-'.
   void CheckName(std::string_view aKey, std::string_view aValue);
 
-  /// Checks an endpoint of this process: a numeric address:port that was not passed before with the
-  /// same transport.
-  void CheckLocalEndpoint(std::string_view aKey, std::string_view aValue,
-                          std::string_view aTransport);
+  /// Checks a numeric address:port that no other key checked by this function has with the same
+  /// transport.
+  void CheckDistinctEndpoint(std::string_view aKey, std::string_view aValue,
+                             std::string_view aTransport);
 
-  /// Checks and returns the endpoint of another process: a numeric address:port.
-  std::optional<Endpoint> CheckRemoteEndpoint(std::string_view aKey, std::string_view aValue);
+  /// Checks and returns a numeric address:port.
+  std::optional<Endpoint> CheckEndpoint(std::string_view aKey, std::string_view aValue);
 
   /// Checks a numeric address without a port. Returns it as an endpoint with port 1.
   std::optional<Endpoint> CheckAddress(std::string_view aKey, std::string_view aValue);
@@ -45,7 +45,7 @@
 private:
   std::string mSource;
   std::optional<Error> mError;
-  std::map<std::pair<std::string, Endpoint>, std::string> mKeyByLocalEndpoint;
+  std::map<std::pair<std::string, Endpoint>, std::string> mKeyByEndpoint;
 };
 
 /// Quotes a value as JSON for a message.
--- a/lib/Control/MembershipCore.cpp
+++ b/lib/Control/MembershipCore.cpp
@@ -150,7 +150,7 @@
     mViews.Advance(*aUpdate.mView);
     return;
   }
-  if (aUpdate.mDifference && allowed(aUpdate.mDifference->mTo)) {
+  if (aUpdate.mDifference && allowed(aUpdate.mDifference->mToRevision)) {
     // If the difference does not fit, the answer tells the leader this replica's revision, and the
     // leader sends an update that fits.
     std::ignore = mViews.Apply(*aUpdate.mDifference);
@@ -169,7 +169,7 @@
     return;
   }
   if (const auto step = mViews.DifferenceFrom(ServedView().mRevision, mHeldRevision);
-      step && step->mTo >> kTermShift == heldTerm) {
+      step && step->mToRevision >> kTermShift == heldTerm) {
     std::ignore = mServedViews.Apply(*step);
   }
 }
--- a/lib/Daemon/BalancerDaemon.cpp
+++ b/lib/Daemon/BalancerDaemon.cpp
@@ -52,7 +52,7 @@
     }
     const auto route = mSnapshot->RouteRequest(name->second, aId.Hash(), RuntimeClock::now());
     if (const auto* found = std::get_if<RequestRoute>(&route)) {
-      return found->mOwner.mRequestEndpoint;
+      return found->mActingMember.mRequestEndpoint;
     }
     return std::nullopt;
   }
@@ -384,8 +384,7 @@
     }
     const ServiceEntry* entry = FindByAddress(*configuration, aServiceAddress);
     if (entry == nullptr) {
-      aExchange->Respond(
-        ToResponse(NotRunReply({RefusalReason::NoService, kBalancerRetryAfterMs})));
+      aExchange->Respond(ToResponse(NotRunReply({RefusalReason::NoService, kBalancerRetryAfter})));
       return;
     }
     CallerRequest request = DecodeRequest(*entry, *aExchange);
--- a/lib/Daemon/PacketAgentDaemon.cpp
+++ b/lib/Daemon/PacketAgentDaemon.cpp
@@ -49,7 +49,7 @@
     , mNode(aSettings, {[this](Member& aMember) { FillMember(aMember); },
                         [this](const NodeState& aState) { OnState(aState); }, aPlatform.mReadSeeds})
     , mCore(CoreSettings(aSettings), aPlatform.mCodec, mNode.Registry(), RuntimeClock::now())
-    , mOutput(aSettings.mCallerPort, mNode.Registry())
+    , mOutput(aSettings.mCallerReceivePort, mNode.Registry())
     , mAdapterFactory(aPlatform.mAdapter)
   {
   }
--- a/lib/Daemon/PacketBalancerDaemon.cpp
+++ b/lib/Daemon/PacketBalancerDaemon.cpp
@@ -33,7 +33,7 @@
     , mNode(aSettings, {[this](Member& aMember) { FillMember(aMember); },
                         [this](const NodeState& aState) { OnState(aState); }, aPlatform.mReadSeeds})
     , mCore(CoreSettings(aSettings), aPlatform.mCodec, mNode.Registry(), Random(SystemSeed()))
-    , mOutput(aSettings.mCallerPort, mNode.Registry())
+    , mOutput(aSettings.mCallerReceivePort, mNode.Registry())
     , mAdapterFactory(aPlatform.mAdapter)
   {
   }
@@ -48,7 +48,7 @@
     mNode.Pool().OnStop([this] { Stop(); });
     mNode.Start();
     LogEvent(LogLevel::Info, "started")
-      .With("callers", mSettings.mCallerEndpoint)
+      .With("callers", mSettings.mListenEndpoint)
       .With("nodes", mSettings.mDatagramEndpoint)
       .With("version", DANDELIONSLIP_VERSION);
     return mNode.Pool().Run();
@@ -61,7 +61,7 @@
 private:
   Result<void> Open()
   {
-    auto callers = UdpSocket::Bind(mNode.Loop(), Endpoint::Parse(mSettings.mCallerEndpoint).value(),
+    auto callers = UdpSocket::Bind(mNode.Loop(), Endpoint::Parse(mSettings.mListenEndpoint).value(),
                                    [this](auto aBytes, const Endpoint&) {
                                      mCore.OnCallerPacket(aBytes, mOutput, RuntimeClock::now());
                                    });
--- a/lib/Model/ConfigurationDifference.cpp
+++ b/lib/Model/ConfigurationDifference.cpp
@@ -8,8 +8,8 @@
 ConfigurationDifference DifferenceBetween(const Configuration& aFrom, const Configuration& aTo)
 {
   ConfigurationDifference difference;
-  difference.mFrom = aFrom.mRevision;
-  difference.mTo = aTo.mRevision;
+  difference.mFromRevision = aFrom.mRevision;
+  difference.mToRevision = aTo.mRevision;
   CollectChanges(aFrom.mServices, aTo.mServices, difference.mServices, difference.mRemovedServices);
   CollectChanges(aFrom.mDataCentres, aTo.mDataCentres, difference.mDataCentres,
                  difference.mRemovedDataCentres);
@@ -20,9 +20,9 @@
   return difference;
 }
 
-void AppendDifference(ConfigurationDifference& aFirst, const ConfigurationDifference& aSecond)
+void MergeDifference(ConfigurationDifference& aFirst, const ConfigurationDifference& aSecond)
 {
-  aFirst.mTo = aSecond.mTo;
+  aFirst.mToRevision = aSecond.mToRevision;
   MergeChanges(aFirst.mServices, aFirst.mRemovedServices, aSecond.mServices,
                aSecond.mRemovedServices);
   MergeChanges(aFirst.mDataCentres, aFirst.mRemovedDataCentres, aSecond.mDataCentres,
@@ -36,8 +36,8 @@
 Result<void> ApplyDifference(Configuration& aConfiguration,
                              const ConfigurationDifference& aDifference)
 {
-  if (auto check = CheckDifference(aConfiguration.mRevision, aDifference.mFrom, aDifference.mTo,
-                                   "configuration.apply");
+  if (auto check = CheckDifference(aConfiguration.mRevision, aDifference.mFromRevision,
+                                   aDifference.mToRevision, "configuration.apply");
       !check) {
     return check;
   }
@@ -48,7 +48,7 @@
   if (aDifference.mRoutes) {
     aConfiguration.mRoutes = *aDifference.mRoutes;
   }
-  aConfiguration.mRevision = aDifference.mTo;
+  aConfiguration.mRevision = aDifference.mToRevision;
   return Ok();
 }
 
--- a/lib/Model/NodeState.cpp
+++ b/lib/Model/NodeState.cpp
@@ -11,10 +11,11 @@
 Result<void> CheckDifferenceStart(const State& aCurrent,
                                   const std::optional<Difference>& aDifference)
 {
-  if (!aDifference || aDifference->mTo <= aCurrent.mRevision) {
+  if (!aDifference || aDifference->mToRevision <= aCurrent.mRevision) {
     return Ok();
   }
-  return CheckDifference(aCurrent.mRevision, aDifference->mFrom, aDifference->mTo, "node.apply");
+  return CheckDifference(aCurrent.mRevision, aDifference->mFromRevision, aDifference->mToRevision,
+                         "node.apply");
 }
 
 template <typename State, typename Difference>
@@ -25,7 +26,7 @@
     aCurrent = *aWhole;
     return Ok();
   }
-  if (aDifference && aDifference->mTo > aCurrent.mRevision) {
+  if (aDifference && aDifference->mToRevision > aCurrent.mRevision) {
     return ApplyDifference(aCurrent, *aDifference);
   }
   return Ok();
--- a/lib/Model/ViewDifference.cpp
+++ b/lib/Model/ViewDifference.cpp
@@ -8,16 +8,16 @@
 ViewDifference DifferenceBetween(const View& aFrom, const View& aTo)
 {
   ViewDifference difference;
-  difference.mFrom = aFrom.mRevision;
-  difference.mTo = aTo.mRevision;
+  difference.mFromRevision = aFrom.mRevision;
+  difference.mToRevision = aTo.mRevision;
   CollectChanges(aFrom.mMembers, aTo.mMembers, difference.mMembers, difference.mRemovedMembers);
   CollectChanges(aFrom.mServices, aTo.mServices, difference.mServices, difference.mRemovedServices);
   return difference;
 }
 
-void AppendDifference(ViewDifference& aFirst, const ViewDifference& aSecond)
+void MergeDifference(ViewDifference& aFirst, const ViewDifference& aSecond)
 {
-  aFirst.mTo = aSecond.mTo;
+  aFirst.mToRevision = aSecond.mToRevision;
   MergeChanges(aFirst.mMembers, aFirst.mRemovedMembers, aSecond.mMembers, aSecond.mRemovedMembers);
   MergeChanges(aFirst.mServices, aFirst.mRemovedServices, aSecond.mServices,
                aSecond.mRemovedServices);
@@ -25,14 +25,14 @@
 
 Result<void> ApplyDifference(View& aView, const ViewDifference& aDifference)
 {
-  if (auto check =
-        CheckDifference(aView.mRevision, aDifference.mFrom, aDifference.mTo, "view.apply");
+  if (auto check = CheckDifference(aView.mRevision, aDifference.mFromRevision,
+                                   aDifference.mToRevision, "view.apply");
       !check) {
     return check;
   }
   ApplyChanges(aView.mMembers, aDifference.mMembers, aDifference.mRemovedMembers);
   ApplyChanges(aView.mServices, aDifference.mServices, aDifference.mRemovedServices);
-  aView.mRevision = aDifference.mTo;
+  aView.mRevision = aDifference.mToRevision;
   return Ok();
 }
 
--- a/lib/Route/AssignmentTable.cpp
+++ b/lib/Route/AssignmentTable.cpp
@@ -21,13 +21,13 @@
 // A bucket assigned to a member, ordered by its cost for that member.
 struct AssignedBucket
 {
-  RendezvousCost mCost;
+  RendezvousPosition mPosition;
   std::uint32_t mBucket = 0;
 
   bool operator==(const AssignedBucket&) const = default;
   auto operator<=>(const AssignedBucket& aOther) const
   {
-    return std::tie(mCost, mBucket) <=> std::tie(aOther.mCost, aOther.mBucket);
+    return std::tie(mPosition, mBucket) <=> std::tie(aOther.mPosition, aOther.mBucket);
   }
 };
 
@@ -59,10 +59,11 @@
   void Assign(std::uint32_t aBucket)
   {
     std::uint32_t bucket = aBucket;
-    RendezvousCost previous = RendezvousOrder::BeforeFirst();
+    // Position of the member that rejected the bucket last.
+    RendezvousPosition rejection = RendezvousOrder::BeforeFirst();
     for (;;) {
-      const RendezvousCost next = mOrder.NextAfter(
-        bucket, previous, [&](MemberIndex aMember) { return mQuotas[aMember] > 0; });
+      const RendezvousPosition next = mOrder.NextAfter(
+        bucket, rejection, [&](MemberIndex aMember) { return mQuotas[aMember] > 0; });
       if (next.mMember == kNoMember) {
         return;
       }
@@ -72,7 +73,7 @@
       if (assigned.size() <= mQuotas[next.mMember]) {
         return;
       }
-      previous = assigned.top().mCost;
+      rejection = assigned.top().mPosition;
       bucket = assigned.top().mBucket;
       mOwners[bucket] = kNoMember;
       assigned.pop();
@@ -100,20 +101,21 @@
   }
 };
 
-// Chooses as a bucket's alternate the first eligible member in its rendezvous order, other than the
-// owner, that is alternate of fewer buckets than its quota; without such a member, the first
-// eligible one other than the owner.
+// Chooses the alternate of each bucket: of the eligible members other than the owner, the first in
+// the bucket's rendezvous order that has not reached its quota of alternates. If all have reached
+// it, the first.
 std::vector<MemberIndex> Alternates(std::span<const WeightedMember> aMembers,
                                     const std::vector<MemberIndex>& aOwners,
                                     const std::vector<bool>& aEligible)
 {
-  std::vector<WeightedMember> eligible(aMembers.begin(), aMembers.end());
-  for (std::size_t i = 0; i < eligible.size() && i < aEligible.size(); ++i) {
-    eligible[i].mWeight = aEligible[i] ? eligible[i].mWeight : 0;
+  // Members of weight 0 are not in the order, so members that are not eligible get weight 0.
+  std::vector<WeightedMember> weights(aMembers.begin(), aMembers.end());
+  for (std::size_t i = 0; i < weights.size() && i < aEligible.size(); ++i) {
+    weights[i].mWeight = aEligible[i] ? weights[i].mWeight : 0;
   }
-  const RendezvousOrder order(eligible);
+  const RendezvousOrder order(weights);
   std::vector<std::uint32_t> remaining =
-    BucketQuotas(eligible, static_cast<std::uint32_t>(aOwners.size()));
+    BucketQuotas(weights, static_cast<std::uint32_t>(aOwners.size()));
   std::vector<MemberIndex> alternates(aOwners.size(), kNoMember);
   for (std::uint32_t bucket = 0; bucket < aOwners.size(); ++bucket) {
     const MemberIndex owner = aOwners[bucket];
--- a/lib/Route/BaselineStrategies.cpp
+++ b/lib/Route/BaselineStrategies.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-// Order in which a member visits all buckets. An odd step visits each bucket of a power-of-two
-// table once.
-struct Permutation
+// Next bucket and step of a member in its permutation of the buckets. The step is odd, so the
+// member visits each bucket of a power-of-two table once.
+struct PermutationCursor
 {
   std::uint32_t mNext = 0;
   std::uint32_t mStep = 1;
 };
 
-class PermutationStrategy : public AssignmentStrategy
+class MaglevStrategy : public AssignmentStrategy
 {
 public:
   std::string_view Name() const override { return "permutation"; }
@@ -27,49 +27,49 @@
                                   std::uint32_t aBuckets) const override
   {
     std::vector<MemberIndex> owners(aBuckets, kNoMember);
-    std::uint64_t largest = 0;
-    std::vector<Permutation> permutations;
+    std::uint64_t largestWeight = 0;
+    std::vector<PermutationCursor> cursors;
     for (const WeightedMember& member : aMembers) {
-      largest = std::max<std::uint64_t>(largest, member.mWeight);
+      largestWeight = std::max<std::uint64_t>(largestWeight, member.mWeight);
       const std::uint64_t hash = Hash64(member.mMember);
-      permutations.push_back({static_cast<std::uint32_t>(hash) & (aBuckets - 1),
-                              (static_cast<std::uint32_t>(hash >> 32U) | 1U) & (aBuckets - 1)});
+      cursors.push_back({static_cast<std::uint32_t>(hash) & (aBuckets - 1),
+                         (static_cast<std::uint32_t>(hash >> 32U) | 1U) & (aBuckets - 1)});
     }
-    if (largest > 0) {
-      Fill(aMembers, permutations, largest, owners);
+    if (largestWeight > 0) {
+      Fill(aMembers, cursors, largestWeight, owners);
     }
     return owners;
   }
 
 private:
-  // In each round a member's credit grows by its weight. A member whose credit has reached the
-  // largest weight spends that much for a bucket.
+  // In each round a member's credit grows by its weight. When the credit reaches the largest
+  // weight, it is reduced by that weight and the member takes a bucket.
   static void Fill(std::span<const WeightedMember> aMembers,
-                   std::vector<Permutation>& aPermutations, std::uint64_t aLargest,
+                   std::vector<PermutationCursor>& aCursors, std::uint64_t aLargestWeight,
                    std::vector<MemberIndex>& aOwners)
   {
     std::vector<std::uint64_t> credit(aMembers.size(), 0);
     for (std::size_t filled = 0; filled < aOwners.size();) {
       for (std::size_t i = 0; i < aMembers.size() && filled < aOwners.size(); ++i) {
         credit[i] += aMembers[i].mWeight;
-        if (credit[i] < aLargest) {
+        if (credit[i] < aLargestWeight) {
           continue;
         }
-        credit[i] -= aLargest;
-        TakeNextFree(aPermutations[i], aOwners, static_cast<MemberIndex>(i));
+        credit[i] -= aLargestWeight;
+        TakeNextFree(aCursors[i], aOwners, static_cast<MemberIndex>(i));
         ++filled;
       }
     }
   }
 
-  static void TakeNextFree(Permutation& aPermutation, std::vector<MemberIndex>& aOwners,
+  static void TakeNextFree(PermutationCursor& aCursor, std::vector<MemberIndex>& aOwners,
                            MemberIndex aMember)
   {
     const auto mask = static_cast<std::uint32_t>(aOwners.size() - 1);
-    while (aOwners[aPermutation.mNext] != kNoMember) {
-      aPermutation.mNext = (aPermutation.mNext + aPermutation.mStep) & mask;
+    while (aOwners[aCursor.mNext] != kNoMember) {
+      aCursor.mNext = (aCursor.mNext + aCursor.mStep) & mask;
     }
-    aOwners[aPermutation.mNext] = aMember;
+    aOwners[aCursor.mNext] = aMember;
   }
 };
 
@@ -99,9 +99,9 @@
 
 } // namespace
 
-std::unique_ptr<AssignmentStrategy> MakePermutationStrategy()
+std::unique_ptr<AssignmentStrategy> MakeMaglevStrategy()
 {
-  return std::make_unique<PermutationStrategy>();
+  return std::make_unique<MaglevStrategy>();
 }
 
 std::unique_ptr<AssignmentStrategy> MakeRingStrategy()
--- a/lib/Route/RendezvousOrder.cpp
+++ b/lib/Route/RendezvousOrder.cpp
@@ -13,7 +13,7 @@
 
 constexpr unsigned kFractionBits = 32;
 constexpr unsigned kIndexBits = 10;
-constexpr std::size_t kSteps = std::size_t{1} << kIndexBits;
+constexpr std::size_t kLogTableIntervals = std::size_t{1} << kIndexBits;
 
 // log2 of a value in [1, 2), which is given with 31 fraction bits. Computed by repeated squaring:
 // each squaring yields one bit of the result.
@@ -29,20 +29,21 @@
   return result;
 }
 
-using LogTable = std::array<std::uint64_t, kSteps + 1>;
+using LogTable = std::array<std::uint64_t, kLogTableIntervals + 1>;
 
 LogTable MakeLogTable()
 {
   LogTable table{};
-  for (std::size_t i = 0; i < kSteps; ++i) {
+  for (std::size_t i = 0; i < kLogTableIntervals; ++i) {
     table[i] = FractionOfLog2((std::uint64_t{1} << 31U) + (i << (31U - kIndexBits)));
   }
-  table[kSteps] = std::uint64_t{1} << kFractionBits;
+  table[kLogTableIntervals] = std::uint64_t{1} << kFractionBits;
   return table;
 }
 
-// 64 - log2(aHash) with 32 fraction bits; aHash > 0. Interpolates linearly between table entries.
-// The error of less than 2^-21 does not change the members' shares, because quotas determine them.
+// -log2(aHash / 2^64), that is 64 - log2(aHash), with 32 fraction bits; aHash > 0. Interpolates
+// linearly between table entries. The error of less than 2^-21 does not change the members' shares,
+// because quotas determine them.
 std::uint64_t NegativeLog2(std::uint64_t aHash)
 {
   static const LogTable kTable = MakeLogTable();
@@ -65,12 +66,13 @@
   }
 }
 
-RendezvousCost RendezvousOrder::Cost(std::uint32_t aBucket, MemberIndex aMember) const
+RendezvousPosition RendezvousOrder::PositionOf(std::uint32_t aBucket, MemberIndex aMember) const
 {
   const std::uint64_t hash =
     std::max<std::uint64_t>(1, CombineHash(mHashes[aMember], std::uint64_t{aBucket}));
   // The logarithm has at most 39 bits, so the shift does not overflow. Weights have at most 20
-  // bits, so the quotient keeps at least 4 bits more than the logarithm has.
+  // bits, so scaling by 2^24 before the division keeps all bits of the logarithm and at least 4
+  // more.
   constexpr unsigned kScaleBits = 24;
   return {(NegativeLog2(hash) << kScaleBits) / mWeights[aMember], aMember};
 }
--- a/lib/Route/RoutingCore.cpp
+++ b/lib/Route/RoutingCore.cpp
@@ -95,7 +95,7 @@
   }
   if (const auto lease = mDataCentreLeases.find(member->mDataCentre);
       lease != mDataCentreLeases.end()) {
-    lease->second->ExtendTo(probe->second.mSentAt + mSettings.mProbeValidity);
+    lease->second->ExtendTo(probe->second.mSentAt + mSettings.mProbeLease);
   }
   return {};
 }
@@ -103,10 +103,10 @@
 std::vector<RoutingAction> RoutingCore::Tick(TimePoint aNow)
 {
   std::erase_if(mSentProbes, [&](const auto& aProbe) {
-    return aNow - aProbe.second.mSentAt > mSettings.mProbeValidity;
+    return aNow - aProbe.second.mSentAt > mSettings.mProbeLease;
   });
-  // Probing starts two intervals before the lease expires, so that the leases of data centres whose
-  // agents answer do not expire in between.
+  // Probing starts two intervals before the lease expires, so that agents can answer before the
+  // leases of their data centres expire.
   if (aNow + 2 * mSettings.mProbeInterval < mLeaseEnd || aNow < mNextProbe) {
     return {};
   }
@@ -134,8 +134,8 @@
   if (agents.empty()) {
     return;
   }
-  // Probes another agent in each round, so that one failed agent does not let the lease of its data
-  // centre expire.
+  // Probes a different agent in each round, so that one failed agent does not let the lease of its
+  // data centre expire.
   const Member& chosen = *agents[mProbeRound % agents.size()];
   const auto endpoint = Endpoint::Parse(chosen.mDatagramEndpoint);
   if (!endpoint) {
--- a/lib/Route/RoutingSnapshot.cpp
+++ b/lib/Route/RoutingSnapshot.cpp
@@ -13,10 +13,11 @@
 
 Refusal RefusalFor(RefusalReason aReason)
 {
-  return {aReason, kBalancerRetryAfterMs};
+  return {aReason, kBalancerRetryAfter};
 }
 
-// A cheap hash is enough: there are few service addresses, and only operators choose them.
+// A cheap hash is enough: there are few service addresses, and only operators choose them, so
+// callers cannot provoke collisions.
 std::size_t AddressHash(const Endpoint& aAddress)
 {
   std::array<std::uint64_t, 2> halves{};
@@ -33,7 +34,7 @@
   , mConfigurationRevision(aConfiguration.mRevision)
   , mDataCentreLeases(aDataCentreLeases)
 {
-  std::vector<AddressSlot> addresses;
+  std::vector<AddressEntry> addresses;
   for (const auto& [name, entry] : aConfiguration.mServices) {
     auto service = std::make_unique<Service>();
     service->mTable = ServiceTable(aView, aConfiguration, name);
@@ -48,16 +49,17 @@
   IndexAddresses(addresses);
 }
 
-RoutingSnapshot::Target RoutingSnapshot::TargetFor(const ServiceTable& aTable,
-                                                   MemberIndex aMember) const
+RoutingSnapshot::DatagramTarget RoutingSnapshot::DatagramTargetFor(const ServiceTable& aTable,
+                                                                   MemberIndex aMember) const
 {
   if (aMember == kNoMember) {
     return {};
   }
   const TableMember& member = aTable.Members()[aMember];
   const auto lease = mDataCentreLeases.find(member.mDataCentre);
-  return lease == mDataCentreLeases.end() ? Target{}
-                                          : Target{member.mDatagramEndpoint, lease->second.get()};
+  return lease == mDataCentreLeases.end()
+           ? DatagramTarget{}
+           : DatagramTarget{member.mDatagramEndpoint, lease->second.get()};
 }
 
 void RoutingSnapshot::ResolveTargets(Service& aService) const
@@ -69,22 +71,23 @@
     const MemberIndex owner = table.Assignment().Owner(bucket);
     const MemberIndex acting = table.ActingFor(owner);
     // While the owner restarts without a backup, the alternate admits its new flows.
-    const bool ownerRestarting = owner != kNoMember && acting == owner &&
-                                 table.Members()[owner].mState == MemberState::Restarting;
+    const bool ownerRestartsWithoutBackup =
+      owner != kNoMember && acting == owner &&
+      table.Members()[owner].mState == MemberState::Restarting;
     const MemberIndex alternate = table.Assignment().Alternate(bucket);
-    aService.mEstablishedTargets.push_back(TargetFor(table, acting));
-    aService.mOpeningTargets.push_back(
-      TargetFor(table, ownerRestarting && alternate != kNoMember ? alternate : acting));
+    aService.mEstablishedTargets.push_back(DatagramTargetFor(table, acting));
+    aService.mOpeningTargets.push_back(DatagramTargetFor(
+      table, ownerRestartsWithoutBackup && alternate != kNoMember ? alternate : acting));
   }
 }
 
-void RoutingSnapshot::IndexAddresses(const std::vector<AddressSlot>& aAddresses)
+void RoutingSnapshot::IndexAddresses(const std::vector<AddressEntry>& aAddresses)
 {
   if (aAddresses.empty()) {
     return;
   }
   mAddresses.resize(std::bit_ceil(aAddresses.size() * 2));
-  for (const AddressSlot& address : aAddresses) {
+  for (const AddressEntry& address : aAddresses) {
     std::size_t index = AddressHash(address.mAddress) & (mAddresses.size() - 1);
     while (mAddresses[index].mService != nullptr &&
            mAddresses[index].mAddress != address.mAddress) {
@@ -129,7 +132,8 @@
   }
   const std::uint64_t hash = FlowHashOf(aCaller, aService);
   const auto& targets = aOpening ? service->mOpeningTargets : service->mEstablishedTargets;
-  const Target& target = targets[BucketOf(hash, static_cast<std::uint32_t>(targets.size()))];
+  const DatagramTarget& target =
+    targets[BucketOf(hash, static_cast<std::uint32_t>(targets.size()))];
   if (target.mLease == nullptr) {
     return RefusalFor(service->mReasonWithoutOwner);
   }
--- a/lib/Route/ServiceTable.cpp
+++ b/lib/Route/ServiceTable.cpp
@@ -84,8 +84,8 @@
     anyOutOfService = anyOutOfService || (weighted && member.mDataCentreOut);
   }
   mAllDataCentresOut = anyOutOfService && !anyInService;
-  mTable = AssignmentTable(EffectiveWeights(newest, mMembers),
-                           std::bit_floor(std::max(1U, entry->mSpec.mBuckets)), eligible);
+  mAssignment = AssignmentTable(EffectiveWeights(newest, mMembers),
+                                std::bit_floor(std::max(1U, entry->mSpec.mBuckets)), eligible);
 }
 
 void ServiceTable::AddMembers(const std::string& aServiceName, const View& aView,
--- a/lib/Support/Error.cpp
+++ b/lib/Support/Error.cpp
@@ -33,8 +33,8 @@
 std::string Error::Message() const
 {
   std::string text = mStep;
-  if (!mPeer.empty()) {
-    text += " (" + mPeer + ")";
+  if (!mSubject.empty()) {
+    text += " (" + mSubject + ")";
   }
   text += ": " + mDetail + " [";
   text += ToString(mCode);
--- a/lib/Support/Log.cpp
+++ b/lib/Support/Log.cpp
@@ -66,24 +66,24 @@
   BOOST_LOG(logger) << aLine;
 }
 
-// Whether the rate limit admits a line of this event. Also logs how many lines were omitted before.
-bool Admit(std::string_view aEvent)
+// Whether the rate limit allows a line of this event. Also logs how many lines were omitted before.
+bool AllowLineAndReportOmitted(std::string_view aEvent)
 {
   static std::mutex mutex;
   static LogRateLimiter limiter;
   const TimePoint now = RuntimeClock::now();
   std::vector<OmittedLines> omitted;
-  bool admitted = false;
+  bool allowed = false;
   {
     const std::lock_guard lock(mutex);
     omitted = limiter.TakeOmitted(now);
-    admitted = limiter.Admit(aEvent, now);
+    allowed = limiter.AllowLine(aEvent, now);
   }
   for (const auto& [event, count] : omitted) {
     WriteRecord(LogLevel::Warning, Prefix() + "event=log_lines_omitted of=" + event +
                                      " count=" + std::to_string(count));
   }
-  return admitted;
+  return allowed;
 }
 
 bool NeedsNoQuotes(char aCharacter)
@@ -139,9 +139,9 @@
 
 LogEvent::LogEvent(LogLevel aLevel, std::string_view aEvent)
   : mLevel(aLevel)
-  , mWritten(aLevel >= Threshold() && Admit(aEvent))
+  , mEnabled(aLevel >= Threshold() && AllowLineAndReportOmitted(aEvent))
 {
-  if (mWritten) {
+  if (mEnabled) {
     Begin(aEvent);
   }
 }
@@ -157,7 +157,7 @@
 
 LogEvent::~LogEvent()
 {
-  if (mWritten) {
+  if (mEnabled) {
     mLine.pop_back();
     WriteRecord(mLevel, mLine);
   }
@@ -165,7 +165,7 @@
 
 LogEvent& LogEvent::With(std::string_view aKey, std::string_view aValue)
 {
-  if (mWritten) {
+  if (mEnabled) {
     mLine += aKey;
     mLine += '=';
     mLine += QuoteLogValue(aValue);
@@ -177,7 +177,7 @@
 LogEvent& LogEvent::With(const Error& aError)
 {
   return With("step", aError.mStep)
-    .With("peer", aError.mPeer)
+    .With("peer", aError.mSubject)
     .With("code", ToString(aError.mCode))
     .With("detail", aError.mDetail);
 }
--- a/lib/Support/LogRateLimiter.cpp
+++ b/lib/Support/LogRateLimiter.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-bool LogRateLimiter::Admit(std::string_view aEvent, TimePoint aNow)
+bool LogRateLimiter::AllowLine(std::string_view aEvent, TimePoint aNow)
 {
   auto found = mCounts.find(aEvent);
   if (found == mCounts.end()) {
--- a/lib/Support/Metrics.cpp
+++ b/lib/Support/Metrics.cpp
@@ -17,7 +17,7 @@
 
 namespace accumulators = boost::accumulators;
 
-constexpr std::array<double, 3> kRanks{0.5, 0.9, 0.99};
+constexpr std::array<double, 3> kQuantileLevels{0.5, 0.9, 0.99};
 
 using Accumulator = accumulators::accumulator_set<
   double, accumulators::stats<accumulators::tag::count, accumulators::tag::sum,
@@ -32,7 +32,7 @@
 
 struct Summary::State
 {
-  Accumulator mValues{accumulators::extended_p_square_probabilities = kRanks};
+  Accumulator mValues{accumulators::extended_p_square_probabilities = kQuantileLevels};
 };
 
 Summary::Summary()
@@ -60,11 +60,11 @@
   return accumulators::count(mState->mValues) == 0 ? 0.0 : accumulators::mean(mState->mValues);
 }
 
-double Summary::Quantile(double aRank) const
+double Summary::Quantile(double aLevel) const
 {
   const std::lock_guard lock(mMutex);
-  for (std::size_t i = 0; i < kRanks.size(); ++i) {
-    if (kRanks[i] == aRank) {
+  for (std::size_t i = 0; i < kQuantileLevels.size(); ++i) {
+    if (kQuantileLevels[i] == aLevel) {
       return accumulators::extended_p_square(mState->mValues)[i];
     }
   }
@@ -123,7 +123,7 @@
   for (const auto& [key, summary] : mSummaries) {
     typeLine(key.first, "summary");
     const std::string separator = key.second.empty() ? "" : ",";
-    for (const double rank : kRanks) {
+    for (const double rank : kQuantileLevels) {
       std::ostringstream quantile;
       quantile << "quantile=\"" << rank << "\"" << separator << key.second;
       out << Series(key.first, quantile.str()) << " " << summary->Quantile(rank) << "\n";
--- a/lib/Support/RuntimeClock.cpp
+++ b/lib/Support/RuntimeClock.cpp
@@ -17,7 +17,7 @@
 
 std::int64_t BootTimeCount()
 {
-  // The steady clock stops while a VM is suspended. Leases and read confirmations would then still
+  // CLOCK_MONOTONIC stops while a VM is suspended. Leases and read confirmations would then still
   // be valid after a long suspension.
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
--- a/tools/dandelionslipctl/main.cpp
+++ b/tools/dandelionslipctl/main.cpp
@@ -124,7 +124,7 @@
 {
   std::vector<ServiceFile> files;
   for (const auto& path : aArguments.at("FILE").asStringList()) {
-    auto spec = LoadServiceFile(path);
+    auto spec = LoadServiceSpec(path);
     if (!spec) {
       return spec.as_failure();
     }
@@ -152,7 +152,7 @@
   if (!identity) {
     return Fail(identity.error());
   }
-  const auto command = BuildPublication(identity.value(), aFiles);
+  const auto command = BuildPublicationCommand(identity.value(), aFiles);
   return command ? SendCommand(aArguments, command.value()) : Fail(command.error());
 }
 
@@ -176,7 +176,7 @@
 
 int Collect(const Arguments& aArguments)
 {
-  const auto files = CollectServices(aArguments.at("FOLDER").asStringList());
+  const auto files = LoadServiceFiles(aArguments.at("FOLDER").asStringList());
   if (!files) {
     return Fail(files.error());
   }
@@ -184,7 +184,7 @@
   if (!current) {
     return Fail(current.error());
   }
-  const auto changed = ChangedServices(files.value(), current.value());
+  const auto changed = ChangedServiceFiles(files.value(), current.value());
   for (const auto& file : changed) {
     std::cout << "service=" << file.mSpec.mName << " version=" << file.mSpec.mVersion
               << " file=" << file.mPath << "\n";
@@ -205,7 +205,7 @@
   if (!identity) {
     return Fail(identity.error());
   }
-  const auto command = BuildPublication(identity.value(), {}, deletions);
+  const auto command = BuildPublicationCommand(identity.value(), {}, deletions);
   return command ? SendCommand(aArguments, command.value()) : Fail(command.error());
 }
 
--- a/unittests/Config/ExamplesTest.cpp
+++ b/unittests/Config/ExamplesTest.cpp
@@ -60,7 +60,7 @@
 {
   const auto value = Parse<T>(aText);
   if (!value) {
-    CPPUNIT_ASSERT_EQUAL(std::string("altered"), value.error().mPeer);
+    CPPUNIT_ASSERT_EQUAL(std::string("altered"), value.error().mSubject);
     return false;
   }
   const auto again = Parse<T>(ToJson(value.value()).dump());
@@ -90,7 +90,7 @@
       aText.resize(at);
     } else if (action == 1) {
       aText.erase(at, 1 + aRandom.Below(8));
-    } else {
+    } else { // 2 inserts the byte, 3 replaces one.
       aText.replace(at, action - 2, 1, byte);
     }
   }
@@ -113,7 +113,7 @@
       for (const std::string& service : deployment.mServices) {
         folders.push_back((FolderOf(deployment) / service).string());
       }
-      const auto files = CollectServices(folders);
+      const auto files = LoadServiceFiles(folders);
       CPPUNIT_ASSERT_MESSAGE(files ? "" : files.error().Message(), files.has_value());
       CPPUNIT_ASSERT_EQUAL(deployment.mServices.size(), files.value().size());
       for (std::size_t i = 0; i < files.value().size(); ++i) {
@@ -122,7 +122,7 @@
         CPPUNIT_ASSERT_EQUAL(2000U, files.value()[i].mSpec.mConnections);
       }
       const PublicationIdentity identity{"0190163d-8694-739b-aea5-966c26f8ad91", "aminah", 1};
-      CPPUNIT_ASSERT(BuildPublication(identity, files.value()).has_value());
+      CPPUNIT_ASSERT(BuildPublicationCommand(identity, files.value()).has_value());
     }
   }
 
@@ -175,12 +175,12 @@
         continue;
       }
       const std::string name = entry.path().filename().string();
-      const auto* reader =
+      const auto* acceptor =
         std::find_if(std::begin(kAcceptors), std::end(kAcceptors), [&](const auto& aPair) {
           return name.find(aPair.first) != std::string::npos;
         });
-      CPPUNIT_ASSERT_MESSAGE(name, reader != std::end(kAcceptors));
-      const Acceptor accepts = reader->second;
+      CPPUNIT_ASSERT_MESSAGE(name, acceptor != std::end(kAcceptors));
+      const Acceptor accepts = acceptor->second;
       const std::string text = ReadTextFile(entry.path().string()).value();
       CPPUNIT_ASSERT(accepts(text));
       std::size_t rejected = 0;
--- a/unittests/Config/ServiceFilesTest.cpp
+++ b/unittests/Config/ServiceFilesTest.cpp
@@ -54,7 +54,7 @@
 
   std::string CollectError(const std::vector<std::string>& aFolders) const
   {
-    const auto files = CollectServices(aFolders);
+    const auto files = LoadServiceFiles(aFolders);
     return files ? "accepted" : files.error().Message();
   }
 
@@ -81,7 +81,7 @@
     Write("x/z.service.json", Text("alpha", "10.0.0.1:80"));
     Write("x/notes.json", "not a service file");
     Write("y/a.service.json", Text("beta", "10.0.0.2:80"));
-    const auto files = CollectServices({Folder("y"), Folder("x"), Folder("x/../x")});
+    const auto files = LoadServiceFiles({Folder("y"), Folder("x"), Folder("x/../x")});
     CPPUNIT_ASSERT_MESSAGE(CollectError({Folder("y")}), files.has_value());
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), files.value().size());
     CPPUNIT_ASSERT_EQUAL(std::string("alpha"), files.value()[0].mSpec.mName);
@@ -122,12 +122,13 @@
     AssertContains(CollectError({Folder("x")}), "found no regular file");
   }
 
-  // Guards against a publication that overwrites a version its operator has not seen.
+  // Guards against a publication that overwrites a version its operator has not seen, against one
+  // that repeats unchanged services, and against commands that change when encoded as CBOR.
   void PublicationExpectsPrecedingVersion()
   {
     const std::vector<ServiceFile> files{File("a", "10.0.0.1:80", 1), File("b", "10.0.0.2:80", 7)};
     const std::vector<ServiceDeletion> deletions{{"c", 3}};
-    const Command command = BuildPublication(kIdentity, files, deletions).value();
+    const Command command = BuildPublicationCommand(kIdentity, files, deletions).value();
     CPPUNIT_ASSERT_EQUAL(std::size_t(3), command.mServices.size());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), command.mServices[0].mExpectedVersion);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(6), command.mServices[1].mExpectedVersion);
@@ -136,7 +137,7 @@
     CPPUNIT_ASSERT(FromCbor<Command>(ToCbor(command), "test").value() == command);
     Configuration current;
     current.mServices["a"] = {1, files[0].mSpec};
-    const auto changed = ChangedServices(files, current);
+    const auto changed = ChangedServiceFiles(files, current);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), changed.size());
     CPPUNIT_ASSERT_EQUAL(std::string("b"), changed[0].mSpec.mName);
   }
@@ -148,13 +149,13 @@
     const std::vector<ServiceFile> sameAddress{files[0], File("b", "10.0.0.1:80", 1)};
     const std::vector<ServiceDeletion> sameName{{"a", 1}};
     const std::vector<ServiceDeletion> noVersion{{"c", 0}};
-    CPPUNIT_ASSERT(!BuildPublication(kIdentity, {}));
-    CPPUNIT_ASSERT(!BuildPublication({"not-a-uuid", "aminah", 5}, files));
-    CPPUNIT_ASSERT(!BuildPublication({kIdentity.mPublicationId, "", 5}, files));
-    CPPUNIT_ASSERT(!BuildPublication(kIdentity, sameAddress));
-    CPPUNIT_ASSERT(!BuildPublication(kIdentity, files, sameName));
-    CPPUNIT_ASSERT(!BuildPublication(kIdentity, files, noVersion));
-    CPPUNIT_ASSERT(BuildPublication(kIdentity, files).has_value());
+    CPPUNIT_ASSERT(!BuildPublicationCommand(kIdentity, {}));
+    CPPUNIT_ASSERT(!BuildPublicationCommand({"not-a-uuid", "aminah", 5}, files));
+    CPPUNIT_ASSERT(!BuildPublicationCommand({kIdentity.mPublicationId, "", 5}, files));
+    CPPUNIT_ASSERT(!BuildPublicationCommand(kIdentity, sameAddress));
+    CPPUNIT_ASSERT(!BuildPublicationCommand(kIdentity, files, sameName));
+    CPPUNIT_ASSERT(!BuildPublicationCommand(kIdentity, files, noVersion));
+    CPPUNIT_ASSERT(BuildPublicationCommand(kIdentity, files).has_value());
   }
 };
 
--- a/unittests/Control/DifferenceTest.cpp
+++ b/unittests/Control/DifferenceTest.cpp
@@ -122,13 +122,13 @@
     View view;
     view.mRevision = 5;
     ViewDifference difference;
-    difference.mFrom = 4;
-    difference.mTo = 6;
+    difference.mFromRevision = 4;
+    difference.mToRevision = 6;
     difference.mMembers["a"] = AgentAnnouncement("a").mMember;
     const View before = view;
     CPPUNIT_ASSERT(ErrorCode::Conflict == ApplyDifference(view, difference).error().mCode);
-    difference.mFrom = 5;
-    difference.mTo = 5;
+    difference.mFromRevision = 5;
+    difference.mToRevision = 5;
     CPPUNIT_ASSERT(ErrorCode::InvalidInput == ApplyDifference(view, difference).error().mCode);
     CPPUNIT_ASSERT(before == view);
   }
--- a/unittests/Control/LogStoreTest.cpp
+++ b/unittests/Control/LogStoreTest.cpp
@@ -266,7 +266,7 @@
         const auto store = OpenStore(files);
         CPPUNIT_ASSERT_MESSAGE(path + std::to_string(at), !store);
         CPPUNIT_ASSERT_EQUAL(std::string("corrupt"), std::string(ToString(store.error().mCode)));
-        CPPUNIT_ASSERT_EQUAL(path, store.error().mPeer);
+        CPPUNIT_ASSERT_EQUAL(path, store.error().mSubject);
         CPPUNIT_ASSERT(store.error().mDetail.find("offset ") == 0);
       }
     }
--- a/unittests/Control/RaftCoreTest.cpp
+++ b/unittests/Control/RaftCoreTest.cpp
@@ -163,7 +163,7 @@
     const LogIndex last = follower.Core().LastIndex();
     const auto refused = cluster.Propose(follower);
     CPPUNIT_ASSERT(refused.error().mCode == ErrorCode::Unavailable);
-    CPPUNIT_ASSERT_EQUAL(cluster.At(leader).Id(), refused.error().mPeer);
+    CPPUNIT_ASSERT_EQUAL(cluster.At(leader).Id(), refused.error().mSubject);
     CPPUNIT_ASSERT_EQUAL(last, follower.Core().LastIndex());
     const auto large = cluster.At(leader).Propose(cluster.Now(), Bytes(9));
     CPPUNIT_ASSERT(large.error().mCode == ErrorCode::LimitExceeded);
--- a/unittests/Platform/PlatformCodecTest.cpp
+++ b/unittests/Platform/PlatformCodecTest.cpp
@@ -183,7 +183,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{5}, control.value().mTargetVoters);
     CPPUNIT_ASSERT_EQUAL(std::string("10.2.0.1:7720"), control.value().mInitialReplicas.at(1));
     const auto balancer = BalancerSettingsFrom(File());
-    CPPUNIT_ASSERT(balancer && balancer.value().mCallerPort == 8172);
+    CPPUNIT_ASSERT(balancer && balancer.value().mCallerReceivePort == 8172);
     CPPUNIT_ASSERT_EQUAL(std::string("10.1.0.1:7720"), balancer.value().mDatagramEndpoint);
     CPPUNIT_ASSERT(AgentSettingsFrom(File()).has_value());
   }
--- a/unittests/Route/AssignmentTableTest.cpp
+++ b/unittests/Route/AssignmentTableTest.cpp
@@ -44,8 +44,8 @@
     return names;
   }
 
-  static std::size_t Moved(const std::vector<std::string>& aBefore,
-                           const std::vector<std::string>& aAfter)
+  static std::size_t CountMoved(const std::vector<std::string>& aBefore,
+                                const std::vector<std::string>& aAfter)
   {
     std::size_t moved = 0;
     for (std::size_t i = 0; i < aBefore.size(); ++i) {
@@ -91,7 +91,7 @@
     std::size_t needed = 0;
     for (int round = 0; round < 30; ++round) {
       const auto members = Members(10, random);
-      const auto before = Owners(members);
+      const auto ownersBefore = Owners(members);
       auto changed = members;
       if (round % 2 == 0) {
         changed.erase(changed.begin() + static_cast<std::ptrdiff_t>(random.Below(10)));
@@ -99,16 +99,16 @@
         WeightedMember& member = changed[random.Below(10)];
         member.mWeight = member.mWeight * 5 / 4;
       }
-      moved += Moved(before, Owners(changed));
-      const auto quotas = BucketQuotas(members, kBuckets);
-      const auto after = BucketQuotas(changed, kBuckets);
+      moved += CountMoved(ownersBefore, Owners(changed));
+      const auto quotasBefore = BucketQuotas(members, kBuckets);
+      const auto quotasAfter = BucketQuotas(changed, kBuckets);
       for (std::size_t i = 0; i < members.size(); ++i) {
         const auto kept = std::find_if(changed.begin(), changed.end(), [&](const auto& aMember) {
           return aMember.mMember == members[i].mMember;
         });
-        const std::uint32_t left =
-          kept == changed.end() ? 0 : after[static_cast<std::size_t>(kept - changed.begin())];
-        needed += quotas[i] > left ? quotas[i] - left : 0;
+        const std::uint32_t newQuota =
+          kept == changed.end() ? 0 : quotasAfter[static_cast<std::size_t>(kept - changed.begin())];
+        needed += quotasBefore[i] > newQuota ? quotasBefore[i] - newQuota : 0;
       }
     }
     CPPUNIT_ASSERT(needed > 0);
@@ -116,7 +116,7 @@
                            moved * 10 < needed * 15);
   }
 
-  // Guards against redirects back to the owner or to members that take no new work.
+  // Guards against alternates that are the owner itself or take no new work.
   void AlternateIsAnotherEligibleMember()
   {
     Random random(4);
--- a/unittests/Route/RoutingCoreTest.cpp
+++ b/unittests/Route/RoutingCoreTest.cpp
@@ -12,7 +12,7 @@
 class RoutingCoreTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RoutingCoreTest);
-  CPPUNIT_TEST(StopsTwoSecondsAfterLastAnsweredProbe);
+  CPPUNIT_TEST(SendingStopsTwoSecondsAfterLastAnsweredProbe);
   CPPUNIT_TEST(LeaseRunsFromSendingOfAnnouncement);
   CPPUNIT_TEST(FetchesNewerStateOfProbedAgent);
   CPPUNIT_TEST(LowerRevisionsAreIgnored);
@@ -64,7 +64,7 @@
     mCore.OnAnnouncementAnswer(answer, aSentAt);
   }
 
-  // The data centres to which 200 flows are forwarded.
+  // The data centres to which 200 flows are forwarded. setUp puts agents with even ports into dc-0.
   std::set<std::string> ReachedDataCentres(TimePoint aNow)
   {
     std::set<std::string> reached;
@@ -78,7 +78,8 @@
     return reached;
   }
 
-  // Answers only the probes to agents of dc-0. Returns the actions that follow.
+  // Answers only the probes to agents of dc-0, which have even ports. Returns the actions that
+  // follow.
   std::vector<RoutingAction> AnswerProbes(TimePoint aNow, std::uint64_t aViewRevision,
                                           std::uint64_t aConfigurationRevision)
   {
@@ -100,7 +101,7 @@
 
   // Guards against a balancer without a valid lease that keeps sending to a data centre that may be
   // out of service, and against one that stops sending to a data centre whose agents answer probes.
-  void StopsTwoSecondsAfterLastAnsweredProbe()
+  void SendingStopsTwoSecondsAfterLastAnsweredProbe()
   {
     const std::set<std::string> both{"dc-0", "dc-1"};
     for (int ms = 0; ms <= 2'000; ms += 100) {
@@ -168,8 +169,8 @@
     const auto snapshot = mCore.Snapshot();
     const auto first = std::get<RequestRoute>(snapshot->RouteRequest("planner", 77, mStart));
     const auto second = std::get<RequestRoute>(snapshot->RouteRequest("planner", 77, mStart));
-    CPPUNIT_ASSERT_EQUAL(first.mOwner.mMember, second.mOwner.mMember);
-    CPPUNIT_ASSERT(first.mAlternate && first.mAlternate->mMember != first.mOwner.mMember);
+    CPPUNIT_ASSERT_EQUAL(first.mActingMember.mMember, second.mActingMember.mMember);
+    CPPUNIT_ASSERT(first.mAlternate && first.mAlternate->mMember != first.mActingMember.mMember);
     CPPUNIT_ASSERT(std::holds_alternative<RequestCandidates>(
       snapshot->CandidatesFor("planner", {1, 2}, mStart)));
     CPPUNIT_ASSERT(std::holds_alternative<Refusal>(snapshot->RouteRequest("none", 77, mStart)));
--- a/unittests/Support/JsonTest.cpp
+++ b/unittests/Support/JsonTest.cpp
@@ -30,7 +30,7 @@
   CPPUNIT_TEST(ViolationsNameTheKeyPath);
   CPPUNIT_TEST(DuplicateKeysAreRejected);
   CPPUNIT_TEST(DeepNestingIsRejected);
-  CPPUNIT_TEST(MutatedCborNeverCrashes);
+  CPPUNIT_TEST(CorruptedCborDoesNotCrash);
   CPPUNIT_TEST(LogValuesAreEscaped);
   CPPUNIT_TEST_SUITE_END();
 
@@ -78,7 +78,7 @@
   }
 
   // Guards against crashes on corrupt messages. A changed message may still be valid.
-  void MutatedCborNeverCrashes()
+  void CorruptedCborDoesNotCrash()
   {
     const Bytes valid = ToCbor(Sample{"upstream-1", 7});
     Random random(1);
--- a/unittests/Support/LogTest.cpp
+++ b/unittests/Support/LogTest.cpp
@@ -40,7 +40,7 @@
       for (const auto& [event, count] : limiter.TakeOmitted(now)) {
         omitted += count;
       }
-      written += limiter.Admit("flow_refused", now) ? 1 : 0;
+      written += limiter.AllowLine("flow_refused", now) ? 1 : 0;
     }
     now += std::chrono::seconds(1);
     for (const auto& [event, count] : limiter.TakeOmitted(now)) {
@@ -56,9 +56,9 @@
   {
     LogRateLimiter limiter;
     for (int i = 0; i < 1'000; ++i) {
-      limiter.Admit("flow_refused", kStart);
+      limiter.AllowLine("flow_refused", kStart);
     }
-    CPPUNIT_ASSERT(limiter.Admit("control_replica_changed", kStart));
+    CPPUNIT_ASSERT(limiter.AllowLine("control_replica_changed", kStart));
   }
 
   // Guards against a process that blocks while nothing reads its log.
