--- a/lib/Config/CheckSettings.cpp
+++ b/lib/Config/CheckSettings.cpp
@@ -75,8 +75,8 @@
     aChecker.CheckEndpoint(KeyWithIndex("founders", i), aSettings.mInitialReplicas[i]);
   }
   const bool knowsGroup = !aSettings.mPeers.empty() || !aSettings.mInitialReplicas.empty();
-  aChecker.Require(!aSettings.mJoin || knowsGroup, "join", "true without peers",
-                   "at least one peer to join");
+  aChecker.Require(!aSettings.mJoin || knowsGroup, "join", "true without peers and founders",
+                   "at least one peer or founder of the group to join");
 }
 
 // One or two delayed heartbeats must not start an election. The range of election timeouts must not
--- a/lib/Config/Publication.cpp
+++ b/lib/Config/Publication.cpp
@@ -50,7 +50,7 @@
   }
   for (const ServiceDeletion& deletion : aDeletions) {
     if (deletion.mExpectedVersion == 0) {
-      return Reject(deletion.mName, "found version 0, expected the version in force");
+      return Reject(deletion.mName, "found version 0, expected the service's current version");
     }
     if (!names.insert(deletion.mName).second) {
       return Reject(deletion.mName, "found twice, expected one change for each service");
--- a/lib/Model/NodeState.cpp
+++ b/lib/Model/NodeState.cpp
@@ -43,8 +43,9 @@
 Result<void> NodeState::Apply(const AnnouncementAnswer& aAnswer)
 {
   if (!aAnswer.mConfirmed && CarriesState(aAnswer)) {
-    return Fail(ErrorCode::InvalidInput, "node.apply", "",
-                "found state in an unconfirmed answer, expected none");
+    return Fail(
+      ErrorCode::InvalidInput, "node.apply", "",
+      "found state in the unconfirmed answer of a replica without quorum contact, expected none");
   }
   if (auto check = CheckDifferenceStart(mConfiguration, aAnswer.mConfigurationDifference); !check) {
     return check;
