--- a/lib/Config/Publication.cpp
+++ b/lib/Config/Publication.cpp
@@ -50,7 +50,7 @@
   }
   for (const ServiceDeletion& deletion : aDeletions) {
     if (deletion.mExpectedVersion == 0) {
-      return Reject(deletion.mName, "found version 0, expected the version in force");
+      return Reject(deletion.mName, "found version 0, expected the service's current version");
     }
     if (!names.insert(deletion.mName).second) {
       return Reject(deletion.mName, "found twice, expected one change for each service");
@@ -88,8 +88,8 @@
 
 } // namespace
 
-std::vector<ServiceFile> ChangedServices(std::span<const ServiceFile> aFiles,
-                                         const Configuration& aCurrent)
+std::vector<ServiceFile> ChangedServiceFiles(std::span<const ServiceFile> aFiles,
+                                             const Configuration& aCurrent)
 {
   std::vector<ServiceFile> changed;
   std::copy_if(aFiles.begin(), aFiles.end(), std::back_inserter(changed),
@@ -100,9 +100,9 @@
   return changed;
 }
 
-Result<Command> BuildPublication(const PublicationIdentity& aIdentity,
-                                 std::span<const ServiceFile> aFiles,
-                                 std::span<const ServiceDeletion> aDeletions)
+Result<Command> BuildPublicationCommand(const PublicationIdentity& aIdentity,
+                                        std::span<const ServiceFile> aFiles,
+                                        std::span<const ServiceDeletion> aDeletions)
 {
   if (aFiles.empty() && aDeletions.empty()) {
     return Reject("services", "found no change, expected at least one");
--- a/tools/dandelionslipctl/main.cpp
+++ b/tools/dandelionslipctl/main.cpp
@@ -136,7 +136,7 @@
 {
   std::vector<ServiceFile> files;
   for (const auto& path : aArguments.at("FILE").asStringList()) {
-    auto spec = LoadServiceFile(path);
+    auto spec = LoadServiceSpec(path);
     if (!spec) {
       return spec.as_failure();
     }
@@ -164,7 +164,7 @@
   if (!identity) {
     return PrintError(identity.error());
   }
-  const auto command = BuildPublication(identity.value(), aFiles);
+  const auto command = BuildPublicationCommand(identity.value(), aFiles);
   return command ? SendCommand(aArguments, command.value()) : PrintError(command.error());
 }
 
@@ -188,7 +188,7 @@
 
 int Collect(const Arguments& aArguments)
 {
-  const auto files = CollectServices(aArguments.at("FOLDER").asStringList());
+  const auto files = LoadServiceFiles(aArguments.at("FOLDER").asStringList());
   if (!files) {
     return PrintError(files.error());
   }
@@ -196,7 +196,7 @@
   if (!current) {
     return PrintError(current.error());
   }
-  const auto changed = ChangedServices(files.value(), current.value());
+  const auto changed = ChangedServiceFiles(files.value(), current.value());
   for (const auto& file : changed) {
     std::cout << "service=" << file.mSpec.mName << " version=" << file.mSpec.mVersion
               << " file=" << file.mPath << "\n";
@@ -217,7 +217,7 @@
   if (!identity) {
     return PrintError(identity.error());
   }
-  const auto command = BuildPublication(identity.value(), {}, deletions);
+  const auto command = BuildPublicationCommand(identity.value(), {}, deletions);
   return command ? SendCommand(aArguments, command.value()) : PrintError(command.error());
 }
 
