--- a/include/dandelionslip/Packet/LoadReport.h
+++ b/include/dandelionslip/Packet/LoadReport.h
@@ -36,8 +36,8 @@
 
   bool operator==(const LoadReport&) const = default;
 
-  /// Encodes the report as a CBOR array of about 40 bytes; balancers' VMs may have links of only a
-  /// few Mbit/s.
+  /// Encodes the fields, in order, as a CBOR array of about 40 bytes; balancers' VMs may have links
+  /// of only a few Mbit/s.
   Bytes Encode() const;
   /// Fails with InvalidInput if aBytes is not CBOR or the number or type of the fields differs.
   static Result<LoadReport> Decode(std::span<const std::uint8_t> aBytes);
--- a/include/dandelionslip/Request/RequestOutcome.h
+++ b/include/dandelionslip/Request/RequestOutcome.h
@@ -14,7 +14,8 @@
 {
   Answered, ///< The answer is complete.
   /// This attempt and all lower ones did not run and never will. For an idempotent request, an
-  /// agent's reply speaks only of this attempt; a balancer's reply of all attempts that it made.
+  /// agent's reply covers only this attempt, and a balancer's reply covers all attempts that the
+  /// balancer made.
   NotRun,
   Unknown,   ///< The request may have run.
   Cancelled, ///< The caller cancelled the request before it ran.
--- a/include/dandelionslip/Route/RoutingCore.h
+++ b/include/dandelionslip/Route/RoutingCore.h
@@ -54,8 +54,8 @@
 
   /// Handles the answer to the announcement that was sent at aSentAt. The lease runs from that
   /// time, so a delayed answer does not make it longer than control granted. Ignores an answer that
-  /// is not confirmed or is fenced. Reads only whole state (mConfiguration, mView),
-  /// not differences.
+  /// is not confirmed or is fenced. Reads only whole state (mConfiguration, mView), not
+  /// differences.
   void OnAnnouncementAnswer(const AnnouncementAnswer& aAnswer, TimePoint aSentAt);
 
   /// Handles a probe answer from aSender. It extends the lease of the agent's data centre, counted
